--- a/coordination/route/src/hunt.rs
+++ b/coordination/route/src/hunt.rs
@@ -1,28 +1,30 @@
-//! Moves an open along the first agents of its order until one takes it.
+//! Relays an open along the first agents of its order until one accepts it.
 //!
-//! Each agent on the path takes the open if it has a free slot and its held
-//! flows put no load on it, or notes its bid and passes it on. After the last,
-//! the open goes to the agent with the least bid, which takes it or refuses it at
-//! once. A bid is the expected wait and the load of the held flows; the load
-//! counts only where requests are bound to the holder.
+//! An agent on the path accepts the open if it has a free slot and the load of
+//! its held flows is negligible. Otherwise it appends its bid to the frame and
+//! forwards the open to the next agent. After the last agent, the open goes to
+//! the agent with the lowest bid, which accepts or refuses it and does not
+//! forward it again. A bid is the expected wait plus the load of the held flows;
+//! the load counts only for services whose requests are bound to the flow's
+//! holder.
 use std::time::Duration;
 
 use wire::Relay;
 use wire::frame::MAX_HOPS;
 
-/// Number of agents that an open visits before it settles.
+/// Number of agents that an open visits before the lowest bid decides.
 pub const WIDTH: usize = 3;
 
-/// Number of other agents that a full holder asks, one after another, to run a
-/// single request of an independent service.
+/// Number of other agents that a holder without a free slot asks in sequence to
+/// run a single request of an independent service.
 pub const PASS_WIDTH: usize = 2;
 
-/// Expected wait above which a holder passes single requests on, in round trips
+/// Expected wait above which a holder forwards single requests, in round trips
 /// between two agents.
 pub const PASS_ROUND_TRIPS: u32 = 4;
 
-/// Whether a holder without a free slot should pass a single request of an
-/// independent service on.
+/// Returns whether a holder without a free slot should forward a single request
+/// of an independent service to another agent.
 ///
 /// ```
 /// use std::time::Duration;
@@ -37,47 +39,47 @@
     wait > round_trip.saturating_mul(PASS_ROUND_TRIPS)
 }
 
-/// What an agent can offer to an open.
+/// An agent's offer for an open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bid {
-    /// Whether a slot is free now.
+    /// Whether the agent has a free slot now.
     pub free: bool,
     /// Expected wait for a slot.
     pub wait: Duration,
-    /// What the load of the held flows adds; zero where the requests of a flow
-    /// may run elsewhere.
+    /// Load of the held flows, expressed as a wait; zero if the requests of a
+    /// flow may run on other targets.
     pub load: Duration,
 }
 
-/// Load below which an agent with a free slot takes an open at once.
-pub const LIGHT: Duration = Duration::from_millis(1);
+/// Load below which an agent with a free slot accepts an open immediately.
+pub const MAX_IMMEDIATE_LOAD: Duration = Duration::from_millis(1);
 
 impl Bid {
-    fn takes_at_once(self) -> bool {
-        self.free && self.load < LIGHT
+    fn accepts_immediately(self) -> bool {
+        self.free && self.load < MAX_IMMEDIATE_LOAD
     }
 
-    fn total(self) -> Duration {
+    fn cost(self) -> Duration {
         self.wait.saturating_add(self.load)
     }
 }
 
-/// What an agent does with an open.
+/// The action of an agent on an open.
 #[allow(clippy::large_enum_variant)]
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Hold the flow here.
+    /// Accept the open and hold the flow here.
     Take,
-    /// Send the frame on to the agent at its position.
+    /// Forward the frame to the agent at the frame's position.
     Forward(Relay),
-    /// Answer the caller that nobody takes the flow.
+    /// Reply to the caller that no agent accepts the flow.
     Refuse,
 }
 
 /// Decides what the agent at the frame's position does with an open.
 ///
-/// A frame that no honest process sends (position outside the path, waits that
-/// do not match the position) is refused.
+/// An invalid frame (a position outside the path, a path that is too long, or a
+/// number of waits that does not match the position) is refused.
 #[must_use]
 pub fn step(mut relay: Relay, bid: Bid) -> Step {
     let position = usize::from(relay.position);
@@ -86,19 +88,19 @@
     } else {
         position
     };
-    let sound =
+    let is_valid =
         position < relay.path.len() && relay.path.len() <= MAX_HOPS && relay.waits.len() == visited;
-    if !sound {
+    if !is_valid {
         return Step::Refuse;
     }
-    if bid.takes_at_once() || relay.settle {
+    if bid.accepts_immediately() || relay.settle {
         return Step::Take;
     }
-    relay.waits.push(millis(bid.total()));
-    advance(relay)
+    relay.waits.push(to_millis(bid.cost()));
+    forward_or_settle(relay)
 }
 
-fn advance(mut relay: Relay) -> Step {
+fn forward_or_settle(mut relay: Relay) -> Step {
     let here = relay.position;
     let next = usize::from(here) + 1;
     if next < relay.path.len() {
@@ -106,21 +108,21 @@
         return Step::Forward(relay);
     }
     relay.settle = true;
-    relay.position = least(&relay.waits);
+    relay.position = index_of_least(&relay.waits);
     if relay.position == here {
         return Step::Take;
     }
     Step::Forward(relay)
 }
 
-/// Index of the least bid, the first of equals.
-fn least(waits: &[u32]) -> u8 {
+/// Returns the index of the lowest bid; the first one wins a tie.
+fn index_of_least(waits: &[u32]) -> u8 {
     (0..)
         .zip(waits)
         .min_by_key(|&(_, wait)| wait)
         .map_or(0, |(index, _)| index)
 }
 
-fn millis(wait: Duration) -> u32 {
+fn to_millis(wait: Duration) -> u32 {
     u32::try_from(wait.as_millis()).unwrap_or(u32::MAX)
 }
--- a/coordination/route/src/lib.rs
+++ b/coordination/route/src/lib.rs
@@ -1,12 +1,14 @@
-//! Decides which backend server a flow goes to.
+//! Selects the backend server that a flow is sent to.
 //!
 //! * [`Order`] ranks the targets of a service for a flow by weighted rendezvous
-//!   hashing: the same on every process and platform.
-//! * [`hunt`] moves an open along the first targets of that order until one
-//!   takes it.
-//! * [`pin`] remembers which target holds a flow that its home passed on.
+//!   hashing, with the same result on every process and platform.
+//! * [`hunt`] relays an open along the first targets of that order until one
+//!   accepts it.
+//! * [`pin`] records, at a flow's home, which other target holds the flow.
+//! * [`place`] ranks targets for a new flow by their expected response time.
 //!
-//! All parts are sans-IO: they own no socket, clock or randomness.
+//! All modules are sans-IO: the caller passes in the time and random seeds, and
+//! does the network I/O.
 pub mod hash;
 pub mod holder;
 pub mod hunt;
--- a/coordination/route/src/logarithm.rs
+++ b/coordination/route/src/logarithm.rs
@@ -1,20 +1,20 @@
-//! A base-2 logarithm in fixed point, the same bit for bit on every platform.
+//! A fixed-point base-2 logarithm that is bit-identical on every platform.
 
-/// Number of fractional bits of a logarithm.
+/// Number of fractional bits in a logarithm.
 pub const FRACTION_BITS: u32 = 48;
 
 const TABLE_BITS: u32 = 10;
 const TABLE_LEN: usize = 1 << TABLE_BITS;
-const REST_BITS: u32 = u64::BITS - 1 - TABLE_BITS;
+const REMAINDER_BITS: u32 = u64::BITS - 1 - TABLE_BITS;
 const ONE: u64 = 1 << FRACTION_BITS;
 
 /// `log2(1 + i / TABLE_LEN)` in fixed point.
 static TABLE: [u64; TABLE_LEN + 1] = table();
 
-/// Returns `-log2(hash / 2^64)` in fixed point, for a hash above zero.
+/// Returns `-log2(hash / 2^64)` in fixed point; a hash of zero counts as 1.
 ///
-/// The value lies between 0 and 64 and is exact at the table's points; between
-/// them its relative error is below 0.05%.
+/// The value lies between 0 and 64. It is exact at the table's points and
+/// interpolated between them with a relative error below 0.05%.
 ///
 /// ```
 /// use route::logarithm::FRACTION_BITS;
@@ -27,13 +27,13 @@
 pub fn neg_log2(hash: u64) -> u64 {
     let hash = hash.max(1);
     let zeros = hash.leading_zeros();
-    // The leading one is shifted out; what is left is the mantissa's fraction.
+    // Shifts the leading one out, which leaves the fraction of the mantissa.
     let fraction = (hash << zeros) << 1;
     let index = (fraction >> (u64::BITS - TABLE_BITS)) as usize;
-    let rest = (fraction << TABLE_BITS) >> (TABLE_BITS + 1);
+    let remainder = (fraction << TABLE_BITS) >> (TABLE_BITS + 1);
     let (low, high) = (TABLE[index], TABLE[index + 1]);
-    let step = u128::from(high - low) * u128::from(rest);
-    let log = low + u64::try_from(step >> REST_BITS).unwrap_or(u64::MAX);
+    let step = u128::from(high - low) * u128::from(remainder);
+    let log = low + u64::try_from(step >> REMAINDER_BITS).unwrap_or(u64::MAX);
     (u64::from(zeros) + 1) * ONE - log
 }
 
@@ -52,13 +52,13 @@
 /// doubles its logarithm, whose integer part is the next binary digit.
 #[allow(clippy::cast_possible_truncation)]
 const fn log2_digits(index: u64) -> u64 {
-    const POINT: u32 = u64::BITS - 2;
-    let mut mantissa = (1u64 << POINT) + (index << (POINT - TABLE_BITS));
+    const MANTISSA_BITS: u32 = u64::BITS - 2;
+    let mut mantissa = (1u64 << MANTISSA_BITS) + (index << (MANTISSA_BITS - TABLE_BITS));
     let mut log = 0;
     let mut digit = 0;
     while digit < FRACTION_BITS {
-        let square = ((mantissa as u128 * mantissa as u128) >> POINT) as u64;
-        let carry = square >> (POINT + 1);
+        let square = ((mantissa as u128 * mantissa as u128) >> MANTISSA_BITS) as u64;
+        let carry = square >> (MANTISSA_BITS + 1);
         mantissa = square >> carry;
         log = (log << 1) | carry;
         digit += 1;
--- a/coordination/route/src/order.rs
+++ b/coordination/route/src/order.rs
@@ -1,4 +1,4 @@
-//! Ranks the targets of a service for a flow by weighted rendezvous hashing.
+//! Ranking of a service's targets for a flow by weighted rendezvous hashing.
 use std::collections::BTreeMap;
 use std::collections::HashSet;
 
@@ -11,15 +11,16 @@
 use crate::tree::Leaf;
 use crate::tree::Tree;
 
-/// Bits of a target's hashed id that each level of the tree looks at.
+/// Number of bits of a target's hashed id that select a child at each level of
+/// the tree.
 pub const TREE_BITS: u32 = 6;
 
-/// The targets of one service, ready to be ranked for any flow.
+/// The targets of one service, prepared for ranking for any flow.
 ///
-/// The order is a function of the ids and weights alone, the same on every
-/// process and platform. A target comes first for a share of the flows that is
-/// its share of the weights; without it, its flows go to the target that was
-/// second for them.
+/// The ranking depends on the ids and weights alone and is the same on every
+/// process and platform. A target ranks first for a share of the flows equal to
+/// its share of the total weight. When a target is removed, each of its flows
+/// goes to the target that ranked second for that flow.
 ///
 /// ```
 /// # use wire::target::State;
@@ -34,25 +35,25 @@
 /// let order = route::Order::new(&[target(1), target(2), target(3)]);
 /// let ranked: Vec<_> = order.top(42, 3).map(|target| target.id).collect();
 ///
-/// // Keep new flows from the first: they open at the second.
+/// // Exclude the first target from new flows: they open at the second.
 /// let order = order.close([ranked[0]]);
 /// assert_eq!(order.top(42, 1).next().unwrap().id, ranked[0]);
 /// assert_eq!(order.open(42, 1).next().unwrap().id, ranked[1]);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Order {
-    /// Sorted by hashed id.
+    /// All targets, sorted by hashed id.
     targets: Vec<Target>,
     all: Tree<TREE_BITS>,
-    /// The targets that take new flows.
+    /// The targets that accept new flows.
     open: Tree<TREE_BITS>,
-    /// Positions in `targets` of the leaves of `open`.
+    /// For each leaf of `open`, its index in `targets`.
     positions: Vec<usize>,
 }
 
 impl Order {
-    /// Prepares the order of the given targets of one service. Of two targets
-    /// with the same id the newer announcement counts.
+    /// Builds the order of the given targets of one service. If two targets
+    /// have the same id, the one with the newer announcement is used.
     #[must_use]
     pub fn new(targets: &[Target]) -> Self {
         let mut sorted: BTreeMap<u64, &Target> = BTreeMap::new();
@@ -72,69 +73,76 @@
         order.close([])
     }
 
-    /// Keeps new flows from the given targets, such as those held down, and
-    /// from no others but those that announce that they take none.
+    /// Excludes the given targets from new flows, in place of those excluded
+    /// before. Targets that are not in state [`State::Ready`] are always
+    /// excluded.
     #[must_use]
     pub fn close(mut self, targets: impl IntoIterator<Item = TargetId>) -> Self {
         let closed: HashSet<TargetId> = targets.into_iter().collect();
-        let takes = |target: &Target| target.state == State::Ready && !closed.contains(&target.id);
+        let is_open =
+            |target: &Target| target.state == State::Ready && !closed.contains(&target.id);
         self.positions = (0..self.targets.len())
-            .filter(|&position| takes(&self.targets[position]))
+            .filter(|&position| is_open(&self.targets[position]))
             .collect();
-        let open = self.positions.iter();
-        self.open = Tree::new(open.map(|&open| leaf(&self.targets[open])).collect());
+        let positions = self.positions.iter();
+        self.open = Tree::new(
+            positions
+                .map(|&position| leaf(&self.targets[position]))
+                .collect(),
+        );
         self
     }
 
-    /// Whether some targets take no new flows, so that the first open target
-    /// may not be the first of all.
+    /// Returns whether some targets accept no new flows. The first open target
+    /// then may differ from the flow's home.
     #[must_use]
     pub const fn has_closed(&self) -> bool {
         self.positions.len() < self.targets.len()
     }
 
-    /// Finds a target by its id.
+    /// Returns the target with the given id.
     #[must_use]
     pub fn target(&self, id: TargetId) -> Option<&Target> {
-        let spread = finalize(id);
+        let hashed_id = finalize(id);
         let position = self
             .targets
-            .binary_search_by_key(&spread, |target| finalize(target.id));
+            .binary_search_by_key(&hashed_id, |target| finalize(target.id));
         self.targets.get(position.ok()?)
     }
 
-    /// Number of targets.
+    /// Returns the number of targets.
     #[must_use]
     pub fn len(&self) -> usize {
         self.targets.len()
     }
 
-    /// Whether there is no target.
+    /// Returns whether there are no targets.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.targets.is_empty()
     }
 
-    /// The flow's home: the first of all targets.
+    /// Returns the flow's home: the target that ranks first among all targets.
     #[must_use]
     pub fn home(&self, key: FlowKey) -> Option<&Target> {
         let first = self.all.first(key)?;
         self.targets.get(first as usize)
     }
 
-    /// The first `n` of all targets; the first is the flow's home.
+    /// Returns the `n` highest-ranked of all targets; the first one is the flow's
+    /// home.
     pub fn top(&self, key: FlowKey, n: usize) -> impl Iterator<Item = &Target> {
         let drawn = self.all.draw(key).take(n);
         drawn.map(|leaf| &self.targets[leaf as usize])
     }
 
-    /// The first `n` of the targets that take new flows.
+    /// Returns the `n` highest-ranked of the targets that accept new flows.
     pub fn open(&self, key: FlowKey, n: usize) -> impl Iterator<Item = &Target> {
         let drawn = self.open.draw(key).take(n);
         drawn.map(|leaf| &self.targets[self.positions[leaf as usize]])
     }
 
-    /// Memory that the order holds, in bytes.
+    /// Returns the memory that the order uses, in bytes.
     #[must_use]
     pub fn bytes(&self) -> usize {
         let targets = self.targets.capacity() * size_of::<Target>();
--- a/coordination/route/src/pin.rs
+++ b/coordination/route/src/pin.rs
@@ -1,8 +1,9 @@
-//! Remembers which agent holds a flow that its home passed on.
+//! Table of pins: for a flow whose home is this agent but which another agent
+//! accepted, the agent that holds the flow.
 //!
-//! The table is soft state: the holder renews its pins in batches, and a pin
-//! that is not renewed expires. A pin takes 16 bytes and its place in a bucket
-//! of the expiry 8 more; holders are stored once each.
+//! The table is soft state: holders renew their pins in batches, and a pin that
+//! is not renewed expires. A pin takes 16 bytes, and its timer in an expiry
+//! bucket 8 more; each holder is stored only once.
 use std::collections::BTreeMap;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -17,10 +18,10 @@
 /// Limits of a [`Table`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Largest number of pins.
+    /// Maximum number of pins.
     pub capacity: usize,
-    /// How long a pin lasts without renewal; it is dropped within a sixteenth
-    /// of that time after its end.
+    /// Time after its last renewal at which a pin expires; it is removed at most
+    /// a sixteenth of that time later.
     pub lifetime: Duration,
 }
 
@@ -33,57 +34,60 @@
     }
 }
 
-/// Buckets of the expiry in one lifetime.
-const BUCKETS: u32 = 16;
+/// Number of expiry buckets in one pin lifetime.
+const BUCKETS_PER_LIFETIME: u32 = 16;
 
-/// Entries in the buckets for each pin of the capacity, at most.
-const DUE_FACTOR: usize = 2;
+/// Maximum number of timers for each pin of the capacity. Unpinned flows leave
+/// stale timers behind, which are removed when this limit is reached.
+const MAX_TIMERS_PER_PIN: usize = 2;
 
 /// The agent that holds a flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Holder {
-    /// The backend server and the incarnation of its agent.
+    /// Target id of the backend server and incarnation of its agent.
     pub token: Token,
     /// UDP address of the agent.
     pub address: SocketAddr,
 }
 
-/// What became of a request to pin a flow.
+/// Result of pinning a flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The pin is kept.
+    /// The pin was stored or renewed.
     Kept,
-    /// The table is at its limit.
+    /// The table is at its capacity.
     Full,
-    /// The flow is pinned to a newer incarnation of the same target.
+    /// The flow is already pinned to a newer incarnation of the same target.
     Stale,
 }
 
-/// Counts intervals of a sixteenth of the lifetime; wraps.
+/// Number of an expiry bucket, modulo 2^16.
 type Bucket = u16;
 
 #[derive(Clone, Copy, Debug)]
-struct Slot {
+struct Pin {
     holder: holder::Index,
-    /// The bucket that the pin expires in.
+    /// The bucket in which the pin expires.
     expiry: Bucket,
-    /// The bucket that lists the flow; earlier than `expiry` after a renewal.
-    listed: Bucket,
+    /// The bucket that contains the pin's timer; earlier than `expiry` after a
+    /// renewal.
+    scheduled: Bucket,
 }
 
 /// The pins of one service.
 #[derive(Debug, Default)]
 struct Group {
-    slots: HashMap<FlowKey, Slot>,
+    pins: HashMap<FlowKey, Pin>,
 }
 
+/// Reference from an expiry bucket to a pin.
 #[derive(Clone, Copy, Debug)]
-struct Due {
+struct Timer {
     flow: FlowKey,
     group: u32,
 }
 
-/// The pins of the flows that have their home here.
+/// The pins of the flows whose home is this agent.
 ///
 /// ```
 /// use std::time::Duration;
@@ -110,9 +114,9 @@
     groups: Vec<Group>,
     services: HashMap<ServiceAddress, u32>,
     holders: holder::Set,
-    /// The flows to look at when a bucket ends, by the number of the bucket.
-    due: BTreeMap<u64, Vec<Due>>,
-    listed: usize,
+    /// Timers to process when a bucket ends, by bucket number.
+    timers: BTreeMap<u64, Vec<Timer>>,
+    timer_count: usize,
 }
 
 impl Table {
@@ -125,13 +129,13 @@
             groups: Vec::new(),
             services: HashMap::new(),
             holders: holder::Set::default(),
-            due: BTreeMap::new(),
-            listed: 0,
+            timers: BTreeMap::new(),
+            timer_count: 0,
         }
     }
 
-    /// Records or renews the holder of a flow. The latest holder counts, but
-    /// for an older incarnation of the same target.
+    /// Stores or renews the pin of a flow. A new holder replaces the previous
+    /// one, except for an older incarnation of the same target.
     pub fn pin(
         &mut self,
         now: Duration,
@@ -141,37 +145,38 @@
     ) -> Outcome {
         let group = self.group(service);
         let expiry = self.bucket(now + self.settings.lifetime);
-        let slot = self.groups[group as usize].slots.get(&flow).copied();
-        match slot {
-            Some(slot) if is_older(holder.token, self.holders.get(slot.holder).token) => {
+        let pin = self.groups[group as usize].pins.get(&flow).copied();
+        match pin {
+            Some(pin) if is_older(holder.token, self.holders.get(pin.holder).token) => {
                 return Outcome::Stale;
             }
             None if self.len >= self.settings.capacity => return Outcome::Full,
-            Some(slot) => self.holders.release(slot.holder),
+            Some(pin) => self.holders.release(pin.holder),
             None => {
                 self.len += 1;
-                self.list(expiry, Due { flow, group });
+                self.schedule(expiry, Timer { flow, group });
             }
         }
-        let slot = Slot {
+        let pin = Pin {
             holder: self.holders.acquire(holder),
-            expiry: wrapped(expiry),
-            listed: slot.map_or(wrapped(expiry), |slot| slot.listed),
+            expiry: wrap(expiry),
+            scheduled: pin.map_or(wrap(expiry), |pin| pin.scheduled),
         };
-        self.groups[group as usize].slots.insert(flow, slot);
+        self.groups[group as usize].pins.insert(flow, pin);
         Outcome::Kept
     }
 
-    /// Forgets a flow, if it is pinned to the given holder.
+    /// Removes the pin of a flow if the flow is pinned to the given holder.
+    /// Returns whether it was.
     pub fn unpin(&mut self, service: ServiceAddress, flow: FlowKey, token: Token) -> bool {
         let Some(&group) = self.services.get(&service) else {
             return false;
         };
-        let slots = &mut self.groups[group as usize].slots;
-        match slots.get(&flow).copied() {
-            Some(slot) if self.holders.get(slot.holder).token == token => {
-                slots.remove(&flow);
-                self.holders.release(slot.holder);
+        let pins = &mut self.groups[group as usize].pins;
+        match pins.get(&flow).copied() {
+            Some(pin) if self.holders.get(pin.holder).token == token => {
+                pins.remove(&flow);
+                self.holders.release(pin.holder);
                 self.len -= 1;
                 true
             }
@@ -179,60 +184,62 @@
         }
     }
 
-    /// The holder of a flow.
+    /// Returns the holder of a flow.
     #[must_use]
     pub fn get(&self, service: ServiceAddress, flow: FlowKey) -> Option<Holder> {
         let group = *self.services.get(&service)?;
-        let slot = self.groups[group as usize].slots.get(&flow)?;
-        Some(self.holders.get(slot.holder))
+        let pin = self.groups[group as usize].pins.get(&flow)?;
+        Some(self.holders.get(pin.holder))
     }
 
-    /// Drops the pins that were not renewed in time; returns how many.
+    /// Removes the pins that were not renewed within their lifetime and returns
+    /// their number.
     pub fn expire(&mut self, now: Duration) -> usize {
         let before = self.len;
         let current = self.bucket(now);
         while let Some(entry) = self
-            .due
+            .timers
             .first_entry()
             .filter(|entry| *entry.key() < current)
         {
-            let (bucket, flows) = entry.remove_entry();
-            self.listed -= flows.len();
-            for due in flows {
-                self.settle(bucket, due);
+            let (bucket, timers) = entry.remove_entry();
+            self.timer_count -= timers.len();
+            for timer in timers {
+                self.expire_or_reschedule(bucket, timer);
             }
         }
         before - self.len
     }
 
-    /// When [`Table::expire`] next has work.
+    /// Returns the time at which [`Table::expire`] has to be called next.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Duration> {
-        let (&bucket, _) = self.due.first_key_value()?;
-        let nanos = u128::from(bucket + 1) * self.width();
+        let (&bucket, _) = self.timers.first_key_value()?;
+        let nanos = u128::from(bucket + 1) * self.bucket_nanos();
         Some(Duration::from_nanos_u128(nanos))
     }
 
-    /// Number of pins.
+    /// Returns the number of pins.
     #[must_use]
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether there is no pin.
+    /// Returns whether there are no pins.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Memory that the table holds, in bytes.
+    /// Returns the memory that the table uses, in bytes.
     #[must_use]
     pub fn bytes(&self) -> usize {
-        let slots = self.groups.iter().map(|group| group.slots.capacity());
-        let due = self.due.values().map(Vec::capacity);
-        // The hash table keeps an eighth of its buckets empty, and a byte each.
-        slots.sum::<usize>() * (size_of::<(FlowKey, Slot)>() + 1) * 8 / 7
-            + due.sum::<usize>() * size_of::<Due>()
+        let pins = self.groups.iter().map(|group| group.pins.capacity());
+        let timers = self.timers.values().map(Vec::capacity);
+        // A hash table keeps an eighth of its buckets empty and one control byte
+        // for each bucket.
+        pins.sum::<usize>() * (size_of::<(FlowKey, Pin)>() + 1) * 8 / 7
+            + timers.sum::<usize>() * size_of::<Timer>()
             + self.holders.bytes()
     }
 
@@ -244,68 +251,71 @@
         })
     }
 
-    /// Drops a listed flow whose time is over, or lists it anew where it was
-    /// renewed. An entry that is not the flow's own any more is passed over.
-    fn settle(&mut self, bucket: u64, due: Due) {
-        let slots = &mut self.groups[due.group as usize].slots;
-        let Some(slot) = slots.get_mut(&due.flow) else {
+    /// Removes the pin of a timer that has fired, or schedules a new timer if the
+    /// pin was renewed. Ignores a stale timer, whose flow was unpinned or has
+    /// another timer since.
+    fn expire_or_reschedule(&mut self, bucket: u64, timer: Timer) {
+        let pins = &mut self.groups[timer.group as usize].pins;
+        let Some(pin) = pins.get_mut(&timer.flow) else {
             return;
         };
-        if slot.listed != wrapped(bucket) {
+        if pin.scheduled != wrap(bucket) {
             return;
         }
-        let ahead = slot.expiry.wrapping_sub(wrapped(bucket));
+        let ahead = pin.expiry.wrapping_sub(wrap(bucket));
         if ahead > 0 {
-            slot.listed = slot.expiry;
-            self.list(bucket + u64::from(ahead), due);
+            pin.scheduled = pin.expiry;
+            self.schedule(bucket + u64::from(ahead), timer);
             return;
         }
-        self.holders.release(slot.holder);
-        slots.remove(&due.flow);
+        self.holders.release(pin.holder);
+        pins.remove(&timer.flow);
         self.len -= 1;
     }
 
-    fn list(&mut self, bucket: u64, due: Due) {
-        if self.listed >= self.settings.capacity.max(1) * DUE_FACTOR {
-            self.compact();
+    fn schedule(&mut self, bucket: u64, timer: Timer) {
+        if self.timer_count >= self.settings.capacity.max(1) * MAX_TIMERS_PER_PIN {
+            self.compact_timers();
         }
-        self.due.entry(bucket).or_default().push(due);
-        self.listed += 1;
+        self.timers.entry(bucket).or_default().push(timer);
+        self.timer_count += 1;
     }
 
-    /// Drops the listed flows that were unpinned since.
-    fn compact(&mut self) {
+    /// Removes the timers of flows that were unpinned, and duplicate timers.
+    fn compact_timers(&mut self) {
         let groups = &self.groups;
-        self.listed = 0;
-        for (&bucket, flows) in &mut self.due {
-            flows.retain(|due| {
-                let slot = groups[due.group as usize].slots.get(&due.flow);
-                slot.is_some_and(|slot| slot.listed == wrapped(bucket))
+        self.timer_count = 0;
+        for (&bucket, timers) in &mut self.timers {
+            timers.retain(|timer| {
+                let pin = groups[timer.group as usize].pins.get(&timer.flow);
+                pin.is_some_and(|pin| pin.scheduled == wrap(bucket))
             });
-            flows.sort_unstable_by_key(|due| (due.group, due.flow));
-            flows.dedup_by_key(|due| (due.group, due.flow));
-            flows.shrink_to_fit();
-            self.listed += flows.len();
+            timers.sort_unstable_by_key(|timer| (timer.group, timer.flow));
+            timers.dedup_by_key(|timer| (timer.group, timer.flow));
+            timers.shrink_to_fit();
+            self.timer_count += timers.len();
         }
     }
 
     fn bucket(&self, time: Duration) -> u64 {
-        let bucket = time.as_nanos() / self.width();
+        let bucket = time.as_nanos() / self.bucket_nanos();
         u64::try_from(bucket).unwrap_or(u64::MAX)
     }
 
-    /// Nanoseconds of a bucket.
-    fn width(&self) -> u128 {
-        (self.settings.lifetime / BUCKETS).as_nanos().max(1)
+    /// Returns the duration of a bucket in nanoseconds.
+    fn bucket_nanos(&self) -> u128 {
+        (self.settings.lifetime / BUCKETS_PER_LIFETIME)
+            .as_nanos()
+            .max(1)
     }
 }
 
-/// Whether the first token is an older incarnation of the second's target.
+/// Returns whether `token` is an older incarnation of the target of `pinned`.
 fn is_older(token: Token, pinned: Token) -> bool {
     token.target == pinned.target && token.incarnation < pinned.incarnation
 }
 
-fn wrapped(bucket: u64) -> Bucket {
+fn wrap(bucket: u64) -> Bucket {
     let [low, high, ..] = bucket.to_le_bytes();
     Bucket::from_le_bytes([low, high])
 }
--- a/coordination/route/src/place.rs
+++ b/coordination/route/src/place.rs
@@ -1,10 +1,11 @@
-//! Ranks backend servers for a new flow by when it would be answered there.
+//! Ranks backend servers for a new flow by their expected time to answer.
 //!
-//! Answers the load of flows that are carried unread, whose placement cannot be
-//! changed later: idle and fast backend servers of the own availability zone
-//! come first, and others as soon as the wait here exceeds the way there. What
-//! is known of a backend server is its load when it last took a flow; the agents
-//! beside them know better, and pass on what does not fit.
+//! Used for flows that are carried without parsing their requests, which cannot
+//! be moved after placement. Idle and fast backend servers of the own
+//! availability zone rank first; a backend server of another zone ranks before
+//! them once the wait in the own zone exceeds the cost of crossing zones. A
+//! backend server's load is known as of the last flow that it accepted. Its
+//! agent has current figures, and forwards flows that exceed its capacity.
 use std::collections::HashMap;
 use std::time::Duration;
 
@@ -16,21 +17,21 @@
 /// Limits of a [`Place`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// What a flow to another availability zone costs, as a wait: the round
-    /// trips of its opening, request and answer, and its bytes.
-    pub crossing: Duration,
-    /// Service time assumed of a backend server that has not told its own.
+    /// Cost of sending a flow to another availability zone, expressed as a wait:
+    /// the round trips for its open, request and answer, and its traffic.
+    pub cross_zone_cost: Duration,
+    /// Service time assumed for a backend server that has not reported its load.
     pub service_time: Duration,
-    /// Largest random time that is added to each expectation.
+    /// Maximum random time that is added to each expected time to answer.
     pub spread: Duration,
-    /// Time for which a backend server that did not answer is ranked last.
+    /// Time for which a backend server that did not answer ranks last.
     pub distrust: Duration,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            crossing: Duration::from_millis(12),
+            cross_zone_cost: Duration::from_millis(12),
             service_time: Duration::from_millis(20),
             spread: Duration::from_millis(10),
             distrust: Duration::from_secs(2),
@@ -43,61 +44,64 @@
 pub struct Place {
     settings: Settings,
     zone: ZoneId,
-    seen: HashMap<TargetId, Seen>,
+    observations: HashMap<TargetId, Observation>,
     random: fastrand::Rng,
 }
 
-/// What is known of the load of one backend server.
+/// The last known load of one backend server.
 #[derive(Clone, Copy, Debug, Default)]
-struct Seen {
+struct Observation {
     load: Option<Load>,
-    at: Duration,
-    /// Flows sent there since it told its load.
+    updated: Duration,
+    /// Number of flows sent to the backend server since it reported its load.
     sent: u16,
-    distrusted_until: Duration,
+    unresponsive_until: Duration,
 }
 
 impl Place {
-    /// Ranks for an entry in `zone`; the seed decides between equals.
+    /// Creates a ranking for an entry in `zone`; the seed drives the random part
+    /// of each cost.
     #[must_use]
     pub fn new(settings: Settings, zone: ZoneId, seed: u64) -> Self {
         Self {
             settings,
             zone,
-            seen: HashMap::new(),
+            observations: HashMap::new(),
             random: fastrand::Rng::with_seed(seed),
         }
     }
 
-    /// Takes the load that a backend server has told.
+    /// Records the load that a backend server reported.
     pub fn learn(&mut self, now: Duration, target: TargetId, load: Load) {
-        let seen = self.seen.entry(target).or_default();
-        *seen = Seen {
+        let observation = self.observations.entry(target).or_default();
+        *observation = Observation {
             load: Some(load),
-            at: now,
+            updated: now,
             sent: 0,
-            distrusted_until: Duration::ZERO,
+            unresponsive_until: Duration::ZERO,
         };
     }
 
-    /// Notes that a new flow was sent to a backend server.
+    /// Records that a new flow was sent to a backend server.
     pub fn sent(&mut self, target: TargetId) {
-        let seen = self.seen.entry(target).or_default();
-        seen.sent = seen.sent.saturating_add(1);
+        let observation = self.observations.entry(target).or_default();
+        observation.sent = observation.sent.saturating_add(1);
     }
 
-    /// Notes that a backend server, or its agent, did not answer.
+    /// Records that a backend server, or its agent, did not answer, which makes it
+    /// rank last for [`Settings::distrust`].
     pub fn distrust(&mut self, now: Duration, target: TargetId) {
-        let seen = self.seen.entry(target).or_default();
-        seen.distrusted_until = now + self.settings.distrust;
+        let observation = self.observations.entry(target).or_default();
+        observation.unresponsive_until = now + self.settings.distrust;
     }
 
-    /// Forgets the backend servers that `keep` does not name.
+    /// Removes the backend servers for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(TargetId) -> bool) {
-        self.seen.retain(|target, _| keep(*target));
+        self.observations.retain(|target, _| keep(*target));
     }
 
-    /// The best `count` of the given backend servers for a new flow.
+    /// Returns the `count` best of the given backend servers for a new flow, best
+    /// first.
     pub fn rank<'a>(
         &mut self,
         now: Duration,
@@ -106,45 +110,52 @@
     ) -> Vec<&'a Target> {
         let mut ranked: Vec<(bool, Duration, &Target)> = targets
             .map(|target| {
-                let (is_distrusted, cost) = self.cost(now, target);
-                // Entries that know the same do not all choose the same.
+                let (is_unresponsive, cost) = self.cost(now, target);
+                // Without the random part, all entries with the same information
+                // would choose the same backend server.
                 let spread = self.settings.spread.mul_f64(self.random.f64());
-                (is_distrusted, cost + spread, target)
+                (is_unresponsive, cost + spread, target)
             })
             .collect();
-        ranked.sort_unstable_by_key(|(is_distrusted, cost, _)| (*is_distrusted, *cost));
+        ranked.sort_unstable_by_key(|(is_unresponsive, cost, _)| (*is_unresponsive, *cost));
         ranked.truncate(count);
         ranked.into_iter().map(|(.., target)| target).collect()
     }
 
-    /// Whether a backend server is distrusted, and its expected time to answer.
+    /// Returns whether a backend server recently did not answer, and its expected
+    /// time to answer.
     fn cost(&self, now: Duration, target: &Target) -> (bool, Duration) {
-        let seen = self.seen.get(&target.id).copied().unwrap_or_default();
-        let mut load = seen.load.unwrap_or(Load {
+        let observation = self
+            .observations
+            .get(&target.id)
+            .copied()
+            .unwrap_or_default();
+        let mut load = observation.load.unwrap_or(Load {
             slots: target.slots,
-            service_us: micros(self.settings.service_time),
+            service_us: to_micros(self.settings.service_time),
             ..Load::default()
         });
-        let age = now.saturating_sub(seen.at);
-        let left = load.running.saturating_sub(answered(age, &load));
-        load.running = left.saturating_add(seen.sent);
-        let way = if target.zone == self.zone {
+        let age = now.saturating_sub(observation.updated);
+        let running = load.running.saturating_sub(answered_since(age, &load));
+        load.running = running.saturating_add(observation.sent);
+        let zone_cost = if target.zone == self.zone {
             Duration::ZERO
         } else {
-            self.settings.crossing
+            self.settings.cross_zone_cost
         };
-        let cost = load.wait() + load.service_time() + load.held() + load.risk() + way;
-        (now < seen.distrusted_until, cost)
+        let cost = load.wait() + load.service_time() + load.held() + load.risk() + zone_cost;
+        (now < observation.unresponsive_until, cost)
     }
 }
 
-/// Requests that a backend server has answered since it told its load.
-fn answered(age: Duration, load: &Load) -> u16 {
+/// Estimates how many requests a backend server has answered since it reported
+/// its load, `age` ago.
+fn answered_since(age: Duration, load: &Load) -> u16 {
     let service_us = u128::from(load.service_us.max(1));
     let answered = age.as_micros() * u128::from(load.slots.max(1)) / service_us;
     u16::try_from(answered).unwrap_or(u16::MAX)
 }
 
-fn micros(time: Duration) -> u32 {
+fn to_micros(time: Duration) -> u32 {
     u32::try_from(time.as_micros()).unwrap_or(u32::MAX)
 }
--- a/coordination/route/tests/hunt.rs
+++ b/coordination/route/tests/hunt.rs
@@ -1,4 +1,5 @@
-//! Hunting: every open ends after a bounded number of hops, whatever the frame.
+//! Relaying of opens: every open ends after a bounded number of hops, even for
+//! invalid frames.
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -33,7 +34,7 @@
     }
 }
 
-/// Where an open ends and after how many hops.
+/// The position at which an open ends, and the number of hops before that.
 #[derive(Debug, PartialEq, Eq)]
 enum End {
     Taken { position: u8, hops: usize },
@@ -54,9 +55,12 @@
             Step::Refuse => return End::Refused { hops },
             Step::Forward(relay) => relay,
         };
-        assert!(hops <= MAX_HOPS + 1, "the open travels without end");
+        assert!(
+            hops <= MAX_HOPS + 1,
+            "the open was still forwarded after {hops} hops"
+        );
     }
-    unreachable!("the loop returns")
+    unreachable!("the loop ends with an assertion or a return")
 }
 
 const FREE: Bid = Bid {
@@ -91,7 +95,7 @@
     }
 }
 
-/// The bid of an agent that takes no flows.
+/// The bid of an agent that accepts no flows.
 const CLOSED: Bid = Bid {
     free: false,
     wait: Duration::MAX,
@@ -108,44 +112,44 @@
 }
 
 cases::cases! { an_open_ends_at;
-    the_first_that_is_free: &Hunt { bids: [FREE, FREE, FREE], end: End::Taken { position: 0, hops: 0 } },
-    the_last_that_is_free: &Hunt { bids: [busy(1), busy(1), FREE], end: End::Taken { position: 2, hops: 2 } },
-    the_least_wait: &Hunt { bids: [busy(30), busy(10), busy(20)], end: End::Taken { position: 1, hops: 3 } },
-    the_last_with_the_least_wait: &Hunt { bids: [busy(30), busy(20), busy(10)], end: End::Taken { position: 2, hops: 2 } },
-    the_least_load_although_the_first_is_free: &Hunt { bids: [loaded(90), loaded(80), loaded(10)], end: End::Taken { position: 2, hops: 2 } },
-    the_first_that_is_free_without_load: &Hunt { bids: [loaded(90), loaded(0), loaded(0)], end: End::Taken { position: 1, hops: 1 } },
-    the_first_of_equal_loads: &Hunt { bids: [loaded(5), loaded(5), loaded(5)], end: End::Taken { position: 0, hops: 3 } },
-    the_least_sum_of_wait_and_load: &Hunt { bids: [queued(30, 10), queued(5, 20), loaded(60)], end: End::Taken { position: 1, hops: 3 } },
-    the_only_that_takes_flows: &Hunt { bids: [CLOSED, loaded(4_000_000), CLOSED], end: End::Taken { position: 1, hops: 3 } },
-    the_first_of_equal_waits: &Hunt { bids: [busy(10), busy(10), busy(10)], end: End::Taken { position: 0, hops: 3 } },
-}
-
-struct Hostile {
+    an_open_ends_at_the_first_free_agent: &Hunt { bids: [FREE, FREE, FREE], end: End::Taken { position: 0, hops: 0 } },
+    an_open_ends_at_the_last_agent_if_only_it_is_free: &Hunt { bids: [busy(1), busy(1), FREE], end: End::Taken { position: 2, hops: 2 } },
+    an_open_ends_at_the_shortest_wait: &Hunt { bids: [busy(30), busy(10), busy(20)], end: End::Taken { position: 1, hops: 3 } },
+    an_open_ends_at_the_last_agent_if_it_has_the_shortest_wait: &Hunt { bids: [busy(30), busy(20), busy(10)], end: End::Taken { position: 2, hops: 2 } },
+    an_open_ends_at_the_lowest_load_although_the_first_agent_has_a_free_slot: &Hunt { bids: [loaded(90), loaded(80), loaded(10)], end: End::Taken { position: 2, hops: 2 } },
+    an_open_ends_at_the_first_free_agent_without_load: &Hunt { bids: [loaded(90), loaded(0), loaded(0)], end: End::Taken { position: 1, hops: 1 } },
+    an_open_ends_at_the_first_agent_of_equal_loads: &Hunt { bids: [loaded(5), loaded(5), loaded(5)], end: End::Taken { position: 0, hops: 3 } },
+    an_open_ends_at_the_lowest_sum_of_wait_and_load: &Hunt { bids: [queued(30, 10), queued(5, 20), loaded(60)], end: End::Taken { position: 1, hops: 3 } },
+    an_open_ends_at_the_only_agent_that_accepts_flows: &Hunt { bids: [CLOSED, loaded(4_000_000), CLOSED], end: End::Taken { position: 1, hops: 3 } },
+    an_open_ends_at_the_first_agent_of_equal_waits: &Hunt { bids: [busy(10), busy(10), busy(10)], end: End::Taken { position: 0, hops: 3 } },
+}
+
+struct InvalidFrame {
     path: usize,
     position: u8,
     waits: usize,
     settle: bool,
 }
 
-fn a_frame_that_no_agent_sends_is_refused(hostile: &Hostile) {
+fn an_invalid_frame_is_refused(invalid: &InvalidFrame) {
     let relay = Relay {
-        position: hostile.position,
-        waits: vec![1; hostile.waits],
-        settle: hostile.settle,
-        ..relay(hostile.path)
+        position: invalid.position,
+        waits: vec![1; invalid.waits],
+        settle: invalid.settle,
+        ..relay(invalid.path)
     };
     assert_eq!(hunt::step(relay, FREE), Step::Refuse);
 }
 
-cases::cases! { a_frame_that_no_agent_sends_is_refused;
-    an_empty_path: &Hostile { path: 0, position: 0, waits: 0, settle: false },
-    an_empty_path_on_the_last_round: &Hostile { path: 0, position: 0, waits: 0, settle: true },
-    a_position_past_the_path: &Hostile { path: 3, position: 3, waits: 3, settle: false },
-    the_largest_position: &Hostile { path: 3, position: u8::MAX, waits: 3, settle: true },
-    too_many_waits: &Hostile { path: 3, position: 1, waits: 200, settle: false },
-    too_few_waits: &Hostile { path: 3, position: 2, waits: 1, settle: false },
-    too_many_waits_on_the_last_round: &Hostile { path: 3, position: 1, waits: 200, settle: true },
-    a_path_that_is_too_long: &Hostile { path: MAX_HOPS + 1, position: 0, waits: 0, settle: false },
+cases::cases! { an_invalid_frame_is_refused;
+    an_empty_path_is_refused: &InvalidFrame { path: 0, position: 0, waits: 0, settle: false },
+    an_empty_path_of_a_settled_open_is_refused: &InvalidFrame { path: 0, position: 0, waits: 0, settle: true },
+    a_position_past_the_path_is_refused: &InvalidFrame { path: 3, position: 3, waits: 3, settle: false },
+    the_largest_position_is_refused: &InvalidFrame { path: 3, position: u8::MAX, waits: 3, settle: true },
+    too_many_waits_are_refused: &InvalidFrame { path: 3, position: 1, waits: 200, settle: false },
+    too_few_waits_are_refused: &InvalidFrame { path: 3, position: 2, waits: 1, settle: false },
+    too_many_waits_of_a_settled_open_are_refused: &InvalidFrame { path: 3, position: 1, waits: 200, settle: true },
+    a_path_that_is_too_long_is_refused: &InvalidFrame { path: MAX_HOPS + 1, position: 0, waits: 0, settle: false },
 }
 
 fn bid() -> impl Strategy<Value = Bid> {
@@ -168,9 +172,10 @@
 }
 
 proptest! {
-    /// An open ends at the first free agent, else at the least wait.
+    /// An open without load ends at the first agent with a free slot, otherwise
+    /// at the agent with the shortest wait.
     #[test]
-    fn an_open_ends_where_the_bids_say(bids in vec(bid(), 1..=MAX_HOPS)) {
+    fn an_open_ends_at_the_first_free_agent_or_the_shortest_wait(bids in vec(bid(), 1..=MAX_HOPS)) {
         let first_free = bids.iter().position(|bid| bid.free);
         let least = bids.iter().enumerate().min_by_key(|(_, bid)| bid.wait).map(|(index, _)| index);
         let expected = first_free.or(least).map(|index| u8::try_from(index).unwrap());
@@ -179,13 +184,14 @@
                 prop_assert_eq!(Some(position), expected);
                 prop_assert!(hops <= bids.len());
             }
-            End::Refused { .. } => prop_assert!(false, "a sound frame is taken"),
+            End::Refused { .. } => prop_assert!(false, "a valid frame is accepted"),
         }
     }
 
-    /// An open of loaded agents visits its whole path and ends at the least bid.
+    /// An open along loaded agents visits its whole path and ends at the agent
+    /// with the lowest bid.
     #[test]
-    fn an_open_of_loaded_agents_ends_at_the_least_bid(bids in vec(loaded_bid(), 1..=MAX_HOPS)) {
+    fn an_open_along_loaded_agents_ends_at_the_lowest_bid(bids in vec(loaded_bid(), 1..=MAX_HOPS)) {
         let total = |bid: &Bid| bid.wait + bid.load;
         let least = bids.iter().enumerate().min_by_key(|(_, bid)| total(bid)).map(|(index, _)| index);
         let least = u8::try_from(least.unwrap()).unwrap();
@@ -194,13 +200,13 @@
                 prop_assert_eq!(position, least);
                 prop_assert!((bids.len() - 1..=bids.len()).contains(&hops));
             }
-            End::Refused { .. } => prop_assert!(false, "a sound frame is taken"),
+            End::Refused { .. } => prop_assert!(false, "a valid frame is accepted"),
         }
     }
 
-    /// A settled open is taken or refused, never forwarded, whatever the bid.
+    /// A settled open is accepted or refused, never forwarded, for any bid.
     #[test]
-    fn a_settled_open_goes_no_further(
+    fn a_settled_open_is_not_forwarded(
         path in 0_usize..20,
         position in any::<u8>(),
         waits in vec(any::<u32>(), 0..20),
@@ -211,9 +217,10 @@
         prop_assert!(matches!(step, Step::Take | Step::Refuse), "{:?}", step);
     }
 
-    /// No frame, however made, travels for ever or grows beyond its path.
+    /// Even an invalid frame is forwarded a bounded number of times, and its list
+    /// of waits does not become longer than its path.
     #[test]
-    fn no_frame_travels_without_end(
+    fn every_frame_is_forwarded_a_bounded_number_of_times(
         path in 0_usize..20,
         position in any::<u8>(),
         waits in vec(any::<u32>(), 0..20),
--- a/coordination/route/tests/order.rs
+++ b/coordination/route/tests/order.rs
@@ -1,4 +1,5 @@
-//! The order of targets: stable, proportional, the same everywhere.
+//! The order of targets is stable, proportional to the weights, and the same on
+//! every platform.
 use std::collections::HashMap;
 use std::collections::HashSet;
 
@@ -44,8 +45,9 @@
     targets.map(|target| target.id).collect()
 }
 
-/// The share of each target lies within five standard deviations of its share
-/// of the weights, and 0.1% for the logarithm's table.
+/// The number of flows of each target lies within five standard deviations of the
+/// number expected from its weight, plus 0.1% for the error of the logarithm's
+/// table.
 fn shares_follow_the_weights(count: u64) {
     let targets = targets(count, |index| 50 + u32::try_from(index % 4).unwrap() * 50);
     let total: f64 = targets.iter().map(|target| f64::from(target.weight)).sum();
@@ -62,7 +64,7 @@
         let count = counts.get(&target.id).copied().unwrap_or_default();
         assert!(
             (count - expected).abs() <= bound,
-            "{count} flows, {expected} expected, off by more than {bound}"
+            "{count} flows, expected {expected}; the difference exceeds {bound}"
         );
     }
 }
@@ -75,9 +77,9 @@
     shares_of_a_thousand_targets: 1000,
 }
 
-/// A target that leaves moves its own flows and at most as many others again
-/// for each level of the tree.
-fn few_flows_move_when_a_target_leaves(count: u64) {
+/// Removing a target moves its own flows, and for each further level of the tree
+/// at most as many other flows.
+fn few_flows_move_when_a_target_is_removed(count: u64) {
     let mut targets = targets(count, |_| 100);
     let before = homes(&Order::new(&targets));
     let left = targets.swap_remove(targets.len() / 2).id;
@@ -86,31 +88,37 @@
     let moved = before.iter().zip(&after).filter(|(a, b)| a != b).count();
     let levels = if count > 64 { 3 } else { 2 };
     assert!(moved >= own);
-    assert!(moved <= own * levels + 30, "{moved} moved, {own} had to");
+    assert!(
+        moved <= own * levels + 30,
+        "{moved} flows moved, {own} of the removed target"
+    );
 }
 
-cases::cases! { few_flows_move_when_a_target_leaves;
-    one_of_two_leaves: 2,
-    one_of_seven_leaves: 7,
-    one_of_a_hundred_leaves: 100,
-    one_of_a_thousand_leaves: 1000,
+cases::cases! { few_flows_move_when_a_target_is_removed;
+    one_of_two_is_removed: 2,
+    one_of_seven_is_removed: 7,
+    one_of_a_hundred_is_removed: 100,
+    one_of_a_thousand_is_removed: 1000,
 }
 
 #[test]
-fn few_flows_move_when_a_weight_takes_a_step() {
+fn few_flows_move_when_a_weight_changes_by_one_step() {
     let mut targets = targets(7, |_| 100);
     let before = homes(&Order::new(&targets));
     targets[3].weight = 119;
     let after = homes(&Order::new(&targets));
     let moved = before.iter().zip(&after).filter(|(a, b)| a != b).count();
     // The target's share grows from 1/7 to 119/719: 2.3% of the flows.
-    assert!((300..=900).contains(&moved), "{moved} of {FLOWS} moved");
+    assert!(
+        (300..=900).contains(&moved),
+        "{moved} of {FLOWS} flows moved"
+    );
 }
 
-/// The order must not change between versions or platforms: processes of two
-/// versions work side by side during an upgrade.
+/// Guards against a change of the order between versions or platforms: during an
+/// upgrade, processes of two versions must send a flow to the same target.
 #[test]
-fn the_order_is_pinned() {
+fn the_order_is_the_same_in_all_versions() {
     let order = Order::new(&targets(1000, |index| {
         1 + u32::try_from(index % 7).unwrap()
     }));
@@ -120,13 +128,13 @@
             digest = route::hash::mix(digest, target.id);
         }
     }
-    assert_eq!(digest, PINNED_DIGEST);
+    assert_eq!(digest, EXPECTED_DIGEST);
 }
 
-const PINNED_DIGEST: u64 = 17_962_426_299_438_824_761;
+const EXPECTED_DIGEST: u64 = 17_962_426_299_438_824_761;
 
 #[test]
-fn the_logarithm_is_close_to_the_exact_one() {
+fn the_logarithm_has_a_small_relative_error() {
     #[allow(clippy::cast_precision_loss)]
     let float = |value: u64| value as f64;
     for index in 1..100_000_u64 {
@@ -135,7 +143,7 @@
         let fixed = float(neg_log2(hash)) / float(1 << FRACTION_BITS);
         assert!(
             (fixed - exact).abs() <= exact * 5e-4 + 1e-9,
-            "{hash}: {fixed} for {exact}"
+            "hash {hash}: got {fixed}, expected {exact}"
         );
     }
 }
@@ -151,10 +159,10 @@
 }
 
 cases::cases! { the_logarithm_is_exact;
-    of_zero_as_of_one: Point { hash: 0, log: 64 << FRACTION_BITS },
-    of_the_smallest: Point { hash: 1, log: 64 << FRACTION_BITS },
-    of_a_half: Point { hash: 1 << 63, log: 1 << FRACTION_BITS },
-    of_a_quarter: Point { hash: 1 << 62, log: 2 << FRACTION_BITS },
+    the_logarithm_of_zero_is_that_of_one: Point { hash: 0, log: 64 << FRACTION_BITS },
+    the_logarithm_of_the_smallest_hash_is_exact: Point { hash: 1, log: 64 << FRACTION_BITS },
+    the_logarithm_of_one_half_is_exact: Point { hash: 1 << 63, log: 1 << FRACTION_BITS },
+    the_logarithm_of_one_quarter_is_exact: Point { hash: 1 << 62, log: 2 << FRACTION_BITS },
 }
 
 fn weights() -> impl Strategy<Value = HashMap<TargetId, u32>> {
@@ -169,8 +177,8 @@
 }
 
 proptest! {
-    /// Each target comes once, whatever the sequence in which the targets were
-    /// learned.
+    /// The order contains each target once and does not depend on the sequence of
+    /// the targets passed in.
     #[test]
     fn the_order_is_a_permutation(weights in weights(), key in any::<u64>()) {
         let mut targets = build(&weights);
@@ -179,23 +187,24 @@
         prop_assert_eq!(order.iter().copied().collect::<HashSet<_>>().len(), targets.len());
         targets.reverse();
         prop_assert_eq!(&ids(Order::new(&targets).top(key, usize::MAX)), &order);
-        let again = Order::new(&targets);
+        let reversed = Order::new(&targets);
         for target in &targets {
-            prop_assert_eq!(again.target(target.id), Some(target));
+            prop_assert_eq!(reversed.target(target.id), Some(target));
         }
-        prop_assert_eq!(again.home(key).map(|home| home.id), Some(order[0]));
+        prop_assert_eq!(reversed.home(key).map(|home| home.id), Some(order[0]));
     }
 
-    /// Without its first target, the order is what is left.
+    /// Removing the first target of an order leaves the rest of the order
+    /// unchanged.
     #[test]
-    fn flows_of_a_target_that_leaves_go_to_the_second(weights in weights(), key in any::<u64>()) {
+    fn flows_of_a_removed_target_go_to_its_second_target(weights in weights(), key in any::<u64>()) {
         let targets = build(&weights);
         let order = ids(Order::new(&targets).top(key, usize::MAX));
         let rest: Vec<Target> = targets.into_iter().filter(|target| target.id != order[0]).collect();
         prop_assert_eq!(&ids(Order::new(&rest).top(key, usize::MAX)), &order[1..]);
     }
 
-    /// Only targets that take new flows are open, in the order of all.
+    /// Only targets that accept new flows are open, in the order of all targets.
     #[test]
     fn closed_and_draining_targets_are_not_open(
         weights in weights(),
@@ -203,27 +212,27 @@
         modulus in 2_u64..5,
     ) {
         let mut targets = build(&weights);
-        let drains = |id: TargetId| id.is_multiple_of(modulus);
-        let held = |id: TargetId| id % modulus == 1;
+        let is_draining = |id: TargetId| id.is_multiple_of(modulus);
+        let is_closed = |id: TargetId| id % modulus == 1;
         for target in &mut targets {
-            if drains(target.id) {
+            if is_draining(target.id) {
                 target.state = State::Draining;
             }
         }
-        let closed: Vec<TargetId> = weights.keys().copied().filter(|&id| held(id)).collect();
+        let closed: Vec<TargetId> = weights.keys().copied().filter(|&id| is_closed(id)).collect();
         let order = Order::new(&targets).close(closed);
         let open = ids(order.open(key, usize::MAX));
-        prop_assert!(!open.iter().any(|&id| drains(id) || held(id)));
-        targets.retain(|target| !drains(target.id) && !held(target.id));
+        prop_assert!(!open.iter().any(|&id| is_draining(id) || is_closed(id)));
+        targets.retain(|target| !is_draining(target.id) && !is_closed(target.id));
         prop_assert_eq!(open, ids(Order::new(&targets).top(key, usize::MAX)));
         prop_assert_eq!(order.top(key, usize::MAX).count(), weights.len());
     }
 
-    /// A flow moves to a target whose weight grows, or stays within the nodes
-    /// of the tree that the target hangs in; with a node for each target, it
-    /// moves nowhere else.
+    /// When a target's weight grows, a flow either stays or moves to that target, as
+    /// long as no two targets share a node below the root. In general, a flow may
+    /// also move between other targets below a node that contains the target.
     #[test]
-    fn a_growing_weight_only_attracts(step in 1_u32..500, key in any::<u64>()) {
+    fn a_growing_weight_moves_flows_only_to_its_target(step in 1_u32..500, key in any::<u64>()) {
         let mut targets = targets(7, |_| 100);
         let before = Order::new(&targets);
         targets[2].weight += step;
--- a/coordination/route/tests/pin.rs
+++ b/coordination/route/tests/pin.rs
@@ -1,4 +1,4 @@
-//! The table of pins: bounded, renewed, expired by buckets.
+//! The pin table is bounded, renews pins, and expires them in buckets.
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_full_table_renews_but_takes_no_more() {
+fn a_full_table_renews_pins_but_adds_none() {
     let mut table = Table::new(SETTINGS);
     let now = Duration::ZERO;
     for flow in 0..50 {
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn services_are_kept_apart() {
+fn pins_of_different_services_are_separate() {
     let mut table = Table::new(SETTINGS);
     table.pin(Duration::ZERO, service(1), 1, holder(1, 1));
     assert_eq!(table.get(service(2), 1), None);
@@ -76,14 +76,14 @@
 }
 
 #[test]
-fn a_pin_takes_less_than_sixty_four_bytes() {
+fn a_pin_uses_less_than_sixty_four_bytes() {
     let mut table = Table::new(Settings::default());
     for flow in 0..500_000 {
         let now = Duration::from_micros(flow);
         table.pin(now, service(1), flow, holder(flow % 1000, 1));
     }
     let bytes = table.bytes() / table.len();
-    assert!(bytes < 64, "{bytes} bytes a pin");
+    assert!(bytes < 64, "{bytes} bytes per pin");
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -108,20 +108,20 @@
 }
 
 #[derive(Clone, Copy)]
-struct Kept {
+struct Expected {
     holder: Holder,
     renewed: Duration,
 }
 
 proptest! {
-    /// Against a plain map: a pin lasts its lifetime after the last renewal,
-    /// and no longer than a bucket more.
+    /// Compares the table with a plain map: a pin lasts for its lifetime after the
+    /// last renewal, and at most one bucket longer.
     #[test]
-    fn pins_last_their_lifetime(
+    fn pins_expire_at_the_end_of_their_lifetime(
         events in vec((event(), 1_u8..3, 0_u64..40, 0_u64..4000), 1..400),
     ) {
         let mut table = Table::new(SETTINGS);
-        let mut model: HashMap<Key, Kept> = HashMap::new();
+        let mut model: HashMap<Key, Expected> = HashMap::new();
         let mut now = Duration::ZERO;
         let width = SETTINGS.lifetime / 16;
         for (event, index, flow, pause) in events {
@@ -132,7 +132,7 @@
                 Event::Pin { target } => {
                     let holder = holder(target, 1);
                     if table.pin(now, service, flow, holder) == Outcome::Kept {
-                        model.insert(key, Kept { holder, renewed: now });
+                        model.insert(key, Expected { holder, renewed: now });
                     }
                 }
                 Event::Unpin { target } => {
@@ -143,9 +143,9 @@
                 Event::Expire => {
                     table.expire(now);
                     prop_assert!(table.next_deadline().is_none_or(|deadline| deadline > now));
-                    model.retain(|key, kept| {
+                    model.retain(|key, expected| {
                         let live = table.get(key.service, key.flow).is_some();
-                        let age = now.saturating_sub(kept.renewed);
+                        let age = now.saturating_sub(expected.renewed);
                         assert!(live || age >= SETTINGS.lifetime);
                         assert!(!live || age <= SETTINGS.lifetime + width);
                         live
@@ -154,8 +154,8 @@
             }
             prop_assert_eq!(table.len(), model.len());
             prop_assert!(table.len() <= SETTINGS.capacity);
-            for (key, kept) in &model {
-                prop_assert_eq!(table.get(key.service, key.flow), Some(kept.holder));
+            for (key, expected) in &model {
+                prop_assert_eq!(table.get(key.service, key.flow), Some(expected.holder));
             }
         }
         table.expire(now + SETTINGS.lifetime * 2);
--- a/coordination/route/tests/place.rs
+++ b/coordination/route/tests/place.rs
@@ -1,4 +1,4 @@
-//! Placement of flows that cannot be moved later, as its load asks for it.
+//! Ranking of backend servers for new flows that cannot be moved later.
 use std::time::Duration;
 
 use route::Place;
@@ -9,8 +9,8 @@
 use wire::target::State;
 use wire::transit::Load;
 
-const HERE: ZoneId = 1;
-const THERE: ZoneId = 2;
+const OWN_ZONE: ZoneId = 1;
+const OTHER_ZONE: ZoneId = 2;
 
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -47,7 +47,7 @@
         spread: Duration::ZERO,
         ..Settings::default()
     };
-    Place::new(settings, HERE, 1)
+    Place::new(settings, OWN_ZONE, 1)
 }
 
 fn first(place: &mut Place, now: Duration, targets: &[Target]) -> TargetId {
@@ -55,14 +55,14 @@
 }
 
 #[test]
-fn the_own_zone_comes_first() {
-    let targets = [target(1, THERE), target(2, HERE)];
+fn the_own_zone_ranks_first() {
+    let targets = [target(1, OTHER_ZONE), target(2, OWN_ZONE)];
     assert_eq!(first(&mut place(), ms(0), &targets), 2);
 }
 
 #[test]
-fn a_wait_here_longer_than_the_way_sends_flows_there() {
-    let targets = [target(1, THERE), target(2, HERE)];
+fn a_wait_above_the_cross_zone_cost_sends_flows_to_another_zone() {
+    let targets = [target(1, OTHER_ZONE), target(2, OWN_ZONE)];
     let mut place = place();
     place.learn(ms(0), 1, load(0, 20));
     place.learn(ms(0), 2, load(6, 20));
@@ -70,8 +70,8 @@
 }
 
 #[test]
-fn a_faster_server_comes_first() {
-    let targets = [target(1, HERE), target(2, HERE)];
+fn a_faster_server_ranks_first() {
+    let targets = [target(1, OWN_ZONE), target(2, OWN_ZONE)];
     let mut place = place();
     place.learn(ms(0), 1, load(0, 30));
     place.learn(ms(0), 2, load(0, 10));
@@ -79,8 +79,8 @@
 }
 
 #[test]
-fn what_was_sent_counts_until_the_load_is_told() {
-    let targets = [target(1, HERE), target(2, HERE)];
+fn flows_sent_since_the_last_reported_load_count() {
+    let targets = [target(1, OWN_ZONE), target(2, OWN_ZONE)];
     let mut place = place();
     place.learn(ms(0), 1, load(0, 20));
     place.learn(ms(0), 2, load(1, 20));
@@ -91,8 +91,8 @@
 }
 
 #[test]
-fn a_queue_that_was_told_long_ago_is_taken_to_be_served() {
-    let targets = [target(1, HERE), target(2, HERE)];
+fn an_old_reported_queue_counts_as_served() {
+    let targets = [target(1, OWN_ZONE), target(2, OWN_ZONE)];
     let mut place = place();
     place.learn(ms(0), 1, load(8, 10));
     place.learn(ms(0), 2, load(0, 15));
@@ -101,8 +101,8 @@
 }
 
 #[test]
-fn a_server_that_did_not_answer_comes_last_for_a_while() {
-    let targets = [target(1, HERE), target(2, THERE)];
+fn an_unresponsive_server_ranks_last_for_the_distrust_time() {
+    let targets = [target(1, OWN_ZONE), target(2, OTHER_ZONE)];
     let mut place = place();
     place.distrust(ms(0), 1);
     assert_eq!(first(&mut place, ms(1), &targets), 2);
@@ -112,13 +112,13 @@
     );
 }
 
-/// Several entries that know the same spread their flows.
+/// Entries with the same information must not all choose the same server.
 #[test]
-fn equals_share_the_flows() {
-    let targets: Vec<Target> = (1..=4).map(|id| target(id, HERE)).collect();
+fn entries_with_equal_information_spread_their_flows() {
+    let targets: Vec<Target> = (1..=4).map(|id| target(id, OWN_ZONE)).collect();
     let mut counts = [0; 4];
     for seed in 0..400 {
-        let mut place = Place::new(Settings::default(), HERE, seed);
+        let mut place = Place::new(Settings::default(), OWN_ZONE, seed);
         let index = usize::try_from(first(&mut place, ms(0), &targets) - 1).unwrap();
         counts[index] += 1;
     }
