--- a/state/flow/src/answer.rs
+++ b/state/flow/src/answer.rs
@@ -1,15 +1,17 @@
-//! Cuts an answer into chunks that the caller can ask for again.
+//! Splits an answer into chunks that the caller can request individually and
+//! repeatedly.
 use bytes::Bytes;
 use wire::RequestId;
 use wire::caller::Chunk;
 
-/// Largest payload of a chunk, in bytes; fits a datagram on common links.
+/// Maximum payload of a chunk, in bytes; a chunk fits into one datagram on common
+/// links.
 pub const CHUNK_BYTES: usize = 1_200;
 
-/// Largest answer, in bytes.
+/// Maximum size of an answer, in bytes.
 pub const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
 
-/// The whole answer to a request.
+/// The complete answer to a request.
 ///
 /// ```
 /// let answer = flow::Answer::new(vec![7; 1_201].into()).unwrap();
@@ -21,27 +23,28 @@
 pub struct Answer(Bytes);
 
 impl Answer {
-    /// Keeps an answer, or returns `None` where it is larger than
+    /// Wraps an answer, or returns `None` if it is larger than
     /// [`MAX_ANSWER_BYTES`].
     #[must_use]
     pub fn new(bytes: Bytes) -> Option<Self> {
         (bytes.len() <= MAX_ANSWER_BYTES).then_some(Self(bytes))
     }
 
-    /// The answer's bytes.
+    /// Returns the answer's bytes.
     #[must_use]
     pub const fn bytes(&self) -> &Bytes {
         &self.0
     }
 
-    /// Number of chunks; at least 1.
+    /// Returns the number of chunks, at least 1.
     #[must_use]
     pub fn count(&self) -> u32 {
         let count = self.0.len().div_ceil(CHUNK_BYTES).max(1);
         u32::try_from(count).unwrap_or(u32::MAX)
     }
 
-    /// One chunk of the answer to `request`, or `None` past the end.
+    /// Returns one chunk of the answer to `request`, or `None` if `index` is past
+    /// the end.
     #[must_use]
     pub fn chunk(&self, request: RequestId, index: u32) -> Option<Chunk> {
         let count = self.count();
@@ -58,7 +61,7 @@
         })
     }
 
-    /// All chunks of the answer to `request`.
+    /// Returns all chunks of the answer to `request`, in order.
     pub fn chunks(&self, request: RequestId) -> impl Iterator<Item = Chunk> {
         (0..self.count()).filter_map(move |index| self.chunk(request, index))
     }
--- a/state/flow/src/ledger.rs
+++ b/state/flow/src/ledger.rs
@@ -1,10 +1,12 @@
-//! Records each request before it runs, so that none runs twice.
+//! Records each request before it runs, so that no non-idempotent request runs
+//! twice.
 //!
-//! A record outlives its request's deadline by the time that a late copy may
-//! take. After that a non-idempotent request is still known by its id
-//! ([`Seen`]) for as long as its flow is held. At the memory limit, answers go
-//! first, then the ids; tombstones of requests that were refused as "not run"
-//! stay until their time has passed, and new requests are refused instead.
+//! A record is kept after its request's deadline for as long as a duplicate
+//! packet may still arrive. After that, the id of a non-idempotent request is
+//! kept ([`Seen`]) for as long as its flow is held. At the memory limit, answers
+//! are evicted first, then ids are folded into their flow's floor. Tombstones of
+//! requests that were refused as "not run" are never evicted before they expire;
+//! new requests are refused instead.
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 use std::collections::BinaryHeap;
@@ -19,15 +21,16 @@
 use crate::record::Record;
 use crate::record::Refusal;
 use crate::record::State;
-use crate::seeded::Seeded;
+use crate::seeded::SeededState;
 use crate::seen::Seen;
 
 /// Limits of a [`Ledger`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Memory for records, answers and ids, in bytes.
+    /// Maximum memory for records, answers and ids, in bytes.
     pub max_bytes: usize,
-    /// Time after its deadline that a copy of a request may still arrive.
+    /// Time after a request's deadline during which a duplicate of the request may
+    /// still arrive.
     pub late_copy: Duration,
 }
 
@@ -40,46 +43,47 @@
     }
 }
 
-/// What a request is to the ledger.
+/// Result of admitting a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It was never here; it is recorded now.
+    /// The request was unknown and has been recorded.
     New,
-    /// It is queued or running.
+    /// The request is already recorded and has no final state yet.
     Pending,
-    /// It has this final state.
+    /// The request has this final state.
     Final(State),
-    /// It may have been here before; its record is gone.
+    /// The request may have been admitted before; its record has expired.
     Forgotten,
-    /// The ledger is at its limit; nothing is recorded.
+    /// The ledger is at its memory limit; the request was not recorded.
     Full,
 }
 
-/// Memory that a record takes in the map and in the expiry heap, in bytes.
+/// Memory that a record uses in the map and in the expiry heap, in bytes.
 pub const RECORD_BYTES: usize =
-    size_of::<Key>() + size_of::<Kept>() + size_of::<Reverse<Expiry>>() + 1;
+    size_of::<Key>() + size_of::<Stored>() + size_of::<Reverse<Expiry>>() + 1;
 
-/// Memory that an answer takes beside its bytes.
+/// Memory that an answer uses in addition to its payload, in bytes.
 const ANSWER_BYTES: usize = size_of::<u64>() + size_of::<Key>();
 
-/// Memory that a flow's ids take beside [`Seen::bytes`].
+/// Memory that a flow's ids use in addition to [`Seen::bytes`], in bytes.
 const SEEN_BYTES: usize = 2 * (size_of::<u64>() + size_of::<FlowKey>()) + 1;
 
-/// When a record is forgotten.
+/// The time at which a record is removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Expiry {
-    at: Duration,
+    time: Duration,
     key: Key,
 }
 
-/// A record with its position among the answers, once it has one.
+/// A record and, once it is [`State::Done`], its position in
+/// [`Ledger::answers`].
 #[derive(Debug)]
-struct Kept {
+struct Stored {
     record: Record,
-    answer: u64,
+    answer_position: u64,
 }
 
-/// The ids of a flow with their position among those of all flows.
+/// The ids of a flow and their position in [`Ledger::fold_order`].
 #[derive(Debug)]
 struct Ids {
     seen: Seen,
@@ -103,44 +107,44 @@
 /// assert_eq!(ledger.admit(key, false, deadline), Admission::New);
 /// assert!(ledger.advance(now, key, State::Running));
 ///
-/// // A repeat waits, and the request cannot run again.
+/// // A repeated request waits for the first one and cannot run again.
 /// assert_eq!(ledger.admit(key, false, deadline), Admission::Pending);
 /// assert!(!ledger.advance(now, key, State::Running));
 /// ```
 #[derive(Debug)]
 pub struct Ledger {
     settings: Settings,
-    records: HashMap<Key, Kept, Seeded>,
+    records: HashMap<Key, Stored, SeededState>,
     expiries: BinaryHeap<Reverse<Expiry>>,
-    /// The answers kept, the oldest first.
+    /// Requests whose answers are stored, oldest first.
     answers: BTreeMap<u64, Key>,
-    seen: HashMap<FlowKey, Ids, Seeded>,
-    /// The flows with ids that can be given up, the oldest first.
-    folds: BTreeMap<u64, FlowKey>,
+    seen: HashMap<FlowKey, Ids, SeededState>,
+    /// Flows whose ids can be folded into the floor, least recently changed first.
+    fold_order: BTreeMap<u64, FlowKey>,
     next_position: u64,
     answer_bytes: usize,
     seen_bytes: usize,
 }
 
 impl Ledger {
-    /// Creates an empty ledger; the seed keeps callers from choosing keys that
-    /// collide.
+    /// Creates an empty ledger. The seed makes the hashes unpredictable to
+    /// callers, so that they cannot choose keys that collide.
     #[must_use]
     pub fn new(settings: Settings, seed: u64) -> Self {
         Self {
             settings,
-            records: HashMap::with_hasher(Seeded(seed)),
+            records: HashMap::with_hasher(SeededState(seed)),
             expiries: BinaryHeap::new(),
             answers: BTreeMap::new(),
-            seen: HashMap::with_hasher(Seeded(seed)),
-            folds: BTreeMap::new(),
+            seen: HashMap::with_hasher(SeededState(seed)),
+            fold_order: BTreeMap::new(),
             next_position: 0,
             answer_bytes: 0,
             seen_bytes: 0,
         }
     }
 
-    /// Records a request that was never here, or tells what is known of it.
+    /// Records an unknown request, or returns the state of a known one.
     pub fn admit(&mut self, key: Key, idempotent: bool, deadline: Duration) -> Admission {
         match self.get(key) {
             Some(state) if state.is_final() => return Admission::Final(state.clone()),
@@ -148,7 +152,7 @@
             None if !idempotent && self.has_seen(key) => return Admission::Forgotten,
             None => {}
         }
-        self.make_room();
+        self.reclaim();
         if self.is_full() {
             return Admission::Full;
         }
@@ -163,8 +167,8 @@
         Admission::New
     }
 
-    /// Adds a record in its final state, such as one that another agent held.
-    /// False where the record is known already or the state is not final.
+    /// Adds a record in its final state, such as one handed over by another agent.
+    /// Returns false if the request is already recorded or the state is not final.
     #[must_use]
     pub fn restore(&mut self, now: Duration, key: Key, mut record: Record) -> bool {
         if self.records.contains_key(&key) || !record.state.is_final() {
@@ -175,101 +179,101 @@
         self.advance(now, key, state)
     }
 
-    /// The state of a request.
+    /// Returns the state of a request.
     #[must_use]
     pub fn get(&self, key: Key) -> Option<&State> {
-        self.records.get(&key).map(|kept| &kept.record.state)
+        self.records.get(&key).map(|stored| &stored.record.state)
     }
 
-    /// Moves a request to its next state; false where the request is unknown
-    /// or the state may not follow, and nothing has changed.
+    /// Moves a request to its next state. Returns false and changes nothing if the
+    /// request is unknown or the transition is not allowed.
     #[must_use]
     pub fn advance(&mut self, now: Duration, key: Key, state: State) -> bool {
-        let Some(kept) = self.records.get_mut(&key) else {
+        let Some(stored) = self.records.get_mut(&key) else {
             return false;
         };
-        let record = &mut kept.record;
+        let record = &mut stored.record;
         if !state.follows(&record.state) {
             return false;
         }
         if state.is_final() {
             record.deadline = record.deadline.max(now);
-            let at = record.deadline + self.settings.late_copy;
-            self.expiries.push(Reverse(Expiry { at, key }));
+            let time = record.deadline + self.settings.late_copy;
+            self.expiries.push(Reverse(Expiry { time, key }));
         }
         if matches!(state, State::Done(_)) {
-            kept.answer = self.next_position;
-            self.answers.insert(kept.answer, key);
+            stored.answer_position = self.next_position;
+            self.answers.insert(stored.answer_position, key);
             self.next_position += 1;
             self.answer_bytes += state.bytes();
         }
         record.state = state;
-        self.trim();
+        self.evict_answers();
         true
     }
 
-    /// Drops the records whose time has passed.
+    /// Removes the records that have expired.
     pub fn expire(&mut self, now: Duration) {
         while self
             .expiries
             .peek()
-            .is_some_and(|Reverse(expiry)| expiry.at <= now)
+            .is_some_and(|Reverse(expiry)| expiry.time <= now)
         {
             if let Some(Reverse(expiry)) = self.expiries.pop() {
-                self.retire(expiry.key);
+                self.remove_expired(expiry.key);
             }
         }
     }
 
-    /// When [`Ledger::expire`] next has work.
+    /// Returns the time at which [`Ledger::expire`] has to be called next.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Duration> {
-        self.expiries.peek().map(|Reverse(expiry)| expiry.at)
+        self.expiries.peek().map(|Reverse(expiry)| expiry.time)
     }
 
-    /// Forgets the ids of a flow that is no longer held.
+    /// Removes the ids of a flow that is no longer held.
     pub fn forget(&mut self, flow: FlowKey) {
         if let Some(ids) = self.seen.remove(&flow) {
-            self.folds.remove(&ids.position);
+            self.fold_order.remove(&ids.position);
             self.seen_bytes -= ids.seen.bytes();
         }
     }
 
-    /// The ids that are remembered of a flow.
+    /// Returns the ids kept for a flow.
     #[must_use]
     pub fn seen(&self, flow: FlowKey) -> Option<&Seen> {
         self.seen.get(&flow).map(|ids| &ids.seen)
     }
 
-    /// Adds ids that another agent remembered.
+    /// Adds ids handed over by another agent.
     pub fn restore_seen(&mut self, flow: FlowKey, seen: &Seen) {
-        self.change_seen(flow, |own| {
+        self.update_seen(flow, |own| {
             let ids: Vec<RequestId> = own.ids().chain(seen.ids()).collect();
             *own = Seen::restore(own.floor().max(seen.floor()), ids);
         });
     }
 
-    /// All records, in no particular order.
+    /// Returns all records, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = Entry<'_>> {
-        self.records.iter().map(|(&key, kept)| Entry {
+        self.records.iter().map(|(&key, stored)| Entry {
             key,
-            record: &kept.record,
+            record: &stored.record,
         })
     }
 
-    /// Number of records.
+    /// Returns the number of records.
     #[must_use]
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether there is no record.
+    /// Returns whether there are no records.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Memory that the ledger holds, in bytes.
+    /// Returns the memory that the ledger uses, in bytes.
     #[must_use]
     pub fn bytes(&self) -> usize {
         self.records.len() * RECORD_BYTES
@@ -280,7 +284,13 @@
     }
 
     fn insert(&mut self, key: Key, record: Record) {
-        self.records.insert(key, Kept { record, answer: 0 });
+        self.records.insert(
+            key,
+            Stored {
+                record,
+                answer_position: 0,
+            },
+        );
     }
 
     fn has_seen(&self, key: Key) -> bool {
@@ -292,38 +302,41 @@
         self.bytes() + RECORD_BYTES > self.settings.max_bytes
     }
 
-    fn make_room(&mut self) {
-        self.trim();
-        while self.is_full() && self.fold() {}
+    /// Evicts answers, then folds ids, until a record fits or nothing is left to
+    /// evict.
+    fn reclaim(&mut self) {
+        self.evict_answers();
+        while self.is_full() && self.fold_oldest() {}
     }
 
-    /// Evicts answers, the oldest first, while the ledger is over its limit.
-    fn trim(&mut self) {
+    /// Evicts answers, oldest first, while the ledger has no room for a record.
+    fn evict_answers(&mut self) {
         while self.is_full() {
             let Some((_, key)) = self.answers.pop_first() else {
                 return;
             };
-            self.evict(key);
+            self.evict_answer(key);
         }
     }
 
-    /// Gives up one answer. The request has become unknown: if an idempotent
-    /// one ran again, a refusal of the second run as "not run" would be false.
-    fn evict(&mut self, key: Key) {
-        let Some(kept) = self.records.get_mut(&key) else {
+    /// Drops the answer of one request and moves the request to
+    /// [`State::Unknown`]. The request must not become new again: an idempotent one
+    /// could then be refused as "not run" although it has already run.
+    fn evict_answer(&mut self, key: Key) {
+        let Some(stored) = self.records.get_mut(&key) else {
             return;
         };
-        self.answer_bytes -= kept.record.state.bytes();
-        kept.record.state = State::Unknown(Refusal {
+        self.answer_bytes -= stored.record.state.bytes();
+        stored.record.state = State::Unknown(Refusal {
             reason: Reason::TableFull,
             retry_after: Duration::ZERO,
         });
     }
 
-    /// Gives up the ids of the flow that has kept some for longest, raising
-    /// its floor; false where there is none.
-    fn fold(&mut self) -> bool {
-        let Some((_, flow)) = self.folds.pop_first() else {
+    /// Folds the ids of the first flow in `fold_order` into its floor. Returns
+    /// false if there is no such flow.
+    fn fold_oldest(&mut self) -> bool {
+        let Some((_, flow)) = self.fold_order.pop_first() else {
             return false;
         };
         if let Some(ids) = self.seen.get_mut(&flow) {
@@ -334,10 +347,12 @@
         true
     }
 
-    fn change_seen(&mut self, flow: FlowKey, change: impl FnOnce(&mut Seen)) {
+    /// Applies a change to a flow's ids and moves the flow to the end of
+    /// `fold_order`.
+    fn update_seen(&mut self, flow: FlowKey, change: impl FnOnce(&mut Seen)) {
         let mut seen = Seen::default();
         if let Some(ids) = self.seen.remove(&flow) {
-            self.folds.remove(&ids.position);
+            self.fold_order.remove(&ids.position);
             self.seen_bytes -= ids.seen.bytes();
             seen = ids.seen;
         }
@@ -345,20 +360,25 @@
         self.seen_bytes += seen.bytes();
         let position = self.next_position;
         self.next_position += 1;
-        self.folds.insert(position, flow);
+        self.fold_order.insert(position, flow);
         self.seen.insert(flow, Ids { seen, position });
     }
 
-    fn retire(&mut self, key: Key) {
-        let Some(Kept { record, answer }) = self.records.remove(&key) else {
+    /// Removes an expired record and keeps the id of a non-idempotent request.
+    fn remove_expired(&mut self, key: Key) {
+        let Some(Stored {
+            record,
+            answer_position,
+        }) = self.records.remove(&key)
+        else {
             return;
         };
         if matches!(record.state, State::Done(_)) {
-            self.answers.remove(&answer);
+            self.answers.remove(&answer_position);
             self.answer_bytes -= record.state.bytes();
         }
         if !record.idempotent {
-            self.change_seen(key.flow, |seen| seen.insert(key.request));
+            self.update_seen(key.flow, |seen| seen.insert(key.request));
         }
     }
 }
@@ -366,8 +386,8 @@
 /// A record and its key.
 #[derive(Clone, Copy, Debug)]
 pub struct Entry<'a> {
-    /// Names the request.
+    /// Key of the request.
     pub key: Key,
-    /// What became of it.
+    /// The record.
     pub record: &'a Record,
 }
--- a/state/flow/src/lib.rs
+++ b/state/flow/src/lib.rs
@@ -1,10 +1,12 @@
-//! The flows that an agent holds, and what became of their requests.
+//! The flows that an agent holds, and the states of their requests.
 //!
-//! * [`Table`] holds the flows; idle, half-open and closed ones expire.
-//! * [`Ledger`] records each request before it runs, so that none runs twice.
-//! * [`Answer`] cuts an answer into chunks.
+//! * [`Table`] stores the flows and expires idle, half-open and closed ones.
+//! * [`Ledger`] records each request before it runs, so that no non-idempotent
+//!   request runs twice.
+//! * [`Answer`] splits an answer into chunks.
 //!
-//! All parts are sans-IO: they own no socket, clock or randomness.
+//! All modules are sans-IO: the caller passes in the time and random seeds, and
+//! does the network I/O.
 pub mod answer;
 pub mod ledger;
 pub mod record;
--- a/state/flow/src/record.rs
+++ b/state/flow/src/record.rs
@@ -1,4 +1,4 @@
-//! What became of a request.
+//! Records of requests and their states.
 use std::time::Duration;
 
 use wire::FlowKey;
@@ -7,63 +7,64 @@
 
 use crate::Answer;
 
-/// Names a request.
+/// Identifies a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Key {
-    /// The flow.
+    /// Key of the flow.
     pub flow: FlowKey,
-    /// The request within the flow.
+    /// Id of the request within the flow.
     pub request: RequestId,
 }
 
-/// A request and what became of it.
+/// A request's properties and state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// Whether running it twice does no harm.
+    /// Whether the request may safely run more than once.
     pub idempotent: bool,
-    /// When its caller gives up, or when it ended, if that is later.
+    /// Deadline of the caller, or the time at which the request reached its final
+    /// state if that is later.
     pub deadline: Duration,
-    /// What became of it.
+    /// Current state.
     pub state: State,
 }
 
-/// What became of a request.
+/// State of a request.
 ///
-/// A request moves down this list and never up.
+/// A request only moves to a state further down this list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum State {
-    /// Known, and not yet admitted.
+    /// Recorded, but not yet offered for admission.
     Recorded,
-    /// Waits for a slot.
+    /// Waiting for a slot.
     Queued,
-    /// The backend server may have seen it.
+    /// Started; the backend server may have received it.
     Running,
-    /// It ran, and this is its answer.
+    /// Completed with this answer.
     Done(Answer),
-    /// It did not run and never will.
+    /// Refused; it did not run and never will.
     NotRun(Refusal),
-    /// It may have run, once at most.
+    /// Ended without an answer; it may have run, at most once.
     Unknown(Refusal),
 }
 
-/// What a caller is told of a request that has no answer.
+/// Response to the caller of a request that has no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Refusal {
-    /// Why.
+    /// Reason for the refusal.
     pub reason: Reason,
-    /// Time to wait before another try; zero where it is to be worked out when
-    /// the caller is told.
+    /// Time that the caller should wait before a retry; zero if it is computed when
+    /// the response is sent.
     pub retry_after: Duration,
 }
 
 impl State {
-    /// Whether the state is final.
+    /// Returns whether the state is final.
     #[must_use]
     pub const fn is_final(&self) -> bool {
         matches!(self, Self::Done(_) | Self::NotRun(_) | Self::Unknown(_))
     }
 
-    /// Whether the state may follow `previous`.
+    /// Returns whether a transition from `previous` to this state is allowed.
     #[must_use]
     pub const fn follows(&self, previous: &Self) -> bool {
         match self {
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Memory that the state holds beside its record, in bytes.
+    /// Returns the memory that the state uses in addition to its record, in bytes.
     #[must_use]
     pub fn bytes(&self) -> usize {
         match self {
--- a/state/flow/src/seeded.rs
+++ b/state/flow/src/seeded.rs
@@ -1,13 +1,14 @@
-//! Hashing that a caller who chooses the keys cannot predict, and that is the
-//! same on every run with the same seed.
+//! A hasher with an explicit seed: callers that choose keys cannot predict the
+//! hashes, and runs with the same seed are reproducible.
 use std::hash::BuildHasher;
 use std::hash::DefaultHasher;
 use std::hash::Hasher;
 
+/// Builds hashers from a seed.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Seeded(pub(crate) u64);
+pub(crate) struct SeededState(pub(crate) u64);
 
-impl BuildHasher for Seeded {
+impl BuildHasher for SeededState {
     type Hasher = DefaultHasher;
 
     fn build_hasher(&self) -> DefaultHasher {
--- a/state/flow/src/seen.rs
+++ b/state/flow/src/seen.rs
@@ -1,19 +1,20 @@
-//! Remembers that non-idempotent requests of a flow were once here, after
-//! their records are gone.
+//! Ids of a flow's non-idempotent requests, kept after their records have
+//! expired.
 //!
-//! The last few ids are kept as they are. An id that has to make room raises
-//! the floor: every id up to it counts as seen. So no request that was here
-//! ever looks new while its flow is held, and memory is bounded; the price is
-//! that a new id below the floor is refused too, which does not happen to
-//! callers that number their requests in rising order.
+//! The most recent ids are stored individually. When an id has to be evicted, it
+//! raises the floor: every id up to the floor counts as seen. No request that was
+//! admitted before is therefore taken for a new one while its flow is held, and
+//! memory stays bounded. The drawback is that a new id below the floor is refused
+//! too, which does not affect callers that number their requests in ascending
+//! order.
 use std::collections::VecDeque;
 
 use wire::RequestId;
 
-/// Number of ids kept for each flow.
+/// Maximum number of ids stored individually for each flow.
 pub const IDS_PER_FLOW: usize = 32;
 
-/// Requests of one flow that must not run again.
+/// The requests of one flow that must not run again.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Seen {
     floor: RequestId,
@@ -21,7 +22,7 @@
 }
 
 impl Seen {
-    /// Restores what another agent remembered.
+    /// Restores the ids and floor of another agent.
     #[must_use]
     pub fn restore(floor: RequestId, ids: impl IntoIterator<Item = RequestId>) -> Self {
         let mut seen = Self {
@@ -34,13 +35,13 @@
         seen
     }
 
-    /// Whether the request may have been here.
+    /// Returns whether the request may have been admitted before.
     #[must_use]
     pub fn contains(&self, request: RequestId) -> bool {
         request <= self.floor || self.ids.contains(&request)
     }
 
-    /// Remembers a request.
+    /// Adds a request.
     pub fn insert(&mut self, request: RequestId) {
         if self.contains(request) {
             return;
@@ -51,29 +52,30 @@
         self.ids.push_back(request);
     }
 
-    /// Gives up all ids, raising the floor.
+    /// Removes all ids and raises the floor to the highest of them.
     pub fn fold_all(&mut self) {
         let ids = std::mem::take(&mut self.ids);
         self.floor = ids.into_iter().fold(self.floor, RequestId::max);
     }
 
-    /// Every request up to this one counts as seen.
+    /// Returns the floor: every id up to and including it counts as seen.
     #[must_use]
     pub const fn floor(&self) -> RequestId {
         self.floor
     }
 
-    /// The ids above the floor that are kept as they are.
+    /// Returns the individually stored ids, all of which are above the floor.
     pub fn ids(&self) -> impl Iterator<Item = RequestId> {
         self.ids.iter().copied()
     }
 
-    /// Memory that is held, in bytes.
+    /// Returns the memory used, in bytes.
     #[must_use]
     pub fn bytes(&self) -> usize {
         size_of::<Self>() + self.ids.capacity() * size_of::<RequestId>()
     }
 
+    /// Removes the oldest id and raises the floor to it.
     fn fold_oldest(&mut self) {
         if let Some(id) = self.ids.pop_front() {
             let floor = self.floor.max(id);
--- a/state/flow/src/table.rs
+++ b/state/flow/src/table.rs
@@ -8,22 +8,22 @@
 use wire::FlowKey;
 use wire::Token;
 
-use crate::seeded::Seeded;
+use crate::seeded::SeededState;
 use crate::wheel::Wheel;
 
 /// Limits of a [`Table`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Largest number of flows, closed ones that are still kept included.
+    /// Maximum number of flows, including closed ones that have not expired.
     pub capacity: usize,
-    /// Time without a packet after which a flow is forgotten.
+    /// Time without a packet after which a flow expires.
     pub idle: Duration,
-    /// Time after which a flow is forgotten that saw no packet but its open.
+    /// Time after which a flow expires if only its open was received.
     pub half_open: Duration,
-    /// Time that a closed flow is kept, so that late copies of its packets do
-    /// not open it again.
+    /// Time for which a closed flow is kept, so that delayed duplicates of its
+    /// packets do not open it again.
     pub late_copy: Duration,
-    /// Accuracy of the times above.
+    /// Accuracy of the timeouts above.
     pub accuracy: Duration,
 }
 
@@ -42,41 +42,42 @@
 /// A flow that the agent holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Flow {
-    /// Chosen by the caller.
+    /// Key chosen by the caller.
     pub key: FlowKey,
-    /// What the caller was told of the holder.
+    /// Token of the holder, as sent to the caller.
     pub token: Token,
     /// Address of the caller.
     pub caller: SocketAddr,
-    /// When the last packet came.
+    /// Time at which the last packet was received.
     pub last_seen: Duration,
-    /// Where the flow stands.
+    /// Phase of the flow's life cycle.
     pub phase: Phase,
-    /// Requests that are queued or running; a busy flow does not expire.
+    /// Number of queued or running requests; a flow with pending requests does not
+    /// expire.
     pub pending: u32,
-    /// The incarnation of the home that was last told who holds the flow.
+    /// Token of the home that was last notified of the flow's holder.
     pub home: Option<Token>,
 }
 
-/// Where a flow stands.
+/// Phase of a flow's life cycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Phase {
-    /// No packet has come since the open.
+    /// Opened; no further packet has been received.
     HalfOpen,
-    /// In use.
+    /// A packet has been received since the open.
     Open,
-    /// Closed, and kept for late copies.
+    /// Closed, and kept to recognize delayed duplicates.
     Closed,
 }
 
-/// Why a flow was not opened.
+/// Reason why a flow was not opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display, Error)]
 pub enum Error {
-    /// the flow table is at its limit; raise its capacity or add backend servers
+    /// the flow table is at its capacity; raise the capacity or add backend servers
     Full,
-    /// the flow was closed a short time ago; open another flow key
+    /// the flow was closed recently; open a flow with another key
     Closed,
-    /// another caller holds this flow key; open another flow key
+    /// the flow key is already in use; open a flow with another key
     Taken,
 }
 
@@ -103,7 +104,7 @@
 #[derive(Debug)]
 pub struct Table {
     settings: Settings,
-    index: HashMap<FlowKey, u32, Seeded>,
+    index: HashMap<FlowKey, u32, SeededState>,
     slots: Vec<Option<Flow>>,
     free: Vec<u32>,
     wheel: Wheel,
@@ -111,12 +112,12 @@
 }
 
 impl Table {
-    /// Creates an empty table; the seed keeps callers from choosing keys that
-    /// collide.
+    /// Creates an empty table. The seed makes the hashes unpredictable to
+    /// callers, so that they cannot choose keys that collide.
     #[must_use]
     pub fn new(settings: Settings, seed: u64, now: Duration) -> Self {
         Self {
-            index: HashMap::with_hasher(Seeded(seed)),
+            index: HashMap::with_hasher(SeededState(seed)),
             slots: Vec::new(),
             free: Vec::new(),
             wheel: Wheel::new(settings.accuracy, now),
@@ -125,22 +126,23 @@
         }
     }
 
-    /// Changes the idle time; flows held follow within a minute.
+    /// Changes the idle timeout. Flows already in the table adopt it when their
+    /// current timers fire, within about a minute.
     pub fn set_idle(&mut self, idle: Duration) {
         self.settings.idle = idle;
     }
 
-    /// Time without a packet after which a flow is forgotten.
+    /// Returns the time without a packet after which a flow expires.
     #[must_use]
     pub const fn idle(&self) -> Duration {
         self.settings.idle
     }
 
-    /// Opens a flow, or finds the one that an earlier copy opened.
+    /// Opens a flow, or returns the flow if the caller has already opened it.
     ///
     /// # Errors
     ///
-    /// Any [`enum@Error`]; the open is then to be refused.
+    /// Any [`enum@Error`]; the open must then be refused.
     pub fn open(
         &mut self,
         now: Duration,
@@ -167,12 +169,12 @@
         }
     }
 
-    /// Adds a flow as it is, such as one that another agent held.
+    /// Adds an existing flow, such as one handed over by another agent.
     ///
     /// # Errors
     ///
-    /// [`Error::Full`] at the table's limit, [`Error::Taken`] where the flow is
-    /// held already.
+    /// [`Error::Full`] if the table is at its capacity, [`Error::Taken`] if the
+    /// table already contains the flow.
     pub fn insert(&mut self, flow: Flow) -> Result<Flow, Error> {
         if self.index.contains_key(&flow.key) {
             return Err(Error::Taken);
@@ -186,16 +188,17 @@
         });
         self.slots[slot as usize] = Some(flow);
         self.index.insert(flow.key, slot);
-        self.wheel.set(self.expiry(&flow), slot);
+        self.wheel.set(self.expiry_time(&flow), slot);
         Ok(flow)
     }
 
-    /// Adds a flow as it is, in place of one that is half open under the same
-    /// key: two opens have met, and the caller uses the flow that is added.
+    /// Adds an existing flow and replaces a half-open one with the same key: two
+    /// agents accepted opens of the flow, and the caller uses the flow that is
+    /// added.
     ///
     /// # Errors
     ///
-    /// As of [`Self::insert`].
+    /// Same as [`Self::insert`].
     pub fn insert_over_half_open(&mut self, flow: Flow) -> Result<Flow, Error> {
         match self.get_mut(flow.key) {
             Some(held) if held.phase == Phase::HalfOpen => {
@@ -206,20 +209,20 @@
         }
     }
 
-    /// The flow of a key, closed ones included.
+    /// Returns the flow with the given key, including a closed one.
     #[must_use]
     pub fn get(&self, key: FlowKey) -> Option<&Flow> {
         let slot = *self.index.get(&key)?;
         self.slots[slot as usize].as_ref()
     }
 
-    /// The flow of a key, to be changed.
+    /// Returns a mutable reference to the flow with the given key.
     pub fn get_mut(&mut self, key: FlowKey) -> Option<&mut Flow> {
         let slot = *self.index.get(&key)?;
         self.slots[slot as usize].as_mut()
     }
 
-    /// Notes a packet of a flow other than its open.
+    /// Records that a packet of the flow, other than its open, was received.
     pub fn touch(&mut self, now: Duration, key: FlowKey) {
         if let Some(flow) = self.get_mut(key) {
             flow.last_seen = now;
@@ -230,7 +233,7 @@
         }
     }
 
-    /// Ends a flow; it is kept for late copies.
+    /// Closes a flow; it is kept to recognize delayed duplicates of its packets.
     pub fn close(&mut self, now: Duration, key: FlowKey) {
         if let Some(flow) = self.get_mut(key) {
             flow.phase = Phase::Closed;
@@ -238,7 +241,7 @@
         }
     }
 
-    /// Forgets the flows whose time has passed, and adds them to `expired`.
+    /// Removes the flows that have expired and appends them to `expired`.
     pub fn expire(&mut self, now: Duration, expired: &mut Vec<Flow>) {
         let mut due = std::mem::take(&mut self.due);
         self.wheel.fire(now, &mut due);
@@ -246,7 +249,7 @@
             let Some(flow) = self.slots[slot as usize] else {
                 continue;
             };
-            let expiry = self.expiry(&flow);
+            let expiry = self.expiry_time(&flow);
             if flow.pending > 0 || expiry > now {
                 self.wheel.set(expiry.max(now), slot);
                 continue;
@@ -259,66 +262,67 @@
         self.due = due;
     }
 
-    /// When [`Table::expire`] next has work.
+    /// Returns the time at which [`Table::expire`] has to be called next.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Duration> {
         self.wheel.next_deadline()
     }
 
-    /// Number of slots, with and without a flow.
+    /// Returns the number of slots, including free ones.
     #[must_use]
     pub fn slots(&self) -> usize {
         self.slots.len()
     }
 
-    /// The flows in the slots from `start` on, `count` slots at most; `None`
-    /// past the last slot.
+    /// Returns the flows in up to `count` slots, starting at slot `start`; `None` if
+    /// `start` is past the last slot.
     #[must_use]
     pub fn scan(&self, start: usize, count: usize) -> Option<impl Iterator<Item = &Flow>> {
         let end = self.slots.len().min(start.saturating_add(count));
         (start < end).then(|| self.slots[start..end].iter().flatten())
     }
 
-    /// All flows, in an order that depends on the table's history alone.
+    /// Returns all flows, in an order that depends only on the sequence of
+    /// operations on the table.
     pub fn iter(&self) -> impl Iterator<Item = &Flow> {
         self.slots.iter().flatten()
     }
 
-    /// Number of flows, closed ones that are still kept included.
+    /// Returns the number of flows, including closed ones that have not expired.
     #[must_use]
     pub fn len(&self) -> usize {
         self.index.len()
     }
 
-    /// Whether there is no flow.
+    /// Returns whether there are no flows.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.index.is_empty()
     }
 
-    /// Whether the table is at its limit.
+    /// Returns whether the table is at its capacity.
     #[must_use]
     pub fn is_full(&self) -> bool {
         self.len() >= self.settings.capacity
     }
 
-    /// Memory that the table holds, in bytes.
+    /// Returns the memory that the table uses, in bytes.
     #[must_use]
     pub fn bytes(&self) -> usize {
-        // A hash map keeps a control byte beside each entry.
+        // A hash map stores one control byte for each entry.
         self.index.capacity() * (size_of::<FlowKey>() + size_of::<u64>() + 1)
             + self.slots.capacity() * size_of::<Option<Flow>>()
             + self.free.capacity() * size_of::<u32>()
             + self.wheel.bytes()
     }
 
-    fn expiry(&self, flow: &Flow) -> Duration {
+    fn expiry_time(&self, flow: &Flow) -> Duration {
         let settings = &self.settings;
-        let time = match flow.phase {
+        let timeout = match flow.phase {
             Phase::HalfOpen => settings.half_open.min(settings.idle),
             Phase::Open => settings.idle,
             Phase::Closed => settings.late_copy,
         };
-        flow.last_seen + time
+        flow.last_seen + timeout
     }
 }
--- a/state/flow/src/wheel.rs
+++ b/state/flow/src/wheel.rs
@@ -1,94 +1,94 @@
-//! Timers in buckets of equal width: constant time to set, and to fire.
+//! A timer wheel: setting and firing a timer take constant time.
 use std::time::Duration;
 
-/// Number of buckets.
+/// Number of buckets, each one tick wide.
 const BUCKETS: u64 = 64;
 
-/// Timers of items, fired late by one bucket's width at most.
+/// Timers identified by numbers, which fire at most one tick late.
 ///
-/// A timer beyond the last bucket fires early, at the last bucket; whoever set
-/// it checks whether it is due and sets it again.
+/// A timer beyond the last bucket fires early, with the last bucket; the caller
+/// must check whether it is due and otherwise set it again.
 #[derive(Debug)]
 pub struct Wheel {
     width: Duration,
-    /// Number of the bucket that fires next, counted from the origin of time.
-    next: u64,
+    /// Number of the tick that fires next, counted from the origin of time.
+    next_tick: u64,
     buckets: Vec<Vec<u32>>,
     len: usize,
 }
 
 impl Wheel {
-    /// Creates a wheel whose buckets are `width` apart.
+    /// Creates a wheel whose ticks have the given width, at least one millisecond.
     #[must_use]
     pub fn new(width: Duration, now: Duration) -> Self {
         let width = width.max(Duration::from_millis(1));
         Self {
-            next: number(width, now) + 1,
+            next_tick: tick(width, now) + 1,
             buckets: (0..BUCKETS).map(|_| Vec::new()).collect(),
             width,
             len: 0,
         }
     }
 
-    /// Sets a timer.
-    pub fn set(&mut self, at: Duration, item: u32) {
-        let last = self.next + BUCKETS - 1;
-        let number = (number(self.width, at) + 1).clamp(self.next, last);
-        self.bucket(number).push(item);
+    /// Sets a timer that fires at the given time.
+    pub fn set(&mut self, at: Duration, id: u32) {
+        let last = self.next_tick + BUCKETS - 1;
+        let tick = (tick(self.width, at) + 1).clamp(self.next_tick, last);
+        self.bucket(tick).push(id);
         self.len += 1;
     }
 
-    /// Moves the items whose timers have fired to `due`.
+    /// Appends the ids of the timers that fire to `due`, and removes these timers.
     pub fn fire(&mut self, now: Duration, due: &mut Vec<u32>) {
-        let end = number(self.width, now);
-        if end < self.next {
+        let end = tick(self.width, now);
+        if end < self.next_tick {
             return;
         }
-        let passed = (end + 1 - self.next).min(BUCKETS);
+        let passed = (end + 1 - self.next_tick).min(BUCKETS);
         for offset in 0..passed {
-            let number = self.next + offset;
-            let bucket = self.bucket(number);
+            let tick = self.next_tick + offset;
+            let bucket = self.bucket(tick);
             due.append(bucket);
-            // A bucket that was once large does not keep its memory.
+            // Frees the memory of a bucket that was large.
             bucket.shrink_to(0);
         }
-        self.next = end + 1;
+        self.next_tick = end + 1;
         self.len = self.buckets.iter().map(Vec::len).sum();
     }
 
-    /// When the next timer fires.
+    /// Returns the time at which the next timer fires.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Duration> {
         if self.len == 0 {
             return None;
         }
-        (self.next..self.next + BUCKETS)
-            .find(|number| !self.buckets[index(*number)].is_empty())
-            .map(|number| self.time(number))
+        (self.next_tick..self.next_tick + BUCKETS)
+            .find(|tick| !self.buckets[bucket_index(*tick)].is_empty())
+            .map(|tick| self.fire_time(tick))
     }
 
-    /// Memory that the wheel holds, in bytes.
+    /// Returns the memory that the wheel uses, in bytes.
     #[must_use]
     pub fn bytes(&self) -> usize {
-        let items: usize = self.buckets.iter().map(Vec::capacity).sum();
-        items * size_of::<u32>() + self.buckets.capacity() * size_of::<Vec<u32>>()
+        let timers: usize = self.buckets.iter().map(Vec::capacity).sum();
+        timers * size_of::<u32>() + self.buckets.capacity() * size_of::<Vec<u32>>()
     }
 
-    fn bucket(&mut self, number: u64) -> &mut Vec<u32> {
-        &mut self.buckets[index(number)]
+    fn bucket(&mut self, tick: u64) -> &mut Vec<u32> {
+        &mut self.buckets[bucket_index(tick)]
     }
 
-    fn time(&self, number: u64) -> Duration {
+    fn fire_time(&self, tick: u64) -> Duration {
         let width = u64::try_from(self.width.as_millis()).unwrap_or(u64::MAX);
-        Duration::from_millis(width.saturating_mul(number))
+        Duration::from_millis(width.saturating_mul(tick))
     }
 }
 
-fn number(width: Duration, at: Duration) -> u64 {
+fn tick(width: Duration, at: Duration) -> u64 {
     let width = width.as_millis().max(1);
     u64::try_from(at.as_millis() / width).unwrap_or(u64::MAX / 2)
 }
 
-fn index(number: u64) -> usize {
-    usize::try_from(number % BUCKETS).unwrap_or(0)
+fn bucket_index(tick: u64) -> usize {
+    usize::try_from(tick % BUCKETS).unwrap_or(0)
 }
--- a/state/flow/tests/answer.rs
+++ b/state/flow/tests/answer.rs
@@ -1,10 +1,10 @@
-//! Answers are cut into chunks that make up the whole.
+//! The chunks of an answer contain the complete answer.
 use bytes::Bytes;
 use flow::Answer;
 use flow::answer::CHUNK_BYTES;
 use flow::answer::MAX_ANSWER_BYTES;
 
-fn is_whole(len: usize) {
+fn chunks_contain_the_answer(len: usize) {
     let bytes: Vec<u8> = (0..=u8::MAX).cycle().take(len).collect();
     let answer = Answer::new(Bytes::from(bytes.clone())).unwrap();
     let chunks: Vec<_> = answer.chunks(9).collect();
@@ -15,23 +15,23 @@
             .all(|chunk| chunk.payload.len() <= CHUNK_BYTES)
     );
     assert!(chunks.iter().all(|chunk| chunk.request == 9));
-    let whole: Vec<u8> = chunks
+    let joined: Vec<u8> = chunks
         .iter()
         .flat_map(|chunk| chunk.payload.clone())
         .collect();
-    assert_eq!(whole, bytes);
+    assert_eq!(joined, bytes);
 }
 
-cases::cases! { is_whole;
-    an_empty_answer_is_whole: 0,
-    a_short_answer_is_whole: 1,
-    a_chunk_is_whole: CHUNK_BYTES,
-    a_byte_more_than_a_chunk_is_whole: CHUNK_BYTES + 1,
-    a_long_answer_is_whole: 100 * CHUNK_BYTES - 1,
+cases::cases! { chunks_contain_the_answer;
+    an_empty_answer_is_complete: 0,
+    a_one_byte_answer_is_complete: 1,
+    an_answer_of_one_chunk_is_complete: CHUNK_BYTES,
+    an_answer_one_byte_above_a_chunk_is_complete: CHUNK_BYTES + 1,
+    a_long_answer_is_complete: 100 * CHUNK_BYTES - 1,
 }
 
 #[test]
-fn a_too_large_answer_is_refused() {
+fn an_answer_above_the_size_limit_is_refused() {
     assert!(Answer::new(Bytes::from(vec![0; MAX_ANSWER_BYTES + 1])).is_none());
 }
 
--- a/state/flow/tests/ledger.rs
+++ b/state/flow/tests/ledger.rs
@@ -1,4 +1,5 @@
-//! The ledger keeps each request from running twice, within its memory.
+//! The ledger prevents non-idempotent requests from running twice, within its
+//! memory limit.
 use std::time::Duration;
 
 use bytes::Bytes;
@@ -48,49 +49,49 @@
     assert!(ledger.advance(Duration::ZERO, key(request), state));
 }
 
-struct Step {
+struct Transition {
     from: State,
     to: State,
-    follows: bool,
+    allowed: bool,
 }
 
-fn follows_as_stated(step: Step) {
-    let Step { from, to, follows } = step;
-    assert_eq!(to.follows(&from), follows);
+fn transition_is_allowed_or_not(transition: Transition) {
+    let Transition { from, to, allowed } = transition;
+    assert_eq!(to.follows(&from), allowed);
 }
 
-cases::cases! { follows_as_stated;
-    a_recorded_request_may_run: Step {
-        from: State::Recorded, to: State::Running, follows: true,
+cases::cases! { transition_is_allowed_or_not;
+    a_recorded_request_may_run: Transition {
+        from: State::Recorded, to: State::Running, allowed: true,
     },
-    a_queued_request_may_run: Step {
-        from: State::Queued, to: State::Running, follows: true,
+    a_queued_request_may_run: Transition {
+        from: State::Queued, to: State::Running, allowed: true,
     },
-    a_running_request_does_not_run_again: Step {
-        from: State::Running, to: State::Running, follows: false,
+    a_running_request_does_not_run_again: Transition {
+        from: State::Running, to: State::Running, allowed: false,
     },
-    a_running_request_does_not_queue: Step {
-        from: State::Running, to: State::Queued, follows: false,
+    a_running_request_does_not_queue: Transition {
+        from: State::Running, to: State::Queued, allowed: false,
     },
-    a_refused_request_does_not_run: Step {
-        from: State::NotRun(refusal()), to: State::Running, follows: false,
+    a_refused_request_does_not_run: Transition {
+        from: State::NotRun(refusal()), to: State::Running, allowed: false,
     },
-    an_unknown_request_does_not_run: Step {
-        from: State::Unknown(refusal()), to: State::Running, follows: false,
+    an_unknown_request_does_not_run: Transition {
+        from: State::Unknown(refusal()), to: State::Running, allowed: false,
     },
-    an_answered_request_is_not_refused: Step {
-        from: done(1), to: State::NotRun(refusal()), follows: false,
+    an_answered_request_is_not_refused: Transition {
+        from: done(1), to: State::NotRun(refusal()), allowed: false,
     },
-    a_queued_request_has_no_answer: Step {
-        from: State::Queued, to: done(1), follows: false,
+    a_queued_request_has_no_answer: Transition {
+        from: State::Queued, to: done(1), allowed: false,
     },
-    an_unknown_request_gets_no_late_answer: Step {
-        from: State::Unknown(refusal()), to: done(1), follows: false,
+    an_unknown_request_gets_no_late_answer: Transition {
+        from: State::Unknown(refusal()), to: done(1), allowed: false,
     },
 }
 
 #[test]
-fn a_repeat_gets_the_recorded_state() {
+fn a_repeated_request_gets_the_recorded_state() {
     let mut ledger = ledger(1 << 20);
     finish(&mut ledger, 1, done(100));
     let admission = ledger.admit(key(1), false, DEADLINE);
@@ -100,7 +101,7 @@
 }
 
 #[test]
-fn a_record_outlives_its_deadline_by_the_late_copy_time() {
+fn a_record_expires_the_late_copy_time_after_its_deadline() {
     let mut ledger = ledger(1 << 20);
     finish(&mut ledger, 1, State::NotRun(refusal()));
     let end = DEADLINE + Settings::default().late_copy;
@@ -112,7 +113,7 @@
 }
 
 #[test]
-fn a_request_past_its_record_is_forgotten_and_not_new() {
+fn a_request_with_an_expired_record_is_not_new() {
     let mut ledger = ledger(1 << 20);
     finish(&mut ledger, 5, done(1));
     ledger.expire(Duration::from_hours(1));
@@ -124,7 +125,7 @@
 }
 
 #[test]
-fn ids_beyond_the_number_kept_raise_the_floor() {
+fn ids_beyond_the_stored_number_raise_the_floor() {
     let mut seen = Seen::default();
     let count = IDS_PER_FLOW as u64 + 5;
     for id in 1..=count {
@@ -137,14 +138,14 @@
 }
 
 #[test]
-fn answers_go_before_tombstones() {
+fn answers_are_evicted_before_tombstones() {
     let mut ledger = ledger(4 * RECORD_BYTES + 200);
     finish(&mut ledger, 1, State::NotRun(refusal()));
     finish(&mut ledger, 2, done(300));
     assert_eq!(
         ledger.get(key(2)).map(State::is_final),
         Some(true),
-        "the answer was given up, and its request is unknown"
+        "the answer is evicted, and its request has a final state"
     );
     finish(&mut ledger, 3, State::NotRun(refusal()));
     assert!(matches!(ledger.get(key(2)), Some(State::Unknown(_))));
@@ -152,7 +153,7 @@
 }
 
 #[test]
-fn the_oldest_answer_goes_first() {
+fn the_oldest_answer_is_evicted_first() {
     let mut ledger = ledger(6 * RECORD_BYTES + 1_000);
     finish(&mut ledger, 1, done(400));
     finish(&mut ledger, 2, done(400));
@@ -162,7 +163,7 @@
 }
 
 #[test]
-fn a_ledger_full_of_tombstones_takes_no_request() {
+fn a_ledger_full_of_tombstones_refuses_new_requests() {
     let mut ledger = ledger(2 * RECORD_BYTES);
     finish(&mut ledger, 1, State::NotRun(refusal()));
     finish(&mut ledger, 2, State::NotRun(refusal()));
@@ -171,7 +172,7 @@
 }
 
 #[test]
-fn ids_are_folded_to_make_room() {
+fn ids_are_folded_at_the_memory_limit() {
     let mut ledger = ledger(4 * RECORD_BYTES);
     for flow in 1..=100 {
         let key = Key { flow, request: 9 };
@@ -232,10 +233,10 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever happens, a non-idempotent request runs once at most while its
-    /// flow is held, and memory stays within the limit.
+    /// For any sequence of events, a non-idempotent request runs at most once while
+    /// its flow is held, and memory stays within the limit.
     #[test]
-    fn no_request_runs_twice(
+    fn no_non_idempotent_request_runs_twice(
         events in prop::collection::vec(event(), 1..200),
         records in 2..10_usize,
     ) {
@@ -264,7 +265,7 @@
                 Event::Wait(seconds) => now += Duration::from_secs(seconds),
             }
             ledger.expire(now);
-            // The ids of the one flow come on top of the records.
+            // The ids of the single flow use memory in addition to the records.
             prop_assert!(ledger.bytes() <= max_bytes + 1_000);
         }
         for (request, count) in runs {
--- a/state/flow/tests/table.rs
+++ b/state/flow/tests/table.rs
@@ -1,4 +1,4 @@
-//! The flow table holds flows within its limit and forgets them in time.
+//! The flow table respects its capacity and expires flows in time.
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -40,24 +40,24 @@
     keys
 }
 
-struct Life {
-    /// Seconds at which packets come.
+struct Lifetime {
+    /// Seconds at which packets are received.
     packets: Vec<u64>,
     /// Second at which the flow is closed.
     closed: Option<u64>,
-    /// Second before which the flow must be there.
+    /// Second before which the flow must not expire.
     held_until: u64,
 }
 
-fn lives_as_long(life: Life) {
-    let Life {
+fn flow_expires_on_time(lifetime: Lifetime) {
+    let Lifetime {
         packets,
         closed,
         held_until,
-    } = life;
+    } = lifetime;
     let mut table = table();
     table.open(Duration::ZERO, 7, TOKEN, caller()).unwrap();
-    let mut gone = None;
+    let mut expired_at = None;
     for second in 0..4_000 {
         let now = Duration::from_secs(second);
         if packets.contains(&second) {
@@ -67,36 +67,39 @@
             table.close(now, 7);
         }
         if !expire(&mut table, now).is_empty() {
-            gone = Some(second);
+            expired_at = Some(second);
         }
     }
-    let gone = gone.expect("the flow should expire");
+    let expired_at = expired_at.expect("the flow should expire within 4000 s");
     let latest = held_until + 2;
-    assert!((held_until..=latest).contains(&gone), "gone at {gone} s");
+    assert!(
+        (held_until..=latest).contains(&expired_at),
+        "expired at {expired_at} s, expected {held_until} s to {latest} s"
+    );
 }
 
-cases::cases! { lives_as_long;
-    a_half_open_flow_lives_briefly: Life {
+cases::cases! { flow_expires_on_time;
+    a_half_open_flow_expires_after_the_half_open_timeout: Lifetime {
         packets: vec![],
         closed: None,
         held_until: 30,
     },
-    a_used_flow_lives_for_its_idle_time: Life {
+    an_open_flow_expires_after_the_idle_timeout: Lifetime {
         packets: vec![10],
         closed: None,
         held_until: 610,
     },
-    packets_keep_a_flow_alive: Life {
+    packets_extend_the_lifetime_of_an_open_flow: Lifetime {
         packets: (1..2_000).step_by(500).collect(),
         closed: None,
         held_until: 2_101,
     },
-    a_closed_flow_is_kept_for_late_copies: Life {
+    a_closed_flow_is_kept_for_the_late_copy_time: Lifetime {
         packets: vec![10],
         closed: Some(20),
         held_until: 80,
     },
-    packets_after_the_close_do_not_keep_it: Life {
+    packets_after_the_close_do_not_extend_the_lifetime: Lifetime {
         packets: vec![10],
         closed: Some(20),
         held_until: 80,
@@ -104,7 +107,7 @@
 }
 
 #[test]
-fn a_repeated_open_finds_the_flow() {
+fn a_repeated_open_returns_the_existing_flow() {
     let mut table = table();
     let first = table.open(Duration::ZERO, 7, TOKEN, caller()).unwrap();
     let other = Token {
@@ -129,7 +132,7 @@
 }
 
 #[test]
-fn a_flow_key_belongs_to_one_caller() {
+fn a_flow_key_of_another_caller_is_refused() {
     let mut table = table();
     table.open(Duration::ZERO, 7, TOKEN, caller()).unwrap();
     let other = "203.0.113.6:4000".parse().unwrap();
@@ -151,7 +154,7 @@
 }
 
 #[test]
-fn a_busy_flow_does_not_expire() {
+fn a_flow_with_pending_requests_does_not_expire() {
     let mut table = table();
     table.open(Duration::ZERO, 7, TOKEN, caller()).unwrap();
     table.get_mut(7).unwrap().pending = 1;
@@ -174,7 +177,7 @@
         table.open(Duration::ZERO, key, TOKEN, caller()).unwrap();
     }
     let bytes = table.bytes() / table.len();
-    assert!(bytes <= 256, "{bytes} bytes a flow");
+    assert!(bytes <= 256, "{bytes} bytes per flow");
     expire(&mut table, Duration::from_mins(1));
     assert!(table.is_empty());
 }
@@ -203,9 +206,10 @@
         ..ProptestConfig::default()
     })]
 
-    /// A flow is held until its time has passed, and not much longer.
+    /// A flow does not expire before its timeout, and the table is empty once all
+    /// timeouts have passed.
     #[test]
-    fn flows_expire_on_time(steps in prop::collection::vec(step(), 1..100)) {
+    fn flows_do_not_expire_early_and_all_expire(steps in prop::collection::vec(step(), 1..100)) {
         let mut table = table();
         let mut now = Duration::ZERO;
         for step in steps {
@@ -218,13 +222,13 @@
             let before: Vec<_> = table.iter().copied().collect();
             let expired = expire(&mut table, now);
             for flow in before {
-                let time = match flow.phase {
+                let timeout = match flow.phase {
                     Phase::HalfOpen => settings().half_open,
                     Phase::Open => settings().idle,
                     Phase::Closed => settings().late_copy,
                 };
-                let is_over = flow.last_seen + time <= now;
-                prop_assert!(is_over || !expired.contains(&flow.key));
+                let is_due = flow.last_seen + timeout <= now;
+                prop_assert!(is_due || !expired.contains(&flow.key));
             }
             prop_assert!(table.len() <= settings().capacity);
         }
--- a/state/limit/src/backoff.rs
+++ b/state/limit/src/backoff.rs
@@ -1,12 +1,12 @@
-//! Spaces retries: exponential, with jitter.
+//! Exponential backoff with jitter.
 use std::time::Duration;
 
 /// Limits of a [`Backoff`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Upper end of the first pause.
+    /// Upper bound of the first pause.
     pub base: Duration,
-    /// Upper end of every later pause.
+    /// Upper bound of every pause.
     pub max: Duration,
 }
 
@@ -19,7 +19,7 @@
     }
 }
 
-/// The pauses between the tries of one operation.
+/// Pauses between the tries of one operation.
 ///
 /// ```
 /// use limit::Backoff;
@@ -36,7 +36,8 @@
 }
 
 impl Backoff {
-    /// Starts at the first pause; the seed decides the jitter.
+    /// Creates a backoff that starts with the first pause; the seed drives the
+    /// jitter.
     #[must_use]
     pub fn new(settings: Settings, seed: u64) -> Self {
         Self {
@@ -46,8 +47,8 @@
         }
     }
 
-    /// The pause before the next try: between half and all of a bound that
-    /// doubles with each try.
+    /// Returns the pause before the next try: a random time between half of a bound
+    /// and the bound, which doubles with each try.
     pub fn next_pause(&mut self) -> Duration {
         let bound = self
             .settings
@@ -58,10 +59,10 @@
         bound.mul_f64(0.5 + self.random.f64() / 2.0)
     }
 
-    /// The pause before the next try, or `None` where the try would not end
-    /// before the caller's deadline.
+    /// Returns the pause before the next try, or `None` if the try would end after
+    /// the caller's deadline.
     ///
-    /// `service_time` is how long a try is expected to take.
+    /// `service_time` is the expected duration of a try.
     pub fn next_within(
         &mut self,
         now: Duration,
@@ -73,7 +74,7 @@
         (end <= deadline).then_some(pause)
     }
 
-    /// Starts again at the first pause, after a success.
+    /// Restarts with the first pause, after a success.
     pub fn reset(&mut self) {
         self.tries = 0;
     }
--- a/state/limit/src/budget.rs
+++ b/state/limit/src/budget.rs
@@ -1,11 +1,11 @@
-//! Bounds retries to a share of first tries.
+//! A retry budget, which limits retries to a share of first tries.
 
 /// Limits of a [`Budget`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Retries allowed for each 100 first tries.
+    /// Number of retries allowed for every 100 first tries.
     pub percent: u32,
-    /// Retries that may be saved up.
+    /// Maximum number of unused retries that accumulate.
     pub burst: u32,
 }
 
@@ -18,9 +18,11 @@
     }
 }
 
+/// Cost of a retry, in the unit of [`Budget`]'s balance: hundredths of a retry.
 const RETRY_COST: u64 = 100;
 
-/// A retry budget: first tries pay in, retries draw out.
+/// A retry budget: each first try adds to the balance, each retry subtracts from
+/// it.
 ///
 /// ```
 /// use limit::Budget;
@@ -40,7 +42,7 @@
 }
 
 impl Budget {
-    /// Creates a budget with its burst saved up.
+    /// Creates a budget that allows a full burst of retries.
     #[must_use]
     pub fn new(settings: Settings) -> Self {
         Self {
@@ -49,13 +51,14 @@
         }
     }
 
-    /// Counts a first try.
+    /// Adds the share of a retry that a first try allows.
     pub fn deposit(&mut self) {
         let limit = u64::from(self.settings.burst) * RETRY_COST;
         self.balance = limit.min(self.balance + u64::from(self.settings.percent));
     }
 
-    /// Pays for a retry; false where the budget does not allow one.
+    /// Subtracts a retry. Returns false and changes nothing if the budget does not
+    /// allow one.
     #[must_use]
     pub fn withdraw(&mut self) -> bool {
         let Some(balance) = self.balance.checked_sub(RETRY_COST) else {
--- a/state/limit/src/capacity.rs
+++ b/state/limit/src/capacity.rs
@@ -1,17 +1,17 @@
-//! Learns the capacity of a backend server where its work is done.
+//! Estimates the capacity of a backend server from the service times of its jobs.
 use std::time::Duration;
 
 /// Limits of a [`Capacity`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// Service time of a short job assumed before any has ended.
+    /// Initial estimate of the service time of short jobs.
     pub short_time: Duration,
-    /// Service time of a long job assumed before any has ended.
+    /// Initial estimate of the service time of long jobs.
     pub long_time: Duration,
-    /// Time after which a cold backend server has its full weight.
+    /// Time after its start at which a backend server reaches its full weight.
     pub warm_up: Duration,
-    /// Shortest time between two changes of the weight.
-    pub hold: Duration,
+    /// Minimum time between two changes of the weight.
+    pub min_change_interval: Duration,
 }
 
 impl Default for Settings {
@@ -20,37 +20,39 @@
             short_time: Duration::from_millis(50),
             long_time: Duration::from_mins(1),
             warm_up: Duration::from_secs(5),
-            hold: Duration::from_secs(1),
+            min_change_interval: Duration::from_secs(1),
         }
     }
 }
 
-/// Jobs that the expected wait averages over.
-const WAIT_JOBS: f64 = 16.0;
+/// Number of jobs in the fast mean, which the expected wait is based on.
+const FAST_MEAN_JOBS: f64 = 16.0;
 
-/// Jobs that the weight averages over.
-const WEIGHT_JOBS: f64 = 128.0;
+/// Number of jobs in the slow mean, which the weight is based on.
+const SLOW_MEAN_JOBS: f64 = 128.0;
 
-/// Ratio of the two averages at which the longer one starts anew.
+/// Ratio of the two means above which the slow one is reset to the fast one.
 const DRIFT_RATIO: f64 = 1.5;
 
-/// Share of its weight that a cold backend server starts with.
+/// Share of its full weight that a newly started backend server has.
 const COLD_SHARE: f64 = 0.25;
 
-/// Ratio of two neighbouring steps of the weight: the fourth root of two.
+/// Ratio of two adjacent steps of the weight: the fourth root of two.
 const STEP_RATIO: f64 = 1.189_207_115_002_721;
 
-/// Distance from a step, in steps, at which the weight leaves it.
+/// Distance of the measured rate from the current step, in steps, above which the
+/// weight changes.
 const HYSTERESIS_STEPS: f64 = 1.25;
 
-/// Largest weight, in jobs a second.
+/// Maximum weight, in jobs a second.
 const MAX_WEIGHT: f64 = 1e6;
 
 /// Mean service time of the latest jobs of one class.
 ///
-/// A mean of few jobs follows a change at once and serves the expected wait; a
-/// mean of many is stable and serves the weight. Where the first leaves the
-/// second clearly behind, the second starts anew from it.
+/// The fast mean, over few jobs, follows a change quickly and is used for the
+/// expected wait. The slow mean, over many jobs, is stable and is used for the
+/// weight. When the two differ by more than a factor of `DRIFT_RATIO`, the slow
+/// mean is reset to the fast one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Mean {
     fast: f64,
@@ -60,7 +62,7 @@
 }
 
 impl Mean {
-    /// Starts from an assumed service time, which counts as much as one job.
+    /// Creates a mean with an assumed service time, which counts as one job.
     #[must_use]
     pub fn new(assumed: Duration) -> Self {
         let assumed = assumed.as_secs_f64();
@@ -72,11 +74,11 @@
         }
     }
 
-    /// Adds the service time of a job that ended.
+    /// Adds the service time of a completed job.
     pub fn add(&mut self, time: Duration) {
         let time = time.as_secs_f64();
-        self.fast_jobs = WAIT_JOBS.min(self.fast_jobs + 1.0);
-        self.slow_jobs = WEIGHT_JOBS.min(self.slow_jobs + 1.0);
+        self.fast_jobs = FAST_MEAN_JOBS.min(self.fast_jobs + 1.0);
+        self.slow_jobs = SLOW_MEAN_JOBS.min(self.slow_jobs + 1.0);
         self.fast += (time - self.fast) / self.fast_jobs;
         self.slow += (time - self.slow) / self.slow_jobs;
         let drifted = self.fast > self.slow * DRIFT_RATIO || self.slow > self.fast * DRIFT_RATIO;
@@ -86,20 +88,20 @@
         }
     }
 
-    /// The mean that the expected wait is computed from.
+    /// Returns the mean over few jobs, which the expected wait is based on.
     #[must_use]
-    pub fn wait(self) -> Duration {
+    pub fn fast(self) -> Duration {
         Duration::from_secs_f64(self.fast)
     }
 
-    /// The mean that the weight is computed from.
+    /// Returns the mean over many jobs, which the weight is based on.
     #[must_use]
-    pub fn weight(self) -> Duration {
+    pub fn slow(self) -> Duration {
         Duration::from_secs_f64(self.slow)
     }
 }
 
-/// The weight of a backend server, in coarse steps.
+/// The weight of a backend server, which changes in coarse steps.
 #[derive(Debug)]
 pub struct Capacity {
     settings: Settings,
@@ -109,7 +111,7 @@
 }
 
 impl Capacity {
-    /// Starts cold.
+    /// Creates the weight of a backend server that starts now, cold.
     #[must_use]
     pub fn new(settings: Settings, slots: u16, now: Duration) -> Self {
         let rate = f64::from(slots) / settings.short_time.as_secs_f64();
@@ -121,21 +123,22 @@
         }
     }
 
-    /// Moves the weight towards a measured rate, in jobs a second. It moves
-    /// only when the rate is clearly off the current step, and not more often
-    /// than the settings allow.
+    /// Sets the weight to the step nearest to a measured rate, in jobs a second. The
+    /// weight changes only if the rate is more than `HYSTERESIS_STEPS` away from
+    /// the current step, and not more often than [`Settings::min_change_interval`]
+    /// allows.
     pub fn update(&mut self, now: Duration, rate: f64) {
         let rate = rate * self.warm_share(now);
-        let off = steps(rate) - self.step;
-        let held = now < self.changed + self.settings.hold;
-        if held || off.abs() <= HYSTERESIS_STEPS {
+        let distance = fractional_step(rate) - self.step;
+        let is_too_soon = now < self.changed + self.settings.min_change_interval;
+        if is_too_soon || distance.abs() <= HYSTERESIS_STEPS {
             return;
         }
         self.step = nearest_step(rate);
         self.changed = now;
     }
 
-    /// Jobs a second, in coarse steps; at least 1.
+    /// Returns the weight in jobs a second, at least 1.
     #[must_use]
     pub fn weight(&self) -> u32 {
         let weight = STEP_RATIO.powf(self.step).round().clamp(1.0, MAX_WEIGHT);
@@ -144,6 +147,7 @@
         weight
     }
 
+    /// Returns the share of the full weight that the warm-up has reached.
     fn warm_share(&self, now: Duration) -> f64 {
         let warm = self.settings.warm_up.as_secs_f64();
         let age = now.saturating_sub(self.started).as_secs_f64();
@@ -154,10 +158,10 @@
     }
 }
 
-fn steps(rate: f64) -> f64 {
+fn fractional_step(rate: f64) -> f64 {
     rate.clamp(1.0, MAX_WEIGHT).ln() / STEP_RATIO.ln()
 }
 
 fn nearest_step(rate: f64) -> f64 {
-    steps(rate).round()
+    fractional_step(rate).round()
 }
--- a/state/limit/src/gate.rs
+++ b/state/limit/src/gate.rs
@@ -1,4 +1,4 @@
-//! The slots and the queue of one backend server.
+//! Admission control for one backend server: its slots and its queue.
 use std::collections::HashMap;
 use std::time::Duration;
 
@@ -23,24 +23,24 @@
 /// Limits of a [`Gate`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// Jobs that the backend server runs at a time.
+    /// Number of jobs that the backend server runs concurrently.
     pub slots: u16,
-    /// Longest expected wait that a job is queued for.
+    /// Maximum expected wait of a queued job.
     pub max_wait: Duration,
-    /// Longest expected wait that a short job is queued for, in mean service
-    /// times; the smaller of the two limits counts.
+    /// Maximum expected wait of a queued short job, in multiples of the mean service
+    /// time; the smaller of the two limits applies.
     pub max_wait_times: u32,
-    /// Largest number of queued jobs of each class.
+    /// Maximum number of queued jobs of each class.
     pub max_queue: usize,
-    /// Sequence of the queued jobs.
+    /// Order in which queued jobs start.
     pub discipline: Discipline,
-    /// Reserved shares of the classes.
+    /// Shares of the slots reserved for each class.
     pub share: share::Settings,
-    /// How the capacity is learned.
+    /// Parameters of the capacity estimate.
     pub capacity: capacity::Settings,
-    /// How a backend server that sheds or fails is spared.
+    /// Parameters of the pauses after sheds and failures.
     pub pause: pause::Settings,
-    /// Longest time that a refused caller is told to stay away.
+    /// Maximum `retry_after` of a refusal.
     pub max_retry_after: Duration,
     /// Seed of the jitter.
     pub seed: u64,
@@ -63,29 +63,31 @@
     }
 }
 
-/// Largest jitter of `retry_after`, as a share of it.
+/// Maximum jitter added to `retry_after`, as a share of it.
 const RETRY_JITTER: f64 = 0.5;
 
-/// Share of a short job's mean service time that its deadline must leave.
+/// Divisor of a short job's mean service time that gives the least time which has
+/// to remain before its deadline when it starts.
 const MARGIN_DIVISOR: u32 = 2;
 
-/// Ratio of the running jobs' age to the mean at which the age counts for the
-/// weight.
+/// Ratio of the youngest running job's age to the slow mean above which that age
+/// determines the weight: the backend server has stalled.
 const STALL_RATIO: u32 = 4;
 
-/// Share of the weight that is left during a pause.
+/// Share of the weight that a backend server keeps during a pause.
 const PAUSED_SHARE: f64 = 0.25;
 
+/// A running job.
 #[derive(Clone, Copy, Debug)]
 struct Run {
     class: Class,
-    since: Duration,
+    started: Duration,
 }
 
 /// The slots and the queue of one backend server.
 ///
-/// Every offered job gets exactly one end: a refusal, a [`Finish`] that its
-/// owner reports, a [`Release::Expire`], or [`Gate::cancel`].
+/// Every offered job ends exactly once: by a refusal, a [`Finish`] that the user
+/// of the gate reports, a [`Release::Expire`], or [`Gate::cancel`].
 ///
 /// ```
 /// use std::time::Duration;
@@ -107,23 +109,23 @@
     settings: Settings,
     runs: HashMap<JobId, Run>,
     running: Count,
-    /// Class of the job that started last.
-    last: Class,
+    /// Class of the most recently started job.
+    last_class: Class,
     short: Queue,
     long: Queue,
     short_time: Mean,
     long_time: Mean,
     pause: Pause,
     capacity: Capacity,
-    /// Until when the capacity is promised to refused callers.
-    promised: Duration,
+    /// Time until which the capacity is taken by the retries of refused callers.
+    reserved_until: Duration,
     /// Time of the latest event.
     now: Duration,
     random: fastrand::Rng,
 }
 
 impl Gate {
-    /// Creates the gate of a cold backend server.
+    /// Creates the gate of a backend server that starts now, cold.
     #[must_use]
     pub fn new(settings: Settings, now: Duration) -> Self {
         let slots = settings.slots.max(1);
@@ -131,64 +133,65 @@
         Self {
             runs: HashMap::new(),
             running: Count::default(),
-            last: Class::Long,
+            last_class: Class::Long,
             short: Queue::new(settings.discipline),
             long: Queue::new(settings.discipline),
             short_time: Mean::new(settings.capacity.short_time),
             long_time: Mean::new(settings.capacity.long_time),
             pause: Pause::new(settings.pause, slots, settings.seed),
             capacity: Capacity::new(settings.capacity, slots, now),
-            promised: now,
+            reserved_until: now,
             now,
             random: fastrand::Rng::with_seed(settings.seed),
             settings,
         }
     }
 
-    /// Expected time until a short job offered now would start.
+    /// Returns the expected time until a short job offered now would start.
     #[must_use]
     pub fn expected_wait(&self, now: Duration) -> Duration {
-        self.wait(now, Class::Short, Duration::MAX)
+        self.expected_wait_for(now, Class::Short, Duration::MAX)
     }
 
-    /// Whether a short job would start at once, as of the latest event.
+    /// Returns whether a short job would start immediately, as of the latest event.
     #[must_use]
     pub fn free(&self) -> bool {
         self.free_for(Class::Short)
     }
 
-    /// Whether a job would start at once, as of the latest event.
+    /// Returns whether a job of the given class would start immediately, as of the
+    /// latest event.
     #[must_use]
     pub fn free_for(&self, class: Class) -> bool {
         self.admits(class, self.pause.limit(self.now))
     }
 
-    /// Number of jobs that run.
+    /// Returns the number of running jobs of each class.
     #[must_use]
     pub fn running(&self) -> Count {
         self.running
     }
 
-    /// Number of jobs that wait.
+    /// Returns the number of queued jobs.
     #[must_use]
     pub fn queued(&self) -> usize {
         self.short.len() + self.long.len()
     }
 
-    /// Offers a job: it starts, waits, or is refused at once.
+    /// Offers a job, which starts, is queued, or is refused immediately.
     pub fn offer(&mut self, now: Duration, job: Job) -> Verdict {
         self.now = now;
-        let verdict = self.judge(now, job);
+        let verdict = self.decide(now, job);
         match verdict {
             Verdict::Start => self.start(now, job),
             Verdict::Queued => self.queue_mut(job.class).push(job),
             Verdict::Refuse { .. } => {}
         }
-        self.learn(now);
+        self.update_capacity(now);
         verdict
     }
 
-    fn judge(&mut self, now: Duration, job: Job) -> Verdict {
+    fn decide(&mut self, now: Duration, job: Job) -> Verdict {
         if self.contains(job.id) {
             return Verdict::Refuse {
                 reason: Reason::Duplicate,
@@ -198,12 +201,12 @@
         if job.deadline <= now {
             return self.refuse(now, Reason::Deadline);
         }
-        let wait = self.wait(now, job.class, job.deadline);
-        let due = now + wait + self.margin(now, job.class);
+        let wait = self.expected_wait_for(now, job.class, job.deadline);
+        let due = now + wait + self.deadline_margin(now, job.class);
         if self.free_for(job.class) {
             return Verdict::Start;
         }
-        if job.deadline <= now + self.pause.rest(now) {
+        if job.deadline <= now + self.pause.remaining(now) {
             return self.refuse(now, Reason::Paused);
         }
         if job.deadline < due {
@@ -216,58 +219,65 @@
         Verdict::Queued
     }
 
-    /// Frees the slot of a job that ended, and starts others. A job that does
-    /// not run is ignored.
-    pub fn finish(&mut self, now: Duration, id: JobId, end: Finish, out: &mut Vec<Release>) {
+    /// Frees the slot of a job that ended, and starts queued jobs. Does nothing if
+    /// the job is not running.
+    pub fn finish(
+        &mut self,
+        now: Duration,
+        id: JobId,
+        outcome: Finish,
+        releases: &mut Vec<Release>,
+    ) {
         let Some(run) = self.runs.remove(&id) else {
             return;
         };
-        *self.running.of(run.class) -= 1;
-        match end {
+        *self.running.class_mut(run.class) -= 1;
+        match outcome {
             Finish::Done => {
-                self.time_mut(run.class).add(now.saturating_sub(run.since));
-                self.pause.succeed();
+                self.service_time_mut(run.class)
+                    .add(now.saturating_sub(run.started));
+                self.pause.record_success();
             }
-            Finish::Shed { retry_after } => self.pause.shed(now, retry_after),
-            Finish::Failed => self.pause.fail(now),
+            Finish::Shed { retry_after } => self.pause.record_shed(now, retry_after),
+            Finish::Failed => self.pause.record_failure(now),
             Finish::Cancelled => {}
         }
-        self.expire(now, out);
+        self.expire(now, releases);
     }
 
-    /// Removes a job that its caller cancelled, whether it runs or waits, and
-    /// starts others. The cancelled job is not released.
-    pub fn cancel(&mut self, now: Duration, id: JobId, out: &mut Vec<Release>) {
+    /// Removes a running or queued job that its caller cancelled, and starts queued
+    /// jobs. Emits no [`Release`] for the cancelled job.
+    pub fn cancel(&mut self, now: Duration, id: JobId, releases: &mut Vec<Release>) {
         self.short.remove(id);
         self.long.remove(id);
-        self.finish(now, id, Finish::Cancelled, out);
+        self.finish(now, id, Finish::Cancelled, releases);
     }
 
-    /// Releases the queued jobs that can no longer meet their deadline, and
-    /// those whose turn has come; due at [`Gate::next_deadline`].
-    pub fn expire(&mut self, now: Duration, out: &mut Vec<Release>) {
+    /// Expires the queued jobs that can no longer meet their deadline, and starts
+    /// jobs for which there is a slot. Must be called at [`Gate::next_deadline`].
+    pub fn expire(&mut self, now: Duration, releases: &mut Vec<Release>) {
         self.now = now;
-        let rest = self.pause.rest(now);
+        let pause = self.pause.remaining(now);
         for class in [Class::Short, Class::Long] {
-            let due = now + rest + self.margin(now, class);
+            let due = now + pause + self.deadline_margin(now, class);
             while let Some(job) = self.queue_mut(class).pop_due(due) {
-                out.push(Release::Expire(job.id));
+                releases.push(Release::Expire(job.id));
             }
         }
-        self.fill(now, out);
-        self.learn(now);
+        self.start_queued(now, releases);
+        self.update_capacity(now);
     }
 
-    /// Learned capacity in jobs a second, in coarse steps; at least 1.
+    /// Returns the estimated capacity in jobs a second, in coarse steps; at least 1.
     #[must_use]
     pub fn weight(&self) -> u32 {
         self.capacity.weight()
     }
 
-    /// When [`Gate::expire`] next has work.
+    /// Returns the time at which [`Gate::expire`] has to be called next.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Duration> {
-        let margin = self.short_time.wait() / MARGIN_DIVISOR;
+        let margin = self.short_time.fast() / MARGIN_DIVISOR;
         let short = self.short.first_deadline();
         let deadlines = [
             short.map(|deadline| deadline.saturating_sub(margin)),
@@ -286,14 +296,14 @@
         self.queue(class).is_empty() && share.admits(class, self.running, limit, slots)
     }
 
-    fn fill(&mut self, now: Duration, out: &mut Vec<Release>) {
-        while let Some(job) = self.next(now) {
+    fn start_queued(&mut self, now: Duration, releases: &mut Vec<Release>) {
+        while let Some(job) = self.pop_next(now) {
             self.start(now, job);
-            out.push(Release::Start(job.id));
+            releases.push(Release::Start(job.id));
         }
     }
 
-    fn next(&mut self, now: Duration) -> Option<Job> {
+    fn pop_next(&mut self, now: Duration) -> Option<Job> {
         let Settings { share, slots, .. } = self.settings;
         let limit = self.pause.limit(now);
         let running = self.running;
@@ -303,61 +313,72 @@
             short: ready(Class::Short, &self.short),
             long: ready(Class::Long, &self.long),
         };
-        let class = share.turn(waiting, running, self.last, slots)?;
+        let class = share.next_class(waiting, running, self.last_class, slots)?;
         self.queue_mut(class).pop()
     }
 
     fn start(&mut self, now: Duration, job: Job) {
         let class = job.class;
-        self.last = class;
-        *self.running.of(class) += 1;
-        self.runs.insert(job.id, Run { class, since: now });
+        self.last_class = class;
+        *self.running.class_mut(class) += 1;
+        self.runs.insert(
+            job.id,
+            Run {
+                class,
+                started: now,
+            },
+        );
     }
 
+    /// Refuses a job and computes its `retry_after`: each refused caller reserves
+    /// the time of one job after those refused before it, so that the callers
+    /// return at different times.
     fn refuse(&mut self, now: Duration, reason: Reason) -> Verdict {
-        let turn = self.service_time(now) / u32::from(self.short_slots());
-        let start = self.promised.max(now + self.expected_wait(now)) + turn;
-        // The limit leaves room for the jitter, which spreads those beyond it.
+        let time_per_job = self.service_time(now) / u32::from(self.short_slots());
+        let start = self.reserved_until.max(now + self.expected_wait(now)) + time_per_job;
+        // Leaves room for the jitter below the maximum, so that it also spreads
+        // the callers that reach the maximum.
         let limit = self.settings.max_retry_after.div_f64(1.0 + RETRY_JITTER);
-        self.promised = start.min(now + limit);
+        self.reserved_until = start.min(now + limit);
         let jitter = 1.0 + RETRY_JITTER * self.random.f64();
-        let retry_after = self.promised.saturating_sub(now).mul_f64(jitter);
+        let retry_after = self.reserved_until.saturating_sub(now).mul_f64(jitter);
         Verdict::Refuse {
             reason,
             retry_after,
         }
     }
 
-    /// Expected time until a job offered now would start.
-    fn wait(&self, now: Duration, class: Class, deadline: Duration) -> Duration {
-        let rest = self.pause.rest(now);
-        if self.admits(class, self.pause.next_limit()) {
-            return rest;
+    /// Returns the expected time until a job offered now would start.
+    fn expected_wait_for(&self, now: Duration, class: Class, deadline: Duration) -> Duration {
+        let pause = self.pause.remaining(now);
+        if self.admits(class, self.pause.limit_after_pause()) {
+            return pause;
         }
         let ahead = self.queue(class).ahead(deadline);
-        let turns = u32::try_from(ahead).unwrap_or(u32::MAX).saturating_add(1);
+        let jobs = u32::try_from(ahead).unwrap_or(u32::MAX).saturating_add(1);
         let short_slots = u32::from(self.short_slots());
         let Settings { share, slots, .. } = self.settings;
-        let owed = u32::from(share.owed(self.running, slots));
-        rest + match class {
-            Class::Long if turns > owed => {
-                let limit = u32::from(share.long_limit(slots));
-                self.long_time.wait().saturating_mul(turns - owed) / limit
+        let reserved = u32::from(share.unused_long_reserve(self.running, slots));
+        pause
+            + match class {
+                Class::Long if jobs > reserved => {
+                    let limit = u32::from(share.long_limit(slots));
+                    self.long_time.fast().saturating_mul(jobs - reserved) / limit
+                }
+                Class::Short | Class::Long => {
+                    self.service_time(now).saturating_mul(jobs) / short_slots
+                }
             }
-            Class::Short | Class::Long => {
-                self.service_time(now).saturating_mul(turns) / short_slots
-            }
-        }
     }
 
-    /// Mean service time of short jobs. Where all running jobs are older than
-    /// the mean, the backend server has slowed down: the age of the youngest
-    /// counts.
+    /// Returns the mean service time of short jobs, or the age of the youngest
+    /// running short job if that is larger: all of them then have run for longer
+    /// than the mean, so the backend server has slowed down.
     fn service_time(&self, now: Duration) -> Duration {
         let short = self.runs.values().filter(|run| run.class == Class::Short);
-        let youngest = short.map(|run| run.since).max();
+        let youngest = short.map(|run| run.started).max();
         let age = youngest.map_or(Duration::ZERO, |since| now.saturating_sub(since));
-        self.short_time.wait().max(age)
+        self.short_time.fast().max(age)
     }
 
     fn max_wait(&self, now: Duration, class: Class) -> Duration {
@@ -372,27 +393,31 @@
         }
     }
 
-    fn margin(&self, now: Duration, class: Class) -> Duration {
+    /// Returns the least time that has to remain before a job's deadline when it
+    /// starts.
+    fn deadline_margin(&self, now: Duration, class: Class) -> Duration {
         match class {
             Class::Short => self.service_time(now) / MARGIN_DIVISOR,
             Class::Long => Duration::ZERO,
         }
     }
 
-    /// Slots that short jobs can use once a pause is over.
+    /// Returns the number of slots that short jobs can use once a pause is over, at
+    /// least 1.
     fn short_slots(&self) -> u16 {
         let left = self.settings.slots.saturating_sub(self.running.long);
-        left.min(self.pause.next_limit()).max(1)
+        left.min(self.pause.limit_after_pause()).max(1)
     }
 
-    fn learn(&mut self, now: Duration) {
-        let mean = self.short_time.weight();
+    /// Updates the weight from the service time, the usable slots and the pause.
+    fn update_capacity(&mut self, now: Duration) {
+        let mean = self.short_time.slow();
         let time = match self.service_time(now) {
             age if age > mean * STALL_RATIO => age,
             _ => mean,
         };
         let slots = f64::from(self.short_slots());
-        let paused = !self.pause.rest(now).is_zero();
+        let paused = !self.pause.remaining(now).is_zero();
         let share = if paused { PAUSED_SHARE } else { 1.0 };
         self.capacity
             .update(now, share * slots / time.as_secs_f64());
@@ -412,7 +437,7 @@
         }
     }
 
-    fn time_mut(&mut self, class: Class) -> &mut Mean {
+    fn service_time_mut(&mut self, class: Class) -> &mut Mean {
         match class {
             Class::Short => &mut self.short_time,
             Class::Long => &mut self.long_time,
--- a/state/limit/src/held.rs
+++ b/state/limit/src/held.rs
@@ -1,8 +1,8 @@
-//! Estimates the work that held flows will bring.
+//! Estimates the load that held flows are expected to cause.
 //!
-//! Answers the load of long flows that were all opened at once, as after a
-//! failure: they have shown no rate yet, and can not be moved later. Until they
-//! have, each counts with the mean rate of the flows seen so far.
+//! Accounts for long flows that are all opened at once, for example after a
+//! failure: they have no measured rate yet and cannot be moved later. Until they
+//! have one, each counts with the mean rate of the flows observed so far.
 use std::time::Duration;
 
 use crate::Load;
@@ -11,11 +11,11 @@
 /// Limits of a [`Held`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// How the rate that was seen is smoothed.
+    /// Parameters of the load estimate from observed requests.
     pub load: load::Settings,
-    /// Time over which the mean rate of a flow is taken.
-    pub memory: Duration,
-    /// Requests a second that a flow is expected to bring before any was seen.
+    /// Time constant of the mean request rate of a flow.
+    pub averaging_time: Duration,
+    /// Initial estimate of the request rate of a flow, in requests a second.
     pub flow_rate: f64,
 }
 
@@ -23,13 +23,14 @@
     fn default() -> Self {
         Self {
             load: load::Settings::default(),
-            memory: Duration::from_secs(20),
+            averaging_time: Duration::from_secs(20),
             flow_rate: 1.0,
         }
     }
 }
 
-/// The load of the held flows: as seen, or as their number lets expect.
+/// The load of the held flows: the observed load or the load expected from their
+/// number, whichever is larger.
 ///
 /// ```
 /// use std::time::Duration;
@@ -47,14 +48,15 @@
     settings: Settings,
     load: Load,
     flows: f64,
-    /// Requests seen, and the time for which flows were held; both decay.
+    /// Observed requests, with exponential decay.
     requests: f64,
+    /// Sum of the seconds for which each flow was held, with exponential decay.
     flow_seconds: f64,
     updated: Duration,
 }
 
 impl Held {
-    /// Starts without flows.
+    /// Creates an estimate without held flows.
     #[must_use]
     pub fn new(settings: Settings, now: Duration) -> Self {
         Self {
@@ -67,34 +69,34 @@
         }
     }
 
-    /// Notes a request of a held flow that has had another before.
+    /// Records a request of a held flow other than the flow's first.
     pub fn request(&mut self, now: Duration) {
         self.load.request(now);
         self.requests += 1.0;
     }
 
-    /// Notes how many flows are held between their requests.
+    /// Records the number of held flows that are idle between two requests.
     pub fn observe(&mut self, now: Duration, flows: u32) {
         let passed = now.saturating_sub(self.updated).as_secs_f64();
         self.updated = now;
         self.flow_seconds += self.flows * passed;
         self.flows = f64::from(flows);
-        let keep = (-passed / self.settings.memory.as_secs_f64()).exp();
-        // At least one second counts, so that the mean stays defined.
-        if self.flow_seconds * keep >= 1.0 {
-            self.requests *= keep;
-            self.flow_seconds *= keep;
+        let decay = (-passed / self.settings.averaging_time.as_secs_f64()).exp();
+        // Keeps at least one second, so that the mean stays defined.
+        if self.flow_seconds * decay >= 1.0 {
+            self.requests *= decay;
+            self.flow_seconds *= decay;
         }
     }
 
-    /// Mean rate of a held flow, in requests a second.
+    /// Returns the mean rate of a held flow, in requests a second.
     #[must_use]
     pub fn flow_rate(&self) -> f64 {
         self.requests / self.flow_seconds
     }
 
-    /// What the held flows add to a bid, given the capacity in requests a
-    /// second.
+    /// Returns the load to add to a bid, expressed as a wait, given the capacity in
+    /// requests a second.
     #[must_use]
     pub fn bid(&self, now: Duration, capacity: u32) -> Duration {
         let expected = self.flows * self.flow_rate() / f64::from(capacity.max(1));
--- a/state/limit/src/job.rs
+++ b/state/limit/src/job.rs
@@ -1,79 +1,80 @@
-//! Work that is offered to a gate, and what becomes of it.
+//! Jobs offered to a [`Gate`](crate::Gate) and their outcomes.
 use std::time::Duration;
 
-/// Names a job within its gate; chosen by whoever offers it.
+/// Identifies a job within its gate; chosen by the code that offers the job.
 pub type JobId = u64;
 
-/// Work offered to a gate.
+/// A unit of work offered to a gate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Job {
     /// Unique among the jobs in the gate.
     pub id: JobId,
-    /// When the caller gives up, from the same origin as `now`.
+    /// Deadline of the caller, measured from the same origin as `now`.
     pub deadline: Duration,
-    /// How long the job keeps a slot.
+    /// Class of the job, by how long it occupies a slot.
     pub class: Class,
 }
 
-/// How long a job keeps a slot.
+/// Class of a job by how long it occupies a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Class {
-    /// A query.
+    /// A query, which occupies a slot briefly.
     Short,
-    /// A feed that stays open.
+    /// A feed, which stays open and may occupy a slot for hours.
     Long,
 }
 
-/// Answer to an offer.
+/// Result of offering a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Verdict {
-    /// The job has a slot; run it now.
+    /// The job has a slot and must be run now.
     Start,
-    /// The job waits; a later [`Release`] is its end.
+    /// The job is queued until a [`Release`] starts or expires it, or until it is
+    /// cancelled.
     Queued,
-    /// The job was not taken.
+    /// The job was not admitted.
     Refuse {
-        /// Why.
+        /// Reason for the refusal.
         reason: Reason,
-        /// How long the caller should wait before it tries again.
+        /// Time that the caller should wait before a retry.
         retry_after: Duration,
     },
 }
 
-/// Why a job was not taken.
+/// Reason for refusing a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Reason {
-    /// The queue is at its limit.
+    /// The queue is full, or the expected wait is above its limit.
     Full,
-    /// The job would not end before its deadline.
+    /// The job cannot meet its deadline.
     Deadline,
-    /// The backend server asked for a pause, or fails, and the pause outlasts
-    /// the deadline.
+    /// The backend server is paused because it shed load or failed, until after the
+    /// job's deadline.
     Paused,
-    /// A job of this id is in the gate already.
+    /// A job with the same id is already running or queued.
     Duplicate,
 }
 
-/// How a running job ended.
+/// Outcome of a running job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Finish {
     /// The backend server answered.
     Done,
-    /// The backend server refused the job and asked for a pause.
+    /// The backend server refused the job because of overload.
     Shed {
-        /// The pause asked for.
+        /// Requested pause; zero if the backend server requested none.
         retry_after: Duration,
     },
-    /// The backend server failed.
+    /// The backend server failed the job.
     Failed,
     /// The caller cancelled the job.
     Cancelled,
 }
 
-/// What becomes of a queued job.
+/// Outcome of a queued job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Release {
-    /// The job has a slot; run it now.
+    /// The job has a slot and must be run now.
     Start(JobId),
     /// The job's deadline has passed, or can no longer be met.
     Expire(JobId),
--- a/state/limit/src/lib.rs
+++ b/state/limit/src/lib.rs
@@ -1,13 +1,16 @@
-//! Admits work to a backend server within its slots and the caller's deadline.
+//! Admission control for a backend server: admits work within the server's slots
+//! and the caller's deadline.
 //!
-//! * [`Gate`] holds the slots and the queue of one backend server.
-//! * [`Held`] estimates the work that held flows will bring.
-//! * [`Occupancy`] tells how long work that is only seen from outside would wait.
-//! * [`Risk`] estimates how likely a backend server fails a request.
-//! * [`Budget`] bounds retries to a share of first tries.
+//! * [`Gate`] manages the slots and the queue of one backend server.
+//! * [`Held`] estimates the load that held flows are expected to cause.
+//! * [`Occupancy`] estimates the wait at a backend server whose queue is not
+//!   visible, from requests and answers on the network.
+//! * [`Load`] estimates the load of held flows from their request rate.
+//! * [`Risk`] estimates how likely a backend server is to fail a request.
+//! * [`Budget`] limits retries to a share of first tries.
 //! * [`Backoff`] spaces retries.
 //!
-//! All parts are sans-IO: they own no clock or randomness.
+//! All modules are sans-IO: the caller passes in the time and random seeds.
 pub mod backoff;
 pub mod budget;
 pub mod capacity;
--- a/state/limit/src/load.rs
+++ b/state/limit/src/load.rs
@@ -1,12 +1,12 @@
-//! Estimates the load that the held flows put on a backend server.
+//! Estimates the load of a backend server's held flows from their request rate.
 use std::time::Duration;
 
 /// Limits of a [`Load`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// Time over which the request rate is smoothed.
+    /// Time constant of the smoothed request rate.
     pub smoothing: Duration,
-    /// Bid of a backend server whose held flows ask for its whole capacity.
+    /// Bid of a backend server whose held flows use its full capacity.
     pub full: Duration,
 }
 
@@ -19,10 +19,10 @@
     }
 }
 
-/// Load of the flows held, as an exponentially decayed request rate.
+/// Load of the held flows, as a request rate with exponential decay.
 ///
-/// A flow's first request does not count: it shows no rate, and many flows carry
-/// no other.
+/// A flow's first request does not count: it gives no rate, and many flows have
+/// only one request.
 ///
 /// ```
 /// use std::time::Duration;
@@ -42,7 +42,7 @@
 }
 
 impl Load {
-    /// Starts without load.
+    /// Creates an estimate without load.
     #[must_use]
     pub fn new(settings: Settings, now: Duration) -> Self {
         Self {
@@ -52,30 +52,31 @@
         }
     }
 
-    /// Notes a request of a held flow that has had another before.
+    /// Records a request of a held flow other than the flow's first.
     pub fn request(&mut self, now: Duration) {
-        self.rate = self.rate * self.keep(now) + 1.0 / self.seconds();
+        self.rate = self.rate * self.decay(now) + 1.0 / self.smoothing_seconds();
         self.updated = self.updated.max(now);
     }
 
-    /// What the held flows add to a bid, given the capacity in jobs a second.
+    /// Returns the load to add to a bid, expressed as a wait, given the capacity
+    /// (`weight`) in jobs a second.
     #[must_use]
     pub fn bid(&self, now: Duration, weight: u32) -> Duration {
-        let share = self.rate * self.keep(now) / f64::from(weight.max(1));
+        let share = self.rate * self.decay(now) / f64::from(weight.max(1));
         Duration::try_from_secs_f64(self.settings.full.as_secs_f64() * share)
             .unwrap_or(Duration::MAX)
     }
 
-    /// Share of the rate that is left.
-    fn keep(&self, now: Duration) -> f64 {
+    /// Returns the share of the rate that remains after decay.
+    fn decay(&self, now: Duration) -> f64 {
         let age = now.saturating_sub(self.updated).as_secs_f64();
-        (-age / self.seconds()).exp()
+        (-age / self.smoothing_seconds()).exp()
     }
 
-    fn seconds(&self) -> f64 {
+    fn smoothing_seconds(&self) -> f64 {
         self.settings.smoothing.max(MIN_SMOOTHING).as_secs_f64()
     }
 }
 
-/// Least smoothing time.
+/// Minimum time constant, which avoids a division by zero.
 const MIN_SMOOTHING: Duration = Duration::from_millis(1);
--- a/state/limit/src/occupancy.rs
+++ b/state/limit/src/occupancy.rs
@@ -1,14 +1,15 @@
-//! Estimates the queue of a backend server from the outside.
+//! Estimates the queue of a backend server from its network traffic.
 //!
-//! Answers the load of flows that are carried unread: requests are seen only as
-//! packets that go in and answers that come out.
+//! Used for flows that are carried without parsing their requests: requests are
+//! observed only as packets to the backend server and answers from it.
 use std::time::Duration;
 
 use wire::transit::Load;
 
 use crate::capacity::Mean;
 
-/// Requests that run or wait at a backend server, and how long they take.
+/// The number of requests running or queued at a backend server, and their mean
+/// service time.
 ///
 /// ```
 /// use std::time::Duration;
@@ -27,11 +28,11 @@
     slots: u16,
     running: u16,
     mean: Mean,
-    /// The last time at which an answer ended, or a slot was free.
+    /// Time at which a request last ended, or last began with a slot free.
     last_event: Duration,
 }
 
-/// The beginning of one request.
+/// The start of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Start {
     at: Duration,
@@ -39,7 +40,8 @@
 }
 
 impl Occupancy {
-    /// Starts idle; `assumed` is the service time until requests have shown it.
+    /// Creates an idle backend server; `assumed` is the initial estimate of the
+    /// service time.
     #[must_use]
     pub fn new(slots: u16, assumed: Duration) -> Self {
         Self {
@@ -50,12 +52,12 @@
         }
     }
 
-    /// Takes the number of slots that the backend server states.
+    /// Sets the number of slots that the backend server announces.
     pub fn set_slots(&mut self, slots: u16) {
         self.slots = slots.max(1);
     }
 
-    /// Notes that a request reached the backend server.
+    /// Records that a request was sent to the backend server.
     pub fn begin(&mut self, now: Duration) -> Start {
         let is_queued = self.running >= self.slots;
         if !is_queued {
@@ -65,9 +67,10 @@
         Start { at: now, is_queued }
     }
 
-    /// Notes that a request was answered, and learns from how long it took.
+    /// Records that a request was answered, and updates the mean service time.
     pub fn finish(&mut self, now: Duration, start: Start) {
-        // Behind a queue, answers leave at the rate of all slots together.
+        // While requests are queued, the time between two answers is the service
+        // time divided by the number of slots.
         let time = if start.is_queued {
             now.saturating_sub(self.last_event.max(start.at)) * u32::from(self.slots)
         } else {
@@ -77,20 +80,20 @@
         self.release(now);
     }
 
-    /// Notes that a request ended without an answer, which tells nothing about
-    /// how long requests take.
+    /// Records that a request ended without an answer; the mean service time stays
+    /// unchanged.
     pub fn release(&mut self, now: Duration) {
         self.running = self.running.saturating_sub(1);
         self.last_event = now;
     }
 
-    /// Expected wait of a request that comes now, before it begins to run.
+    /// Returns the expected time that a new request would wait before it runs.
     #[must_use]
     pub fn wait(&self) -> Duration {
         self.load().wait()
     }
 
-    /// The load, to be told to others.
+    /// Returns the load to report to other processes.
     #[must_use]
     pub fn load(&self) -> Load {
         Load {
@@ -102,27 +105,27 @@
         }
     }
 
-    /// Requests that run or wait.
+    /// Returns the number of running and queued requests.
     #[must_use]
     pub const fn running(&self) -> u16 {
         self.running
     }
 
-    /// Requests that run at a time.
+    /// Returns the number of requests that run concurrently.
     #[must_use]
     pub const fn slots(&self) -> u16 {
         self.slots
     }
 
-    /// Mean service time of the latest requests.
+    /// Returns the mean service time of the latest requests.
     #[must_use]
     pub fn service_time(&self) -> Duration {
-        self.mean.wait()
+        self.mean.fast()
     }
 }
 
 impl Start {
-    /// The same beginning at a later time, for a slot that was kept.
+    /// Returns the start with a later time, for a request that keeps its slot.
     #[must_use]
     pub const fn moved(self, now: Duration) -> Self {
         Self { at: now, ..self }
--- a/state/limit/src/pause.rs
+++ b/state/limit/src/pause.rs
@@ -1,8 +1,7 @@
-//! Keeps work from a backend server that sheds or fails, and tries it again
-//! gently.
+//! Pauses and slow start of a backend server that sheds or fails jobs.
 //!
-//! A pause ends with a single slot; each run of successes as long as the limit
-//! adds another (slow start).
+//! After a pause the limit is a single slot. It grows by one slot each time as
+//! many jobs have succeeded as the limit allows (slow start).
 use std::time::Duration;
 
 use crate::Backoff;
@@ -11,11 +10,11 @@
 /// Limits of a [`Pause`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Longest pause that a backend server can ask for.
+    /// Maximum pause that a backend server can request.
     pub max: Duration,
-    /// Consecutive failures that start a pause.
+    /// Number of consecutive failures that starts a pause.
     pub failures: u32,
-    /// Pauses after failures.
+    /// Pauses after failures, and after sheds without a requested pause.
     pub backoff: backoff::Settings,
 }
 
@@ -32,7 +31,8 @@
     }
 }
 
-/// The number of slots in use, from one up to all.
+/// The limit on a backend server's usable slots: zero during a pause, otherwise
+/// from one up to all.
 #[derive(Debug)]
 pub struct Pause {
     settings: Settings,
@@ -45,7 +45,7 @@
 }
 
 impl Pause {
-    /// Starts cold, with a single slot.
+    /// Creates the limit of a cold backend server: a single slot.
     #[must_use]
     pub fn new(settings: Settings, slots: u16, seed: u64) -> Self {
         Self {
@@ -59,32 +59,32 @@
         }
     }
 
-    /// Slots that may be used now; none during a pause.
+    /// Returns the number of slots that may be used now; zero during a pause.
     #[must_use]
     pub fn limit(&self, now: Duration) -> u16 {
         if now < self.until { 0 } else { self.limit }
     }
 
-    /// Slots that are used once the pause is over.
+    /// Returns the number of slots that may be used once the pause is over.
     #[must_use]
-    pub fn next_limit(&self) -> u16 {
+    pub fn limit_after_pause(&self) -> u16 {
         self.limit
     }
 
-    /// What is left of the pause.
+    /// Returns the remaining time of the pause; zero outside a pause.
     #[must_use]
-    pub fn rest(&self, now: Duration) -> Duration {
+    pub fn remaining(&self, now: Duration) -> Duration {
         self.until.saturating_sub(now)
     }
 
-    /// End of the pause, if one is on.
+    /// Returns the end of the current pause, if any.
     #[must_use]
     pub fn end(&self, now: Duration) -> Option<Duration> {
         (now < self.until).then_some(self.until)
     }
 
-    /// Counts a success.
-    pub fn succeed(&mut self) {
+    /// Counts a success, which may add a slot.
+    pub fn record_success(&mut self) {
         self.failures = 0;
         self.backoff.reset();
         self.successes += 1;
@@ -94,27 +94,27 @@
         }
     }
 
-    /// Counts a failure; several in a row start a pause.
-    pub fn fail(&mut self, now: Duration) {
+    /// Counts a failure; [`Settings::failures`] in a row start a pause.
+    pub fn record_failure(&mut self, now: Duration) {
         self.failures += 1;
         if self.failures >= self.settings.failures {
             self.failures = 0;
             let pause = self.backoff.next_pause();
-            self.start(now, pause);
+            self.start_pause(now, pause);
         }
     }
 
-    /// Starts the pause that the backend server asked for, within the limit;
-    /// at least the pause after failures where it asked for none.
-    pub fn shed(&mut self, now: Duration, asked: Duration) {
-        let pause = match asked {
+    /// Starts the pause that the backend server requested, up to [`Settings::max`],
+    /// or a pause of the backoff if it requested none.
+    pub fn record_shed(&mut self, now: Duration, requested: Duration) {
+        let pause = match requested {
             Duration::ZERO => self.backoff.next_pause(),
-            _ => asked.min(self.settings.max),
+            _ => requested.min(self.settings.max),
         };
-        self.start(now, pause);
+        self.start_pause(now, pause);
     }
 
-    fn start(&mut self, now: Duration, pause: Duration) {
+    fn start_pause(&mut self, now: Duration, pause: Duration) {
         self.until = self.until.max(now + pause);
         self.limit = 1;
         self.successes = 0;
--- a/state/limit/src/queue.rs
+++ b/state/limit/src/queue.rs
@@ -1,4 +1,4 @@
-//! The jobs of one class that wait for a slot.
+//! Queue of the jobs of one class that wait for a slot.
 use std::collections::BTreeMap;
 use std::collections::HashMap;
 use std::time::Duration;
@@ -6,23 +6,24 @@
 use crate::Job;
 use crate::JobId;
 
-/// The sequence in which waiting jobs get their slots.
+/// Order in which queued jobs start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum Discipline {
-    /// The job that was offered first.
+    /// First in, first out.
     Fifo,
-    /// The job with the earliest deadline.
+    /// Earliest deadline first.
     #[default]
     EarliestDeadline,
 }
 
+/// Sort key of a queued job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
     deadline: Duration,
     sequence: u64,
 }
 
-/// The jobs of one class that wait for a slot.
+/// The queued jobs of one class.
 #[derive(Debug, Default)]
 pub struct Queue {
     discipline: Discipline,
@@ -42,25 +43,26 @@
         }
     }
 
-    /// Number of waiting jobs.
+    /// Returns the number of queued jobs.
     #[must_use]
     pub fn len(&self) -> usize {
         self.jobs.len()
     }
 
-    /// Whether no job waits.
+    /// Returns whether no job is queued.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.jobs.is_empty()
     }
 
-    /// Whether a job waits.
+    /// Returns whether the job with the given id is queued.
     #[must_use]
     pub fn contains(&self, id: JobId) -> bool {
         self.ranks.contains_key(&id)
     }
 
-    /// Number of jobs that would get a slot before a job of this deadline.
+    /// Returns the number of queued jobs that would start before a new job with the
+    /// given deadline.
     #[must_use]
     pub fn ahead(&self, deadline: Duration) -> usize {
         match self.discipline {
@@ -94,22 +96,22 @@
         self.deadlines.insert(due, job.id);
     }
 
-    /// Removes the job whose turn it is.
+    /// Removes and returns the next job in the order of the discipline.
     pub fn pop(&mut self) -> Option<Job> {
         let (rank, job) = self.jobs.pop_first()?;
-        self.forget(rank, job);
+        self.remove_from_indexes(rank, job);
         Some(job)
     }
 
-    /// Removes a job.
+    /// Removes and returns the job with the given id.
     pub fn remove(&mut self, id: JobId) -> Option<Job> {
         let rank = *self.ranks.get(&id)?;
         let job = self.jobs.remove(&rank)?;
-        self.forget(rank, job);
+        self.remove_from_indexes(rank, job);
         Some(job)
     }
 
-    /// Removes a job whose deadline is not after the given time.
+    /// Removes and returns a job whose deadline is at or before the given time.
     pub fn pop_due(&mut self, time: Duration) -> Option<Job> {
         let due = self.first_deadline().filter(|&deadline| deadline <= time);
         due.and_then(|_| self.deadlines.first_key_value())
@@ -117,7 +119,7 @@
             .and_then(|id| self.remove(id))
     }
 
-    /// The earliest deadline of all jobs.
+    /// Returns the earliest deadline of all queued jobs.
     #[must_use]
     pub fn first_deadline(&self) -> Option<Duration> {
         self.deadlines
@@ -125,7 +127,7 @@
             .map(|(rank, _)| rank.deadline)
     }
 
-    fn forget(&mut self, rank: Rank, job: Job) {
+    fn remove_from_indexes(&mut self, rank: Rank, job: Job) {
         self.ranks.remove(&job.id);
         self.deadlines.remove(&Rank {
             deadline: job.deadline,
--- a/state/limit/src/risk.rs
+++ b/state/limit/src/risk.rs
@@ -1,34 +1,36 @@
-//! Estimates how likely a backend server fails a request.
+//! Estimates how likely a backend server is to fail a request.
 //!
-//! Answers the load of backend servers that say they are well and reset, drop or
-//! never answer requests: they look idle and fast, and would draw all work. What
-//! counts is what became of the requests sent there; old evidence fades, so that
-//! a backend server that has recovered gets work again little by little.
+//! Guards against backend servers that report that they are healthy, but reset,
+//! drop or never answer requests: they look idle and fast, and would attract all
+//! work. The estimate uses the outcomes of the requests sent to the backend
+//! server. Old outcomes decay, so that one that has recovered gets work again
+//! gradually.
 use std::time::Duration;
 
 /// Limits of a [`Risk`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// Time over which evidence fades.
-    pub memory: Duration,
-    /// Answered requests that are assumed before any was seen, so that one
-    /// failure says little.
-    pub trust: f64,
-    /// What a failed request costs its caller, as a wait.
+    /// Time constant of the decay of old outcomes.
+    pub decay_time: Duration,
+    /// Number of answered requests assumed in advance, which limits the weight of a
+    /// single failure.
+    pub prior_answers: f64,
+    /// Cost of a failed request to its caller, expressed as a wait.
     pub cost: Duration,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            memory: Duration::from_secs(5),
-            trust: 4.0,
+            decay_time: Duration::from_secs(5),
+            prior_answers: 4.0,
             cost: Duration::from_secs(1),
         }
     }
 }
 
-/// How likely a backend server fails a request, from those that it was sent.
+/// Estimated probability that a backend server fails a request, from the outcomes
+/// of earlier requests.
 ///
 /// ```
 /// use std::time::Duration;
@@ -51,7 +53,7 @@
 }
 
 impl Risk {
-    /// Starts without evidence.
+    /// Creates an estimate without outcomes.
     #[must_use]
     pub const fn new(settings: Settings, now: Duration) -> Self {
         Self {
@@ -62,42 +64,42 @@
         }
     }
 
-    /// Notes that a request was answered.
+    /// Records that a request was answered.
     pub fn answered(&mut self, now: Duration) {
-        self.fade(now);
+        self.apply_decay(now);
         self.answered += 1.0;
     }
 
-    /// Notes that a request was reset, or not answered in its time.
+    /// Records that a request was reset, or not answered in time.
     pub fn failed(&mut self, now: Duration) {
-        self.fade(now);
+        self.apply_decay(now);
         self.failed += 1.0;
     }
 
-    /// Share of the requests that are expected to fail.
+    /// Returns the share of requests that is expected to fail.
     #[must_use]
     pub fn share(&self, now: Duration) -> f64 {
-        let keep = self.keep(now);
-        let (failed, answered) = (self.failed * keep, self.answered * keep);
-        failed / (failed + answered + self.settings.trust)
+        let decay = self.decay(now);
+        let (failed, answered) = (self.failed * decay, self.answered * decay);
+        failed / (failed + answered + self.settings.prior_answers)
     }
 
-    /// What a further request is expected to lose here, as a wait.
+    /// Returns the expected cost of failure for a new request, expressed as a wait.
     #[must_use]
     pub fn wait(&self, now: Duration) -> Duration {
         self.settings.cost.mul_f64(self.share(now))
     }
 
-    fn fade(&mut self, now: Duration) {
-        let keep = self.keep(now);
-        self.failed *= keep;
-        self.answered *= keep;
+    fn apply_decay(&mut self, now: Duration) {
+        let decay = self.decay(now);
+        self.failed *= decay;
+        self.answered *= decay;
         self.updated = self.updated.max(now);
     }
 
-    /// Share of the evidence that is left.
-    fn keep(&self, now: Duration) -> f64 {
+    /// Returns the share of the counts that remains after decay.
+    fn decay(&self, now: Duration) -> f64 {
         let passed = now.saturating_sub(self.updated).as_secs_f64();
-        (-passed / self.settings.memory.as_secs_f64()).exp()
+        (-passed / self.settings.decay_time.as_secs_f64()).exp()
     }
 }
--- a/state/limit/src/share.rs
+++ b/state/limit/src/share.rs
@@ -1,17 +1,17 @@
-//! Divides the slots between short and long jobs.
+//! Division of the slots between short and long jobs.
 //!
-//! Each class has a reserved share. Short jobs borrow free slots of the long
-//! class, since they give them back soon. Long jobs never borrow the reserve of
-//! the short class: a feed would keep it for hours.
+//! Each class has a reserved share of the slots. Short jobs may use free slots of
+//! the long class, since they release them soon. Long jobs never use the reserve
+//! of the short class: a feed would occupy it for hours.
 use crate::Class;
 
-/// Reserved shares of the slots, in percent; each class gets at least one slot
-/// where there are two.
+/// Reserved shares of the slots; each class gets at least one slot if there are
+/// two or more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Slots that long jobs never take.
+    /// Slots that long jobs never use, in percent.
     pub short_percent: u32,
-    /// Slots that go to waiting long jobs before short ones.
+    /// Slots that queued long jobs get before short ones, in percent.
     pub long_percent: u32,
 }
 
@@ -24,24 +24,24 @@
     }
 }
 
-/// Running jobs by class.
+/// Number of running jobs by class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Count {
-    /// Short jobs.
+    /// Number of short jobs.
     pub short: u16,
-    /// Long jobs.
+    /// Number of long jobs.
     pub long: u16,
 }
 
 impl Count {
-    /// All jobs.
+    /// Returns the number of jobs of both classes.
     #[must_use]
     pub fn total(self) -> u16 {
         self.short + self.long
     }
 
-    /// The count of one class.
-    pub fn of(&mut self, class: Class) -> &mut u16 {
+    /// Returns a mutable reference to the count of one class.
+    pub fn class_mut(&mut self, class: Class) -> &mut u16 {
         match class {
             Class::Short => &mut self.short,
             Class::Long => &mut self.long,
@@ -49,26 +49,27 @@
     }
 }
 
-/// Whether a job waits that may start, by class.
+/// Whether a queued job may start, by class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Waiting {
-    /// Short jobs.
+    /// Whether a queued short job may start.
     pub short: bool,
-    /// Long jobs.
+    /// Whether a queued long job may start.
     pub long: bool,
 }
 
 impl Settings {
-    /// Largest number of long jobs at a time. With a single slot, classes
-    /// cannot be kept apart and it is one.
+    /// Returns the maximum number of concurrent long jobs. With a single slot,
+    /// which both classes share, it is one.
     #[must_use]
     pub fn long_limit(&self, slots: u16) -> u16 {
-        (slots - reserve(slots, self.short_percent)).max(1)
+        (slots - reserved_slots(slots, self.short_percent)).max(1)
     }
 
-    /// Whether a job of the class may start beside the running ones. The limit
-    /// of a slow start counts short jobs only: it grows as they end, which a
-    /// long job that filled it would prevent.
+    /// Returns whether a job of the class may start in addition to the running
+    /// ones. The slow-start `limit` applies to short jobs only: it grows when jobs
+    /// end, and a long job that used it up would stop that growth. At a limit of
+    /// zero (a pause), no job starts.
     #[must_use]
     pub fn admits(&self, class: Class, running: Count, limit: u16, slots: u16) -> bool {
         let below = match class {
@@ -78,19 +79,26 @@
         below && running.total() < slots
     }
 
-    /// Slots that go to waiting long jobs before short ones.
+    /// Returns the number of slots reserved for long jobs that they do not use;
+    /// queued long jobs get them before short ones.
     #[must_use]
-    pub fn owed(&self, running: Count, slots: u16) -> u16 {
-        reserve(slots, self.long_percent).saturating_sub(running.long)
+    pub fn unused_long_reserve(&self, running: Count, slots: u16) -> u16 {
+        reserved_slots(slots, self.long_percent).saturating_sub(running.long)
     }
 
-    /// The class whose turn it is, of those that wait and may start. With a
-    /// single slot the classes alternate.
+    /// Returns the class of the next job to start, among the classes that have a
+    /// queued job that may start. With a single slot, the classes alternate.
     #[must_use]
-    pub fn turn(&self, waiting: Waiting, running: Count, last: Class, slots: u16) -> Option<Class> {
+    pub fn next_class(
+        &self,
+        waiting: Waiting,
+        running: Count,
+        last: Class,
+        slots: u16,
+    ) -> Option<Class> {
         let long_first = match slots {
             1 => last == Class::Short,
-            _ => self.owed(running, slots) > 0,
+            _ => self.unused_long_reserve(running, slots) > 0,
         };
         match waiting {
             Waiting { long: true, .. } if long_first => Some(Class::Long),
@@ -101,7 +109,9 @@
     }
 }
 
-fn reserve(slots: u16, percent: u32) -> u16 {
+/// Returns the number of reserved slots: at least one, and at most all but one if
+/// there are two or more.
+fn reserved_slots(slots: u16, percent: u32) -> u16 {
     let share = u32::from(slots) * percent.min(100) / 100;
     let share = u16::try_from(share).unwrap_or(slots);
     share.clamp(1, slots.saturating_sub(1).max(1))
--- a/state/limit/tests/gate.rs
+++ b/state/limit/tests/gate.rs
@@ -1,4 +1,5 @@
-//! The gate's promises: slots, deadlines, classes, pauses, learned capacity.
+//! Admission control: slots, deadlines, job classes, pauses and the capacity
+//! estimate.
 use std::collections::HashMap;
 use std::collections::HashSet;
 use std::time::Duration;
@@ -16,6 +17,7 @@
 use proptest::collection::vec;
 use proptest::prelude::*;
 
+/// A deadline far beyond the expected waits in the tests.
 const FAR: Duration = Duration::from_hours(1);
 
 const fn ms(millis: u64) -> Duration {
@@ -30,7 +32,7 @@
     }
 }
 
-/// First in, first out, and only the absolute limit of the wait.
+/// First in, first out, with only the absolute limit on the expected wait.
 fn settings(slots: u16) -> Settings {
     Settings {
         slots,
@@ -91,7 +93,7 @@
     reason: Option<Reason>,
 }
 
-fn late_work_is_refused_at_once(case: Late) {
+fn late_jobs_are_refused_immediately(case: Late) {
     let settings = Settings {
         max_wait: ms(1990),
         ..settings(1)
@@ -104,15 +106,15 @@
     assert_eq!(refusal(verdict), case.reason);
 }
 
-cases::cases! { late_work_is_refused_at_once;
-    a_short_queue_meets_the_deadline: Late { queued: 1, deadline: ms(150), reason: None },
-    a_queue_past_the_deadline_refuses: Late { queued: 3, deadline: ms(150), reason: Some(Reason::Deadline) },
-    a_queue_past_the_wait_limit_refuses: Late { queued: 39, deadline: FAR, reason: Some(Reason::Full) },
-    a_deadline_that_has_passed_refuses: Late { queued: 0, deadline: ms(0), reason: Some(Reason::Deadline) },
+cases::cases! { late_jobs_are_refused_immediately;
+    a_job_that_can_meet_its_deadline_is_not_refused: Late { queued: 1, deadline: ms(150), reason: None },
+    a_job_whose_wait_exceeds_its_deadline_is_refused: Late { queued: 3, deadline: ms(150), reason: Some(Reason::Deadline) },
+    a_job_whose_wait_exceeds_the_limit_is_refused: Late { queued: 39, deadline: FAR, reason: Some(Reason::Full) },
+    a_job_past_its_deadline_is_refused: Late { queued: 0, deadline: ms(0), reason: Some(Reason::Deadline) },
 }
 
 #[test]
-fn a_queue_past_the_limit_in_service_times_refuses() {
+fn a_wait_above_the_limit_in_service_times_is_refused() {
     let settings = Settings {
         max_wait_times: 3,
         ..settings(1)
@@ -127,7 +129,7 @@
 }
 
 #[test]
-fn by_default_a_hasty_job_overtakes_a_queue_of_patient_ones() {
+fn by_default_a_job_with_an_earlier_deadline_overtakes_queued_jobs() {
     let settings = Settings {
         slots: 1,
         ..Settings::default()
@@ -143,42 +145,49 @@
 }
 
 #[test]
-fn refused_callers_are_told_distinct_times() {
+fn refused_callers_get_distinct_retry_times() {
     let mut warm = Warm::new(settings(2));
-    let mut told = HashSet::new();
+    let mut retry_times = HashSet::new();
     let mut latest = Duration::ZERO;
     for id in 0..300 {
         if let Verdict::Refuse { retry_after, .. } = warm.offer(id, Class::Short, FAR) {
-            told.insert(retry_after.as_millis() / 10);
+            retry_times.insert(retry_after.as_millis() / 10);
             latest = latest.max(retry_after);
         }
     }
-    // 300 jobs of 50 ms on 2 slots take 7.5 s: callers come back over that time.
-    assert!(told.len() > 150, "{} distinct times", told.len());
+    // 300 jobs of 50 ms on 2 slots take 7.5 s: retries are spread over that time.
+    assert!(
+        retry_times.len() > 150,
+        "{} distinct times",
+        retry_times.len()
+    );
     assert!(latest > Duration::from_secs(5), "{latest:?}");
     assert!(latest <= Duration::from_secs(30), "{latest:?}");
 }
 
 #[test]
-fn a_flood_is_not_told_to_return_together() {
+fn retries_after_a_flood_are_spread() {
     let mut warm = Warm::new(settings(2));
-    let mut told: HashMap<u128, usize> = HashMap::new();
+    let mut retry_times: HashMap<u128, usize> = HashMap::new();
     for id in 0..10_000 {
         if let Verdict::Refuse { retry_after, .. } = warm.offer(id, Class::Short, FAR) {
             assert!(retry_after <= Duration::from_secs(30));
-            *told.entry(retry_after.as_millis() / 100).or_default() += 1;
+            *retry_times
+                .entry(retry_after.as_millis() / 100)
+                .or_default() += 1;
         }
     }
-    let most = told.values().max().copied().unwrap_or_default();
-    // The last ones are spread over 10 s, 100 in each tenth of a second.
+    let most = retry_times.values().max().copied().unwrap_or_default();
+    // Callers refused at the maximum retry time are spread over 10 s, some 100 in
+    // each tenth of a second.
     assert!(
         most < 200,
-        "{most} return within the same tenth of a second"
+        "{most} callers retry within the same tenth of a second"
     );
 }
 
 #[test]
-fn long_jobs_leave_the_reserve_of_short_ones() {
+fn long_jobs_do_not_use_the_reserve_of_short_jobs() {
     let mut warm = Warm::new(settings(4));
     let starts = (0..4)
         .filter(|&id| warm.offer(id, Class::Long, FAR) == Verdict::Start)
@@ -189,7 +198,7 @@
 }
 
 #[test]
-fn short_jobs_give_back_the_reserve_of_long_ones() {
+fn a_queued_long_job_gets_the_next_slot_of_its_reserve() {
     let mut warm = Warm::new(settings(4));
     for id in 0..20 {
         assert_eq!(refusal(warm.offer(id, Class::Short, FAR)), None);
@@ -201,7 +210,7 @@
 }
 
 #[test]
-fn a_feed_on_a_cold_target_leaves_room_for_queries() {
+fn a_feed_on_a_cold_target_leaves_a_slot_for_queries() {
     let mut gate = Gate::new(settings(2), Duration::ZERO);
     let offers = [Class::Long, Class::Short]
         .into_iter()
@@ -211,7 +220,7 @@
 }
 
 #[test]
-fn earliest_deadline_runs_first() {
+fn the_earliest_deadline_starts_first() {
     let settings = Settings {
         discipline: Discipline::EarliestDeadline,
         ..settings(1)
@@ -226,11 +235,11 @@
 }
 
 #[test]
-fn a_queued_job_expires_when_it_can_no_longer_be_met() {
+fn a_queued_job_expires_when_its_deadline_can_no_longer_be_met() {
     let mut warm = Warm::new(settings(1));
     assert_eq!(warm.offer(0, Class::Short, FAR), Verdict::Start);
     assert_eq!(warm.offer(1, Class::Short, ms(120)), Verdict::Queued);
-    let due = warm.gate.next_deadline().expect("a job waits");
+    let due = warm.gate.next_deadline().expect("a job is queued");
     assert!(due < warm.now + ms(120));
     warm.gate.expire(due, &mut warm.out);
     assert_eq!(warm.out, [Release::Expire(1)]);
@@ -249,7 +258,7 @@
 }
 
 #[test]
-fn a_shed_pauses_and_returns_with_one_slot() {
+fn a_shed_starts_a_pause_that_ends_with_one_slot() {
     let mut warm = Warm::new(settings(4));
     for id in 0..3 {
         assert_eq!(warm.offer(id, Class::Short, FAR), Verdict::Start);
@@ -275,7 +284,7 @@
 }
 
 #[test]
-fn failures_in_a_row_pause() {
+fn consecutive_failures_start_a_pause() {
     let mut warm = Warm::new(settings(4));
     for id in 0..3 {
         assert_eq!(warm.offer(id, Class::Short, FAR), Verdict::Start);
@@ -294,8 +303,7 @@
     assert_eq!(offers, [Verdict::Start, Verdict::Queued]);
 }
 
-/// Jobs after which the mean that the weight follows is within 1% of a new
-/// service time.
+/// Number of jobs after which the slow mean is within 1% of a new service time.
 const SETTLED_JOBS: u64 = 600;
 
 #[derive(Clone, Copy)]
@@ -315,9 +323,9 @@
 // 4 slots at 20, 50 and 80 ms make 200, 80 and 50 jobs a second. The weight
 // stays within five quarters of a step, a factor of 2^(5/16).
 cases::cases! { the_weight_follows_the_service_time;
-    a_fast_target: Pace { time: ms(20), least: 161, most: 249 },
-    a_steady_target: Pace { time: ms(50), least: 64, most: 100 },
-    a_slow_target: Pace { time: ms(80), least: 40, most: 63 },
+    the_weight_of_a_target_that_becomes_faster: Pace { time: ms(20), least: 161, most: 249 },
+    the_weight_of_a_target_with_unchanged_speed: Pace { time: ms(50), least: 64, most: 100 },
+    the_weight_of_a_target_that_becomes_slower: Pace { time: ms(80), least: 40, most: 63 },
 }
 
 #[test]
@@ -337,7 +345,7 @@
 }
 
 #[test]
-fn the_weight_holds_still_under_noise() {
+fn the_weight_is_stable_under_alternating_service_times() {
     let mut warm = Warm::new(settings(4));
     let mut weights = HashSet::new();
     for round in 0..500 {
@@ -348,7 +356,7 @@
 }
 
 #[test]
-fn one_flooded_gate_leaves_another_alone() {
+fn a_flooded_gate_does_not_affect_another_gate() {
     let mut flooded = Warm::new(settings(2));
     let mut other = Warm::new(settings(2));
     for id in 0..10_000 {
@@ -388,16 +396,16 @@
     ]
 }
 
-/// What the owner of the gate knows of its jobs.
+/// The jobs of a gate as its user tracks them.
 #[derive(Default)]
-struct Book {
+struct Tracker {
     running: Vec<JobId>,
     queued: Vec<JobId>,
     ended: HashSet<JobId>,
 }
 
-impl Book {
-    fn take(&mut self, releases: &mut Vec<Release>) {
+impl Tracker {
+    fn apply_releases(&mut self, releases: &mut Vec<Release>) {
         for release in releases.drain(..) {
             let (Release::Start(id) | Release::Expire(id)) = release;
             let index = self.queued.iter().position(|&queued| queued == id);
@@ -405,7 +413,7 @@
                 .swap_remove(index.expect("only queued jobs are released"));
             match release {
                 Release::Start(_) => self.running.push(id),
-                Release::Expire(_) => assert!(self.ended.insert(id), "one end a job"),
+                Release::Expire(_) => assert!(self.ended.insert(id), "job {id} ended twice"),
             }
         }
     }
@@ -432,7 +440,7 @@
                 gate.expire(now, &mut out);
             }
         }
-        self.take(&mut out);
+        self.apply_releases(&mut out);
     }
 }
 
@@ -441,73 +449,73 @@
 }
 
 proptest! {
-    /// Never more jobs than slots, one end for each job, and no job is left
-    /// once every deadline has passed.
+    /// No more jobs run than there are slots, each job ends exactly once, and no job
+    /// stays queued once every deadline has passed.
     #[test]
-    fn every_job_has_one_end(
+    fn every_job_ends_exactly_once(
         slots in 1_u16..6,
         discipline in discipline(),
         events in vec((event(), 0_u64..200), 1..300),
     ) {
         let mut gate = Gate::new(Settings { discipline, ..settings(slots) }, Duration::ZERO);
-        let mut book = Book::default();
+        let mut tracker = Tracker::default();
         let mut now = Duration::ZERO;
         let mut offers = 0;
         for (id, (event, pause)) in (0..).zip(&events) {
             now += ms(*pause);
-            book.apply(&mut gate, now, id, event);
+            tracker.apply(&mut gate, now, id, event);
             offers += usize::from(matches!(event, Event::Offer { .. }));
-            prop_assert!(book.running.len() <= usize::from(slots));
-            prop_assert_eq!(book.running.len(), usize::from(gate.running().total()));
-            prop_assert_eq!(book.queued.len(), gate.queued());
+            prop_assert!(tracker.running.len() <= usize::from(slots));
+            prop_assert_eq!(tracker.running.len(), usize::from(gate.running().total()));
+            prop_assert_eq!(tracker.queued.len(), gate.queued());
         }
-        while let Some(id) = book.running.pop() {
+        while let Some(id) = tracker.running.pop() {
             let mut out = Vec::new();
-            book.ended.insert(id);
+            tracker.ended.insert(id);
             gate.finish(now, id, Finish::Done, &mut out);
-            book.take(&mut out);
+            tracker.apply_releases(&mut out);
         }
         gate.expire(now + FAR, &mut Vec::new());
         prop_assert_eq!(gate.queued(), 0);
-        prop_assert_eq!(book.ended.len() + book.queued.len(), offers);
+        prop_assert_eq!(tracker.ended.len() + tracker.queued.len(), offers);
     }
 
-    /// A deadline that the gate names is never in the past once it was acted
-    /// on, so that no caller of `next_deadline` spins.
+    /// After a call of `expire`, `next_deadline` is in the future, so that an event
+    /// loop that waits for it does not spin.
     #[test]
-    fn the_next_deadline_makes_progress(events in vec((event(), 0_u64..200), 1..200)) {
+    fn the_next_deadline_after_expire_is_in_the_future(events in vec((event(), 0_u64..200), 1..200)) {
         let mut gate = Gate::new(settings(3), Duration::ZERO);
-        let mut book = Book::default();
+        let mut tracker = Tracker::default();
         let mut now = Duration::ZERO;
         for (id, (event, pause)) in (0..).zip(&events) {
             now += ms(*pause);
-            book.apply(&mut gate, now, id, event);
+            tracker.apply(&mut gate, now, id, event);
             let mut out = Vec::new();
             gate.expire(now, &mut out);
-            book.take(&mut out);
+            tracker.apply_releases(&mut out);
             prop_assert!(gate.next_deadline().is_none_or(|deadline| deadline > now));
         }
     }
 
-    /// Under a flood of both classes each one gets its reserved share.
+    /// Under a flood of jobs of both classes, each class gets its reserved share.
     #[test]
-    fn neither_class_starves(slots in 1_u16..8, seed in any::<u64>()) {
+    fn neither_job_class_starves(slots in 1_u16..8, seed in any::<u64>()) {
         let mut gate = Gate::new(Settings { max_wait: FAR, seed, ..settings(slots) }, Duration::ZERO);
         let mut random = fastrand::Rng::with_seed(seed);
-        let mut book = Book::default();
+        let mut tracker = Tracker::default();
         let mut now = Duration::ZERO;
         let mut ends = [0, 0];
         for id in 0..2000 {
             now += ms(10);
             let class = if id % 2 == 0 { Class::Short } else { Class::Long };
-            book.apply(&mut gate, now, id, &Event::Offer { class, wait: 3_600_000 });
+            tracker.apply(&mut gate, now, id, &Event::Offer { class, wait: 3_600_000 });
             if id % 4 == 0 {
-                let index = random.usize(..book.running.len());
-                ends[usize::from(book.running[index] % 2 == 1)] += 1;
-                book.apply(&mut gate, now, id, &Event::Finish { index, end: Finish::Done });
+                let index = random.usize(..tracker.running.len());
+                ends[usize::from(tracker.running[index] % 2 == 1)] += 1;
+                tracker.apply(&mut gate, now, id, &Event::Finish { index, end: Finish::Done });
             }
         }
-        // 500 jobs end; the smallest reserve is one slot of seven.
+        // 500 jobs end; the smallest reserve is one of seven slots.
         prop_assert!(ends.iter().all(|&ends| ends > 40), "{ends:?}");
     }
 }
--- a/state/limit/tests/load.rs
+++ b/state/limit/tests/load.rs
@@ -1,4 +1,4 @@
-//! The load estimate: decays, grows with requests, stays finite.
+//! The load estimate grows with requests, decays, and stays bounded.
 use std::time::Duration;
 
 use limit::Load;
@@ -18,7 +18,7 @@
     Duration::from_millis(millis)
 }
 
-/// A load with requests at a steady rate until `end`.
+/// Returns a load with one request every `every` milliseconds until `end`.
 fn steady(every: u64, end: u64) -> Load {
     let mut load = Load::new(settings(), ms(0));
     for time in (0..end).step_by(usize::try_from(every).unwrap()) {
@@ -28,19 +28,19 @@
 }
 
 #[test]
-fn a_new_estimate_bids_nothing() {
+fn the_bid_of_a_new_estimate_is_zero() {
     let load = Load::new(settings(), ms(0));
     assert_eq!(load.bid(ms(0), WEIGHT), Duration::ZERO);
 }
 
 #[test]
-fn flows_that_ask_for_the_whole_capacity_bid_the_full_load() {
+fn flows_that_use_the_full_capacity_bid_the_full_load() {
     let bid = steady(10, 60_000).bid(ms(60_000), WEIGHT);
     assert!((ms(99)..=ms(101)).contains(&bid), "{bid:?}");
 }
 
 #[test]
-fn the_estimate_decays() {
+fn the_bid_decays_without_requests() {
     let load = steady(10, 60_000);
     let later = [0, 5_000, 10_000, 60_000].map(|age| load.bid(ms(60_000 + age), WEIGHT));
     assert!(later.is_sorted_by(|a, b| a > b), "{later:?}");
@@ -48,13 +48,14 @@
 }
 
 #[test]
-fn the_bid_falls_with_the_capacity() {
+fn the_bid_falls_as_capacity_grows() {
     let load = steady(10, 60_000);
     assert!(load.bid(ms(60_000), 2 * WEIGHT) < load.bid(ms(60_000), WEIGHT));
 }
 
 proptest! {
-    /// The estimate stays within the requests counted, whatever their times.
+    /// For any request times, the bid is at most that of all requests at the same
+    /// time.
     #[test]
     fn a_bid_is_at_most_that_of_all_requests_at_once(
         times in proptest::collection::vec(0_u64..1_000_000, 0..200),
--- a/state/limit/tests/retry.rs
+++ b/state/limit/tests/retry.rs
@@ -30,10 +30,10 @@
 }
 
 cases::cases! { retries_are_a_share_of_first_tries;
-    a_tenth: Share { percent: 10, first_tries: 1000, retries: 100 },
-    none: Share { percent: 0, first_tries: 1000, retries: 0 },
-    as_many: Share { percent: 100, first_tries: 1000, retries: 1000 },
-    more_than_first_tries: Share { percent: 250, first_tries: 1000, retries: 1000 },
+    a_retry_budget_of_ten_percent: Share { percent: 10, first_tries: 1000, retries: 100 },
+    a_retry_budget_of_zero_percent: Share { percent: 0, first_tries: 1000, retries: 0 },
+    a_retry_budget_of_a_hundred_percent: Share { percent: 100, first_tries: 1000, retries: 1000 },
+    a_retry_budget_above_a_hundred_percent: Share { percent: 250, first_tries: 1000, retries: 1000 },
 }
 
 proptest! {
@@ -71,7 +71,7 @@
     }
 
     #[test]
-    fn two_seeds_do_not_return_together(seed in any::<u64>()) {
+    fn backoffs_with_different_seeds_differ(seed in any::<u64>()) {
         let pauses = |seed| {
             let mut backoff = Backoff::new(backoff::Settings::default(), seed);
             [backoff.next_pause(), backoff.next_pause(), backoff.next_pause()]
@@ -81,7 +81,7 @@
     }
 
     #[test]
-    fn no_retry_outlasts_the_deadline(
+    fn no_retry_ends_after_the_deadline(
         now in 0_u64..10_000,
         deadline in 0_u64..10_000,
         service in 0_u64..1000,
--- a/state/limit/tests/risk.rs
+++ b/state/limit/tests/risk.rs
@@ -1,4 +1,4 @@
-//! The likelihood that a backend server fails a request.
+//! The estimated probability that a backend server fails a request.
 use std::time::Duration;
 
 use limit::Risk;
@@ -18,34 +18,34 @@
 }
 
 #[test]
-fn a_server_that_answers_is_no_risk() {
+fn a_server_that_answers_all_requests_has_no_cost() {
     assert_eq!(risk(50, 0).wait(START), Duration::ZERO);
 }
 
 #[test]
-fn one_failure_among_many_answers_says_little() {
+fn one_failure_among_many_answers_gives_a_low_share() {
     assert!(risk(50, 1).share(START) < 0.02);
 }
 
 #[test]
-fn one_failure_without_answers_does_not_condemn() {
+fn a_single_failure_without_answers_gives_a_low_share() {
     assert!(risk(0, 1).share(START) <= 0.2);
 }
 
 #[test]
-fn a_server_that_fails_everything_costs_almost_a_whole_request() {
+fn a_server_that_fails_all_requests_has_almost_the_full_cost() {
     let wait = risk(0, 40).wait(START);
     assert!(wait > Settings::default().cost.mul_f64(0.9), "{wait:?}");
 }
 
 #[test]
-fn a_third_of_failures_is_seen_among_twenty_requests() {
+fn twenty_requests_suffice_to_estimate_the_failed_share() {
     let share = risk(13, 7).share(START);
     assert!((0.25..0.35).contains(&share), "{share}");
 }
 
 #[test]
-fn evidence_fades() {
-    let later = START + Settings::default().memory * 4;
+fn old_outcomes_decay() {
+    let later = START + Settings::default().decay_time * 4;
     assert!(risk(0, 10).share(later) < 0.05);
 }
