--- a/coordination/route/src/hunt.rs
+++ b/coordination/route/src/hunt.rs
@@ -2,17 +2,17 @@
 //!
 //! An agent on the path accepts the open if it has a free slot and the load of
 //! its held flows is negligible. Otherwise it appends its bid to the frame and
-//! forwards the open to the next agent. After the last agent, the open goes to
-//! the agent with the lowest bid, which accepts or refuses it and does not
-//! forward it again. A bid is the expected wait plus the load of the held flows;
-//! the load counts only for services whose requests are bound to the flow's
-//! holder.
+//! forwards the open to the next agent. After the last agent, the open is
+//! settled: it goes to the agent with the lowest bid, which accepts or refuses it
+//! and does not forward it again. A bid is the expected wait plus the load of the
+//! held flows; the load counts only for services whose requests are bound to the
+//! flow's holder.
 use std::time::Duration;
 
 use wire::Relay;
 use wire::frame::MAX_HOPS;
 
-/// Number of agents that an open visits before the lowest bid decides.
+/// Number of agents that an open visits before it is settled.
 pub const WIDTH: usize = 3;
 
 /// Number of other agents that a holder without a free slot asks in sequence to
@@ -21,7 +21,7 @@
 
 /// Expected wait above which a holder forwards single requests, in round trips
 /// between two agents.
-pub const PASS_ROUND_TRIPS: u32 = 4;
+pub const FORWARD_WAIT_ROUND_TRIPS: u32 = 4;
 
 /// Returns whether a holder without a free slot should forward a single request
 /// of an independent service to another agent.
@@ -36,7 +36,7 @@
 /// ```
 #[must_use]
 pub fn pass_pays(wait: Duration, round_trip: Duration) -> bool {
-    wait > round_trip.saturating_mul(PASS_ROUND_TRIPS)
+    wait > round_trip.saturating_mul(FORWARD_WAIT_ROUND_TRIPS)
 }
 
 /// An agent's offer for an open.
--- a/coordination/route/src/pin.rs
+++ b/coordination/route/src/pin.rs
@@ -143,8 +143,8 @@
         flow: FlowKey,
         holder: Holder,
     ) -> Outcome {
-        let group = self.group(service);
-        let expiry = self.bucket(now + self.settings.lifetime);
+        let group = self.group_index(service);
+        let expiry = self.bucket_at(now + self.settings.lifetime);
         let pin = self.groups[group as usize].pins.get(&flow).copied();
         match pin {
             Some(pin) if is_older(holder.token, self.holders.get(pin.holder).token) => {
@@ -196,7 +196,7 @@
     /// their number.
     pub fn expire(&mut self, now: Duration) -> usize {
         let before = self.len;
-        let current = self.bucket(now);
+        let current = self.bucket_at(now);
         while let Some(entry) = self
             .timers
             .first_entry()
@@ -243,7 +243,8 @@
             + self.holders.bytes()
     }
 
-    fn group(&mut self, service: ServiceAddress) -> u32 {
+    /// Returns the index of a service's group, which is added if there is none.
+    fn group_index(&mut self, service: ServiceAddress) -> u32 {
         let groups = &mut self.groups;
         *self.services.entry(service).or_insert_with(|| {
             groups.push(Group::default());
@@ -297,7 +298,7 @@
         }
     }
 
-    fn bucket(&self, time: Duration) -> u64 {
+    fn bucket_at(&self, time: Duration) -> u64 {
         let bucket = time.as_nanos() / self.bucket_nanos();
         u64::try_from(bucket).unwrap_or(u64::MAX)
     }
--- a/coordination/route/src/place.rs
+++ b/coordination/route/src/place.rs
@@ -1,11 +1,12 @@
 //! Ranks backend servers for a new flow by their expected time to answer.
 //!
-//! Used for flows that are carried without parsing their requests, which cannot
-//! be moved after placement. Idle and fast backend servers of the own
-//! availability zone rank first; a backend server of another zone ranks before
-//! them once the wait in the own zone exceeds the cost of crossing zones. A
-//! backend server's load is known as of the last flow that it accepted. Its
-//! agent has current figures, and forwards flows that exceed its capacity.
+//! Used for forwarded flows, whose packets are relayed without being parsed; such
+//! a flow cannot be moved after placement. Idle and fast backend servers of the
+//! own availability zone rank first; a backend server of another zone ranks
+//! before them once the wait in the own zone exceeds the cost of crossing zones.
+//! A backend server's load is known only as of its last report, such as when it
+//! accepted a flow. Its agent has current figures, and passes on flows that
+//! exceed its capacity.
 use std::collections::HashMap;
 use std::time::Duration;
 
--- a/coordination/route/src/tree.rs
+++ b/coordination/route/src/tree.rs
@@ -222,8 +222,10 @@
     u64::from(leaf.weight.max(1))
 }
 
-fn score(log: u64, inverse: u64) -> u128 {
-    u128::from(log) * u128::from(inverse)
+/// Returns the score of a child, its negative logarithm divided by its weight, in
+/// fixed point. The child with the lowest score ranks first.
+fn score(neg_log: u64, inverse_weight: u64) -> u128 {
+    u128::from(neg_log) * u128::from(inverse_weight)
 }
 
 const fn shift<const BITS: u32>(level: u32) -> u32 {
--- a/state/flow/src/table.rs
+++ b/state/flow/src/table.rs
@@ -19,12 +19,12 @@
     /// Time without a packet after which a flow expires.
     pub idle: Duration,
     /// Time after which a flow expires if only its open was received.
-    pub half_open: Duration,
+    pub half_open_timeout: Duration,
     /// Time for which a closed flow is kept, so that delayed duplicates of its
     /// packets do not open it again.
     pub late_copy: Duration,
-    /// Accuracy of the timeouts above.
-    pub accuracy: Duration,
+    /// Resolution of the timers for the timeouts above.
+    pub timer_resolution: Duration,
 }
 
 impl Default for Settings {
@@ -32,9 +32,9 @@
         Self {
             capacity: 500_000,
             idle: Duration::from_hours(1),
-            half_open: Duration::from_secs(30),
+            half_open_timeout: Duration::from_secs(30),
             late_copy: Duration::from_mins(1),
-            accuracy: Duration::from_secs(1),
+            timer_resolution: Duration::from_secs(1),
         }
     }
 }
@@ -120,7 +120,7 @@
             index: HashMap::with_hasher(SeededState(seed)),
             slots: Vec::new(),
             free: Vec::new(),
-            wheel: Wheel::new(settings.accuracy, now),
+            wheel: Wheel::new(settings.timer_resolution, now),
             due: Vec::new(),
             settings,
         }
@@ -319,7 +319,7 @@
     fn expiry_time(&self, flow: &Flow) -> Duration {
         let settings = &self.settings;
         let timeout = match flow.phase {
-            Phase::HalfOpen => settings.half_open.min(settings.idle),
+            Phase::HalfOpen => settings.half_open_timeout.min(settings.idle),
             Phase::Open => settings.idle,
             Phase::Closed => settings.late_copy,
         };
--- a/state/flow/src/wheel.rs
+++ b/state/flow/src/wheel.rs
@@ -1,7 +1,7 @@
 //! A timer wheel: setting and firing a timer take constant time.
 use std::time::Duration;
 
-/// Number of buckets, each one tick wide.
+/// Number of buckets; each holds the timers of one tick.
 const BUCKETS: u64 = 64;
 
 /// Timers identified by numbers, which fire at most one tick late.
--- a/state/flow/tests/ledger.rs
+++ b/state/flow/tests/ledger.rs
@@ -55,12 +55,12 @@
     allowed: bool,
 }
 
-fn transition_is_allowed_or_not(transition: Transition) {
+fn the_transition_is_allowed_as_expected(transition: Transition) {
     let Transition { from, to, allowed } = transition;
     assert_eq!(to.follows(&from), allowed);
 }
 
-cases::cases! { transition_is_allowed_or_not;
+cases::cases! { the_transition_is_allowed_as_expected;
     a_recorded_request_may_run: Transition {
         from: State::Recorded, to: State::Running, allowed: true,
     },
--- a/state/flow/tests/table.rs
+++ b/state/flow/tests/table.rs
@@ -22,9 +22,9 @@
     Settings {
         capacity: 4,
         idle: Duration::from_mins(10),
-        half_open: Duration::from_secs(30),
+        half_open_timeout: Duration::from_secs(30),
         late_copy: Duration::from_mins(1),
-        accuracy: Duration::from_secs(1),
+        timer_resolution: Duration::from_secs(1),
     }
 }
 
@@ -223,7 +223,7 @@
             let expired = expire(&mut table, now);
             for flow in before {
                 let timeout = match flow.phase {
-                    Phase::HalfOpen => settings().half_open,
+                    Phase::HalfOpen => settings().half_open_timeout,
                     Phase::Open => settings().idle,
                     Phase::Closed => settings().late_copy,
                 };
--- a/state/limit/src/backoff.rs
+++ b/state/limit/src/backoff.rs
@@ -19,7 +19,7 @@
     }
 }
 
-/// Pauses between the tries of one operation.
+/// Pauses between the attempts of one operation.
 ///
 /// ```
 /// use limit::Backoff;
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug)]
 pub struct Backoff {
     settings: Settings,
-    tries: u32,
+    attempts: u32,
     random: fastrand::Rng,
 }
 
@@ -42,27 +42,27 @@
     pub fn new(settings: Settings, seed: u64) -> Self {
         Self {
             settings,
-            tries: 0,
+            attempts: 0,
             random: fastrand::Rng::with_seed(seed),
         }
     }
 
-    /// Returns the pause before the next try: a random time between half of a bound
-    /// and the bound, which doubles with each try.
+    /// Returns the pause before the next attempt: a random time between half of a
+    /// bound and the bound, which doubles with each attempt.
     pub fn next_pause(&mut self) -> Duration {
         let bound = self
             .settings
             .base
-            .saturating_mul(2_u32.saturating_pow(self.tries))
+            .saturating_mul(2_u32.saturating_pow(self.attempts))
             .min(self.settings.max);
-        self.tries = self.tries.saturating_add(1);
+        self.attempts = self.attempts.saturating_add(1);
         bound.mul_f64(0.5 + self.random.f64() / 2.0)
     }
 
-    /// Returns the pause before the next try, or `None` if the try would end after
+    /// Returns the pause before the next attempt, or `None` if it would end after
     /// the caller's deadline.
     ///
-    /// `service_time` is the expected duration of a try.
+    /// `service_time` is the expected duration of an attempt.
     pub fn next_within(
         &mut self,
         now: Duration,
@@ -76,6 +76,6 @@
 
     /// Restarts with the first pause, after a success.
     pub fn reset(&mut self) {
-        self.tries = 0;
+        self.attempts = 0;
     }
 }
--- a/state/limit/src/budget.rs
+++ b/state/limit/src/budget.rs
@@ -1,9 +1,9 @@
-//! A retry budget, which limits retries to a share of first tries.
+//! A retry budget, which limits retries to a share of first attempts.
 
 /// Limits of a [`Budget`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Number of retries allowed for every 100 first tries.
+    /// Number of retries allowed for every 100 first attempts.
     pub percent: u32,
     /// Maximum number of unused retries that accumulate.
     pub burst: u32,
@@ -21,8 +21,8 @@
 /// Cost of a retry, in the unit of [`Budget`]'s balance: hundredths of a retry.
 const RETRY_COST: u64 = 100;
 
-/// A retry budget: each first try adds to the balance, each retry subtracts from
-/// it.
+/// A retry budget: each first attempt adds to the balance, and each retry
+/// subtracts from it.
 ///
 /// ```
 /// use limit::Budget;
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Adds the share of a retry that a first try allows.
+    /// Adds the share of a retry that a first attempt allows.
     pub fn deposit(&mut self) {
         let limit = u64::from(self.settings.burst) * RETRY_COST;
         self.balance = limit.min(self.balance + u64::from(self.settings.percent));
--- a/state/limit/src/gate.rs
+++ b/state/limit/src/gate.rs
@@ -68,14 +68,14 @@
 
 /// Divisor of a short job's mean service time that gives the least time which has
 /// to remain before its deadline when it starts.
-const MARGIN_DIVISOR: u32 = 2;
+const DEADLINE_MARGIN_DIVISOR: u32 = 2;
 
 /// Ratio of the youngest running job's age to the slow mean above which that age
 /// determines the weight: the backend server has stalled.
 const STALL_RATIO: u32 = 4;
 
 /// Share of the weight that a backend server keeps during a pause.
-const PAUSED_SHARE: f64 = 0.25;
+const PAUSED_WEIGHT_SHARE: f64 = 0.25;
 
 /// A running job.
 #[derive(Clone, Copy, Debug)]
@@ -277,7 +277,7 @@
     /// Returns the time at which [`Gate::expire`] has to be called next.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Duration> {
-        let margin = self.short_time.fast() / MARGIN_DIVISOR;
+        let margin = self.short_time.fast() / DEADLINE_MARGIN_DIVISOR;
         let short = self.short.first_deadline();
         let deadlines = [
             short.map(|deadline| deadline.saturating_sub(margin)),
@@ -397,7 +397,7 @@
     /// starts.
     fn deadline_margin(&self, now: Duration, class: Class) -> Duration {
         match class {
-            Class::Short => self.service_time(now) / MARGIN_DIVISOR,
+            Class::Short => self.service_time(now) / DEADLINE_MARGIN_DIVISOR,
             Class::Long => Duration::ZERO,
         }
     }
@@ -418,7 +418,7 @@
         };
         let slots = f64::from(self.short_slots());
         let paused = !self.pause.remaining(now).is_zero();
-        let share = if paused { PAUSED_SHARE } else { 1.0 };
+        let share = if paused { PAUSED_WEIGHT_SHARE } else { 1.0 };
         self.capacity
             .update(now, share * slots / time.as_secs_f64());
     }
--- a/state/limit/src/job.rs
+++ b/state/limit/src/job.rs
@@ -20,7 +20,7 @@
 pub enum Class {
     /// A query, which occupies a slot briefly.
     Short,
-    /// A feed, which stays open and may occupy a slot for hours.
+    /// A long-lived request, which may occupy a slot for hours.
     Long,
 }
 
--- a/state/limit/src/lib.rs
+++ b/state/limit/src/lib.rs
@@ -7,7 +7,7 @@
 //!   visible, from requests and answers on the network.
 //! * [`Load`] estimates the load of held flows from their request rate.
 //! * [`Risk`] estimates how likely a backend server is to fail a request.
-//! * [`Budget`] limits retries to a share of first tries.
+//! * [`Budget`] limits retries to a share of first attempts.
 //! * [`Backoff`] spaces retries.
 //!
 //! All modules are sans-IO: the caller passes in the time and random seeds.
--- a/state/limit/src/load.rs
+++ b/state/limit/src/load.rs
@@ -78,5 +78,5 @@
     }
 }
 
-/// Minimum time constant, which avoids a division by zero.
+/// Minimum time constant; avoids a division by zero.
 const MIN_SMOOTHING: Duration = Duration::from_millis(1);
--- a/state/limit/src/occupancy.rs
+++ b/state/limit/src/occupancy.rs
@@ -1,7 +1,8 @@
 //! Estimates the queue of a backend server from its network traffic.
 //!
-//! Used for flows that are carried without parsing their requests: requests are
-//! observed only as packets to the backend server and answers from it.
+//! Used for forwarded flows, whose packets are relayed without being parsed:
+//! requests are observed only as packets to the backend server and answers from
+//! it.
 use std::time::Duration;
 
 use wire::transit::Load;
@@ -80,8 +81,8 @@
         self.release(now);
     }
 
-    /// Records that a request ended without an answer; the mean service time stays
-    /// unchanged.
+    /// Records that a request ended without an answer, which gives no measurement of
+    /// the service time.
     pub fn release(&mut self, now: Duration) {
         self.running = self.running.saturating_sub(1);
         self.last_event = now;
--- a/state/limit/src/share.rs
+++ b/state/limit/src/share.rs
@@ -2,7 +2,7 @@
 //!
 //! Each class has a reserved share of the slots. Short jobs may use free slots of
 //! the long class, since they release them soon. Long jobs never use the reserve
-//! of the short class: a feed would occupy it for hours.
+//! of the short class: a long-lived request would occupy it for hours.
 use crate::Class;
 
 /// Reserved shares of the slots; each class gets at least one slot if there are
--- a/state/limit/tests/gate.rs
+++ b/state/limit/tests/gate.rs
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn a_feed_on_a_cold_target_leaves_a_slot_for_queries() {
+fn a_long_job_on_a_cold_target_leaves_a_slot_for_short_jobs() {
     let mut gate = Gate::new(settings(2), Duration::ZERO);
     let offers = [Class::Long, Class::Short]
         .into_iter()
--- a/state/limit/tests/retry.rs
+++ b/state/limit/tests/retry.rs
@@ -10,17 +10,17 @@
 #[derive(Clone, Copy)]
 struct Share {
     percent: u32,
-    first_tries: u32,
+    first_attempts: u32,
     retries: usize,
 }
 
-fn retries_are_a_share_of_first_tries(share: Share) {
+fn retries_are_a_share_of_first_attempts(share: Share) {
     let mut budget = Budget::new(budget::Settings {
         percent: share.percent,
         burst: 5,
     });
     while budget.withdraw() {}
-    let retries = (0..share.first_tries)
+    let retries = (0..share.first_attempts)
         .filter(|_| {
             budget.deposit();
             budget.withdraw()
@@ -29,11 +29,11 @@
     assert_eq!(retries, share.retries);
 }
 
-cases::cases! { retries_are_a_share_of_first_tries;
-    a_retry_budget_of_ten_percent: Share { percent: 10, first_tries: 1000, retries: 100 },
-    a_retry_budget_of_zero_percent: Share { percent: 0, first_tries: 1000, retries: 0 },
-    a_retry_budget_of_a_hundred_percent: Share { percent: 100, first_tries: 1000, retries: 1000 },
-    a_retry_budget_above_a_hundred_percent: Share { percent: 250, first_tries: 1000, retries: 1000 },
+cases::cases! { retries_are_a_share_of_first_attempts;
+    a_retry_budget_of_ten_percent: Share { percent: 10, first_attempts: 1000, retries: 100 },
+    a_retry_budget_of_zero_percent: Share { percent: 0, first_attempts: 1000, retries: 0 },
+    a_retry_budget_of_a_hundred_percent: Share { percent: 100, first_attempts: 1000, retries: 1000 },
+    a_retry_budget_above_a_hundred_percent: Share { percent: 250, first_attempts: 1000, retries: 1000 },
 }
 
 proptest! {
@@ -57,11 +57,11 @@
     }
 
     #[test]
-    fn pauses_lie_in_the_upper_half_of_a_doubling_bound(seed in any::<u64>(), tries in 1_u32..200) {
+    fn pauses_lie_in_the_upper_half_of_a_doubling_bound(seed in any::<u64>(), attempts in 1_u32..200) {
         let settings = backoff::Settings::default();
         let mut backoff = Backoff::new(settings, seed);
         let mut bound = settings.base;
-        for _ in 0..tries {
+        for _ in 0..attempts {
             let pause = backoff.next_pause();
             prop_assert!(bound / 2 <= pause && pause <= bound);
             bound = (bound * 2).min(settings.max);
