--- a/coordination/route/src/hash.rs
+++ b/coordination/route/src/hash.rs
@@ -1,11 +1,12 @@
-//! Hashes flow keys and seeds uniformly, with the same result on every platform.
+//! Hashes flow keys and seeds uniformly, with the same result on every
+//! platform.
 
 /// The increment of `SplitMix64`: 2^64 divided by the golden ratio.
 const GOLDEN_GAMMA: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Applies the finalizer of `SplitMix64` (Steele, Lea and Flood, "Fast splittable
-/// pseudorandom number generators", 2014): a bijection whose output bits depend
-/// on all input bits.
+/// Applies the finalizer of `SplitMix64` (Steele, Lea and Flood, "Fast
+/// splittable pseudorandom number generators", 2014): a bijection whose output
+/// bits depend on all input bits.
 #[must_use]
 pub const fn finalize(value: u64) -> u64 {
     let value = value.wrapping_add(GOLDEN_GAMMA);
--- a/coordination/route/src/hunt.rs
+++ b/coordination/route/src/hunt.rs
@@ -3,10 +3,10 @@
 //! An agent on the path accepts the open if it has a free slot and the load of
 //! its held flows is negligible. Otherwise it appends its bid to the frame and
 //! forwards the open to the next agent. After the last agent, the open is
-//! settled: it goes to the agent with the lowest bid, which accepts or refuses it
-//! and does not forward it again. A bid is the expected wait plus the load of the
-//! held flows; the load counts only for services whose requests are bound to the
-//! flow's holder.
+//! settled: it goes to the agent with the lowest bid, which accepts or refuses
+//! it and does not forward it again. A bid is the expected wait plus the load
+//! of the held flows; the load counts only for services whose requests are
+//! bound to the flow's holder.
 use std::time::Duration;
 
 use wire::Relay;
--- a/coordination/route/src/order.rs
+++ b/coordination/route/src/order.rs
@@ -129,8 +129,8 @@
         self.targets.get(first as usize)
     }
 
-    /// Returns the `n` highest-ranked of all targets; the first one is the flow's
-    /// home.
+    /// Returns the `n` highest-ranked of all targets; the first one is the
+    /// flow's home.
     pub fn top(&self, key: FlowKey, n: usize) -> impl Iterator<Item = &Target> {
         let drawn = self.all.draw(key).take(n);
         drawn.map(|leaf| &self.targets[leaf as usize])
--- a/coordination/route/src/pin.rs
+++ b/coordination/route/src/pin.rs
@@ -20,8 +20,8 @@
 pub struct Settings {
     /// Maximum number of pins.
     pub capacity: usize,
-    /// Time after its last renewal at which a pin expires; it is removed at most
-    /// a sixteenth of that time later.
+    /// Time after its last renewal at which a pin expires; it is removed at
+    /// most a sixteenth of that time later.
     pub lifetime: Duration,
 }
 
@@ -236,8 +236,8 @@
     pub fn bytes(&self) -> usize {
         let pins = self.groups.iter().map(|group| group.pins.capacity());
         let timers = self.timers.values().map(Vec::capacity);
-        // A hash table keeps an eighth of its buckets empty and one control byte
-        // for each bucket.
+        // A hash table keeps an eighth of its buckets empty and one control
+        // byte for each bucket.
         pins.sum::<usize>() * (size_of::<(FlowKey, Pin)>() + 1) * 8 / 7
             + timers.sum::<usize>() * size_of::<Timer>()
             + self.holders.bytes()
@@ -252,9 +252,9 @@
         })
     }
 
-    /// Removes the pin of a timer that has fired, or schedules a new timer if the
-    /// pin was renewed. Ignores a stale timer, whose flow was unpinned or has
-    /// another timer since.
+    /// Removes the pin of a timer that has fired, or schedules a new timer if
+    /// the pin was renewed. Ignores a stale timer, whose flow was unpinned or
+    /// has another timer since.
     fn expire_or_reschedule(&mut self, bucket: u64, timer: Timer) {
         let pins = &mut self.groups[timer.group as usize].pins;
         let Some(pin) = pins.get_mut(&timer.flow) else {
--- a/coordination/route/src/place.rs
+++ b/coordination/route/src/place.rs
@@ -1,12 +1,12 @@
 //! Ranks backend servers for a new flow by their expected time to answer.
 //!
-//! Used for forwarded flows, whose packets are relayed without being parsed; such
-//! a flow cannot be moved after placement. Idle and fast backend servers of the
-//! own availability zone rank first; a backend server of another zone ranks
-//! before them once the wait in the own zone exceeds the cost of crossing zones.
-//! A backend server's load is known only as of its last report, such as when it
-//! accepted a flow. Its agent has current figures, and passes on flows that
-//! exceed its capacity.
+//! Used for forwarded flows, whose packets are relayed without being parsed;
+//! such a flow cannot be moved after placement. Idle and fast backend servers
+//! of the own availability zone rank first; a backend server of another zone
+//! ranks before them once the wait in the own zone exceeds the cost of crossing
+//! zones. A backend server's load is known only as of its last report, such as
+//! when it accepted a flow. Its agent has current figures, and passes on flows
+//! that exceed its capacity.
 use std::collections::HashMap;
 use std::time::Duration;
 
@@ -18,10 +18,11 @@
 /// Limits of a [`Place`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Cost of sending a flow to another availability zone, expressed as a wait:
-    /// the round trips for its open, request and answer, and its traffic.
+    /// Cost of sending a flow to another availability zone, expressed as a
+    /// wait: the round trips for its open, request and answer, and its traffic.
     pub cross_zone_cost: Duration,
-    /// Service time assumed for a backend server that has not reported its load.
+    /// Service time assumed for a backend server that has not reported its
+    /// load.
     pub service_time: Duration,
     /// Maximum random time that is added to each expected time to answer.
     pub spread: Duration,
@@ -60,8 +61,8 @@
 }
 
 impl Place {
-    /// Creates a ranking for an entry in `zone`; the seed drives the random part
-    /// of each cost.
+    /// Creates a ranking for an entry in `zone`; the seed drives the random
+    /// part of each cost.
     #[must_use]
     pub fn new(settings: Settings, zone: ZoneId, seed: u64) -> Self {
         Self {
@@ -89,8 +90,8 @@
         observation.sent = observation.sent.saturating_add(1);
     }
 
-    /// Records that a backend server, or its agent, did not answer, which makes it
-    /// rank last for [`Settings::distrust`].
+    /// Records that a backend server, or its agent, did not answer, which makes
+    /// it rank last for [`Settings::distrust`].
     pub fn distrust(&mut self, now: Duration, target: TargetId) {
         let observation = self.observations.entry(target).or_default();
         observation.unresponsive_until = now + self.settings.distrust;
@@ -101,8 +102,8 @@
         self.observations.retain(|target, _| keep(*target));
     }
 
-    /// Returns the `count` best of the given backend servers for a new flow, best
-    /// first.
+    /// Returns the `count` best of the given backend servers for a new flow,
+    /// best first.
     pub fn rank<'a>(
         &mut self,
         now: Duration,
@@ -112,8 +113,8 @@
         let mut ranked: Vec<(bool, Duration, &Target)> = targets
             .map(|target| {
                 let (is_unresponsive, cost) = self.cost(now, target);
-                // Without the random part, all entries with the same information
-                // would choose the same backend server.
+                // Without the random part, all entries with the same
+                // information would choose the same backend server.
                 let spread = self.settings.spread.mul_f64(self.random.f64());
                 (is_unresponsive, cost + spread, target)
             })
@@ -123,8 +124,8 @@
         ranked.into_iter().map(|(.., target)| target).collect()
     }
 
-    /// Returns whether a backend server recently did not answer, and its expected
-    /// time to answer.
+    /// Returns whether a backend server recently did not answer, and its
+    /// expected time to answer.
     fn cost(&self, now: Duration, target: &Target) -> (bool, Duration) {
         let observation = self
             .observations
--- a/coordination/route/src/tree.rs
+++ b/coordination/route/src/tree.rs
@@ -2,12 +2,12 @@
 //! their weights without computing a hash for every leaf.
 //!
 //! The leaves form a trie over their hashed ids. At each node the children are
-//! ranked by weighted rendezvous hashing over the sums of their leaves' weights,
-//! so that a draw costs one hash for each child of each node on its path: a few
-//! dozen for any number of leaves. The seed of a child depends on its position
-//! in the trie and not on its contents. A change to one leaf therefore moves
-//! only flows of the nodes above that leaf, and at each level at most the leaf's
-//! own share.
+//! ranked by weighted rendezvous hashing over the sums of their leaves'
+//! weights, so that a draw costs one hash for each child of each node on its
+//! path: a few dozen for any number of leaves. The seed of a child depends on
+//! its position in the trie and not on its contents. A change to one leaf
+//! therefore moves only flows of the nodes above that leaf, and at each level
+//! at most the leaf's own share.
 //!
 //! Sources: Thaler and Ravishankar, "Using name-based mappings to increase hit
 //! rates", 1998 (rendezvous hashing); Wang and Ravishankar, "Hash-based virtual
@@ -78,8 +78,8 @@
         tree
     }
 
-    /// Draws leaves for a key, without replacement: the leaves that follow a drawn
-    /// leaf come in the order of the tree without that leaf.
+    /// Draws leaves for a key, without replacement: the leaves that follow a
+    /// drawn leaf come in the order of the tree without that leaf.
     #[must_use]
     pub fn draw(&self, key: u64) -> Draw<'_, BITS> {
         let key = finalize(key);
@@ -112,8 +112,8 @@
         self.leaves.capacity() * size_of::<Leaf>() + self.children.capacity() * size_of::<Child>()
     }
 
-    /// Adds the children for a range of leaves whose hashed ids agree in all bits
-    /// above the level, and then their descendants.
+    /// Adds the children for a range of leaves whose hashed ids agree in all
+    /// bits above the level, and then their descendants.
     fn build_children(&mut self, leaves: Range<u32>, level: u32) -> Range<u32> {
         let first = position(self.children.len());
         let mut remaining = leaves;
@@ -222,8 +222,8 @@
     u64::from(leaf.weight.max(1))
 }
 
-/// Returns the score of a child, its negative logarithm divided by its weight, in
-/// fixed point. The child with the lowest score ranks first.
+/// Returns the score of a child, its negative logarithm divided by its weight,
+/// in fixed point. The child with the lowest score ranks first.
 fn score(neg_log: u64, inverse_weight: u64) -> u128 {
     u128::from(neg_log) * u128::from(inverse_weight)
 }
--- a/coordination/route/tests/hunt.rs
+++ b/coordination/route/tests/hunt.rs
@@ -217,8 +217,8 @@
         prop_assert!(matches!(step, Step::Take | Step::Refuse), "{:?}", step);
     }
 
-    /// Even an invalid frame is forwarded a bounded number of times, and its list
-    /// of waits does not become longer than its path.
+    /// Even an invalid frame is forwarded a bounded number of times, and its
+    /// list of waits does not become longer than its path.
     #[test]
     fn every_frame_is_forwarded_a_bounded_number_of_times(
         path in 0_usize..20,
--- a/coordination/route/tests/order.rs
+++ b/coordination/route/tests/order.rs
@@ -45,9 +45,9 @@
     targets.map(|target| target.id).collect()
 }
 
-/// The number of flows of each target lies within five standard deviations of the
-/// number expected from its weight, plus 0.1% for the error of the logarithm's
-/// table.
+/// The number of flows of each target lies within five standard deviations of
+/// the number expected from its weight, plus 0.1% for the error of the
+/// logarithm's table.
 fn shares_follow_the_weights(count: u64) {
     let targets = targets(count, |index| 50 + u32::try_from(index % 4).unwrap() * 50);
     let total: f64 = targets.iter().map(|target| f64::from(target.weight)).sum();
@@ -77,8 +77,8 @@
     shares_of_a_thousand_targets: 1000,
 }
 
-/// Removing a target moves its own flows, and for each further level of the tree
-/// at most as many other flows.
+/// Removing a target moves its own flows, and for each further level of the
+/// tree at most as many other flows.
 fn few_flows_move_when_a_target_is_removed(count: u64) {
     let mut targets = targets(count, |_| 100);
     let before = homes(&Order::new(&targets));
@@ -115,8 +115,8 @@
     );
 }
 
-/// Guards against a change of the order between versions or platforms: during an
-/// upgrade, processes of two versions must send a flow to the same target.
+/// Guards against a change of the order between versions or platforms: during
+/// an upgrade, processes of two versions must send a flow to the same target.
 #[test]
 fn the_order_is_the_same_in_all_versions() {
     let order = Order::new(&targets(1000, |index| {
@@ -177,8 +177,8 @@
 }
 
 proptest! {
-    /// The order contains each target once and does not depend on the sequence of
-    /// the targets passed in.
+    /// The order contains each target once and does not depend on the sequence
+    /// of the targets passed in.
     #[test]
     fn the_order_is_a_permutation(weights in weights(), key in any::<u64>()) {
         let mut targets = build(&weights);
@@ -204,7 +204,8 @@
         prop_assert_eq!(&ids(Order::new(&rest).top(key, usize::MAX)), &order[1..]);
     }
 
-    /// Only targets that accept new flows are open, in the order of all targets.
+    /// Only targets that accept new flows are open, in the order of all
+    /// targets.
     #[test]
     fn closed_and_draining_targets_are_not_open(
         weights in weights(),
@@ -228,9 +229,10 @@
         prop_assert_eq!(order.top(key, usize::MAX).count(), weights.len());
     }
 
-    /// When a target's weight grows, a flow either stays or moves to that target, as
-    /// long as no two targets share a node below the root. In general, a flow may
-    /// also move between other targets below a node that contains the target.
+    /// When a target's weight grows, a flow either stays or moves to that
+    /// target, as long as no two targets share a node below the root. In
+    /// general, a flow may also move between other targets below a node that
+    /// contains the target.
     #[test]
     fn a_growing_weight_moves_flows_only_to_its_target(step in 1_u32..500, key in any::<u64>()) {
         let mut targets = targets(7, |_| 100);
--- a/coordination/route/tests/pin.rs
+++ b/coordination/route/tests/pin.rs
@@ -114,8 +114,8 @@
 }
 
 proptest! {
-    /// Compares the table with a plain map: a pin lasts for its lifetime after the
-    /// last renewal, and at most one bucket longer.
+    /// Compares the table with a plain map: a pin lasts for its lifetime after
+    /// the last renewal, and at most one bucket longer.
     #[test]
     fn pins_expire_at_the_end_of_their_lifetime(
         events in vec((event(), 1_u8..3, 0_u64..40, 0_u64..4000), 1..400),
--- a/state/flow/src/answer.rs
+++ b/state/flow/src/answer.rs
@@ -4,8 +4,8 @@
 use wire::RequestId;
 use wire::caller::Chunk;
 
-/// Maximum payload of a chunk, in bytes; a chunk fits into one datagram on common
-/// links.
+/// Maximum payload of a chunk, in bytes; a chunk fits into one datagram on
+/// common links.
 pub const CHUNK_BYTES: usize = 1_200;
 
 /// Maximum size of an answer, in bytes.
@@ -43,8 +43,8 @@
         u32::try_from(count).unwrap_or(u32::MAX)
     }
 
-    /// Returns one chunk of the answer to `request`, or `None` if `index` is past
-    /// the end.
+    /// Returns one chunk of the answer to `request`, or `None` if `index` is
+    /// past the end.
     #[must_use]
     pub fn chunk(&self, request: RequestId, index: u32) -> Option<Chunk> {
         let count = self.count();
--- a/state/flow/src/ledger.rs
+++ b/state/flow/src/ledger.rs
@@ -3,10 +3,10 @@
 //!
 //! A record is kept after its request's deadline for as long as a duplicate
 //! packet may still arrive. After that, the id of a non-idempotent request is
-//! kept ([`Seen`]) for as long as its flow is held. At the memory limit, answers
-//! are evicted first, then ids are folded into their flow's floor. Tombstones of
-//! requests that were refused as "not run" are never evicted before they expire;
-//! new requests are refused instead.
+//! kept ([`Seen`]) for as long as its flow is held. At the memory limit,
+//! answers are evicted first, then ids are folded into their flow's floor.
+//! Tombstones of requests that were refused as "not run" are never evicted
+//! before they expire; new requests are refused instead.
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 use std::collections::BinaryHeap;
@@ -29,8 +29,8 @@
 pub struct Settings {
     /// Maximum memory for records, answers and ids, in bytes.
     pub max_bytes: usize,
-    /// Time after a request's deadline during which a duplicate of the request may
-    /// still arrive.
+    /// Time after a request's deadline during which a duplicate of the request
+    /// may still arrive.
     pub late_copy: Duration,
 }
 
@@ -119,7 +119,8 @@
     /// Requests whose answers are stored, oldest first.
     answers: BTreeMap<u64, Key>,
     seen: HashMap<FlowKey, Ids, SeededState>,
-    /// Flows whose ids can be folded into the floor, least recently changed first.
+    /// Flows whose ids can be folded into the floor, least recently changed
+    /// first.
     fold_order: BTreeMap<u64, FlowKey>,
     next_position: u64,
     answer_bytes: usize,
@@ -167,8 +168,9 @@
         Admission::New
     }
 
-    /// Adds a record in its final state, such as one handed over by another agent.
-    /// Returns false if the request is already recorded or the state is not final.
+    /// Adds a record in its final state, such as one handed over by another
+    /// agent. Returns false if the request is already recorded or the state is
+    /// not final.
     #[must_use]
     pub fn restore(&mut self, now: Duration, key: Key, mut record: Record) -> bool {
         if self.records.contains_key(&key) || !record.state.is_final() {
@@ -185,8 +187,8 @@
         self.records.get(&key).map(|stored| &stored.record.state)
     }
 
-    /// Moves a request to its next state. Returns false and changes nothing if the
-    /// request is unknown or the transition is not allowed.
+    /// Moves a request to its next state. Returns false and changes nothing if
+    /// the request is unknown or the transition is not allowed.
     #[must_use]
     pub fn advance(&mut self, now: Duration, key: Key, state: State) -> bool {
         let Some(stored) = self.records.get_mut(&key) else {
@@ -302,8 +304,8 @@
         self.bytes() + RECORD_BYTES > self.settings.max_bytes
     }
 
-    /// Evicts answers, then folds ids, until a record fits or nothing is left to
-    /// evict.
+    /// Evicts answers, then folds ids, until a record fits or nothing is left
+    /// to evict.
     fn reclaim(&mut self) {
         self.evict_answers();
         while self.is_full() && self.fold_oldest() {}
@@ -320,8 +322,8 @@
     }
 
     /// Drops the answer of one request and moves the request to
-    /// [`State::Unknown`]. The request must not become new again: an idempotent one
-    /// could then be refused as "not run" although it has already run.
+    /// [`State::Unknown`]. The request must not become new again: an idempotent
+    /// one could then be refused as "not run" although it has already run.
     fn evict_answer(&mut self, key: Key) {
         let Some(stored) = self.records.get_mut(&key) else {
             return;
--- a/state/flow/src/record.rs
+++ b/state/flow/src/record.rs
@@ -21,8 +21,8 @@
 pub struct Record {
     /// Whether the request may safely run more than once.
     pub idempotent: bool,
-    /// Deadline of the caller, or the time at which the request reached its final
-    /// state if that is later.
+    /// Deadline of the caller, or the time at which the request reached its
+    /// final state if that is later.
     pub deadline: Duration,
     /// Current state.
     pub state: State,
@@ -52,8 +52,8 @@
 pub struct Refusal {
     /// Reason for the refusal.
     pub reason: Reason,
-    /// Time that the caller should wait before a retry; zero if it is computed when
-    /// the response is sent.
+    /// Time that the caller should wait before a retry; zero if it is computed
+    /// when the response is sent.
     pub retry_after: Duration,
 }
 
@@ -76,7 +76,8 @@
         }
     }
 
-    /// Returns the memory that the state uses in addition to its record, in bytes.
+    /// Returns the memory that the state uses in addition to its record, in
+    /// bytes.
     #[must_use]
     pub fn bytes(&self) -> usize {
         match self {
--- a/state/flow/src/seen.rs
+++ b/state/flow/src/seen.rs
@@ -1,12 +1,12 @@
 //! Ids of a flow's non-idempotent requests, kept after their records have
 //! expired.
 //!
-//! The most recent ids are stored individually. When an id has to be evicted, it
-//! raises the floor: every id up to the floor counts as seen. No request that was
-//! admitted before is therefore taken for a new one while its flow is held, and
-//! memory stays bounded. The drawback is that a new id below the floor is refused
-//! too, which does not affect callers that number their requests in ascending
-//! order.
+//! The most recent ids are stored individually. When an id has to be evicted,
+//! it raises the floor: every id up to the floor counts as seen. No request
+//! that was admitted before is therefore taken for a new one while its flow is
+//! held, and memory stays bounded. The drawback is that a new id below the
+//! floor is refused too, which does not affect callers that number their
+//! requests in ascending order.
 use std::collections::VecDeque;
 
 use wire::RequestId;
--- a/state/flow/src/table.rs
+++ b/state/flow/src/table.rs
@@ -52,8 +52,8 @@
     pub last_seen: Duration,
     /// Phase of the flow's life cycle.
     pub phase: Phase,
-    /// Number of queued or running requests; a flow with pending requests does not
-    /// expire.
+    /// Number of queued or running requests; a flow with pending requests does
+    /// not expire.
     pub pending: u32,
     /// Token of the home that was last notified of the flow's holder.
     pub home: Option<Token>,
@@ -73,7 +73,7 @@
 /// Reason why a flow was not opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display, Error)]
 pub enum Error {
-    /// the flow table is at its capacity; raise the capacity or add backend servers
+    /// the flow table is full; raise its capacity or add backend servers
     Full,
     /// the flow was closed recently; open a flow with another key
     Closed,
@@ -192,9 +192,9 @@
         Ok(flow)
     }
 
-    /// Adds an existing flow and replaces a half-open one with the same key: two
-    /// agents accepted opens of the flow, and the caller uses the flow that is
-    /// added.
+    /// Adds an existing flow and replaces a half-open one with the same key:
+    /// two agents accepted opens of the flow, and the caller uses the flow that
+    /// is added.
     ///
     /// # Errors
     ///
@@ -233,7 +233,8 @@
         }
     }
 
-    /// Closes a flow; it is kept to recognize delayed duplicates of its packets.
+    /// Closes a flow; it is kept to recognize delayed duplicates of its
+    /// packets.
     pub fn close(&mut self, now: Duration, key: FlowKey) {
         if let Some(flow) = self.get_mut(key) {
             flow.phase = Phase::Closed;
@@ -274,8 +275,8 @@
         self.slots.len()
     }
 
-    /// Returns the flows in up to `count` slots, starting at slot `start`; `None` if
-    /// `start` is past the last slot.
+    /// Returns the flows in up to `count` slots, starting at slot `start`;
+    /// `None` if `start` is past the last slot.
     #[must_use]
     pub fn scan(&self, start: usize, count: usize) -> Option<impl Iterator<Item = &Flow>> {
         let end = self.slots.len().min(start.saturating_add(count));
@@ -288,7 +289,8 @@
         self.slots.iter().flatten()
     }
 
-    /// Returns the number of flows, including closed ones that have not expired.
+    /// Returns the number of flows, including closed ones that have not
+    /// expired.
     #[must_use]
     pub fn len(&self) -> usize {
         self.index.len()
--- a/state/flow/src/wheel.rs
+++ b/state/flow/src/wheel.rs
@@ -18,7 +18,8 @@
 }
 
 impl Wheel {
-    /// Creates a wheel whose ticks have the given width, at least one millisecond.
+    /// Creates a wheel whose ticks have the given width, at least one
+    /// millisecond.
     #[must_use]
     pub fn new(width: Duration, now: Duration) -> Self {
         let width = width.max(Duration::from_millis(1));
@@ -38,7 +39,8 @@
         self.len += 1;
     }
 
-    /// Appends the ids of the timers that fire to `due`, and removes these timers.
+    /// Appends the ids of the timers that fire to `due`, and removes these
+    /// timers.
     pub fn fire(&mut self, now: Duration, due: &mut Vec<u32>) {
         let end = tick(self.width, now);
         if end < self.next_tick {
--- a/state/flow/tests/ledger.rs
+++ b/state/flow/tests/ledger.rs
@@ -233,8 +233,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// For any sequence of events, a non-idempotent request runs at most once while
-    /// its flow is held, and memory stays within the limit.
+    /// For any sequence of events, a non-idempotent request runs at most once
+    /// while its flow is held, and memory stays within the limit.
     #[test]
     fn no_non_idempotent_request_runs_twice(
         events in prop::collection::vec(event(), 1..200),
--- a/state/flow/tests/table.rs
+++ b/state/flow/tests/table.rs
@@ -206,8 +206,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// A flow does not expire before its timeout, and the table is empty once all
-    /// timeouts have passed.
+    /// A flow does not expire before its timeout, and the table is empty once
+    /// all timeouts have passed.
     #[test]
     fn flows_do_not_expire_early_and_all_expire(steps in prop::collection::vec(step(), 1..100)) {
         let mut table = table();
--- a/state/limit/src/backoff.rs
+++ b/state/limit/src/backoff.rs
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Returns the pause before the next attempt: a random time between half of a
-    /// bound and the bound, which doubles with each attempt.
+    /// Returns the pause before the next attempt: a random time between half of
+    /// a bound and the bound, which doubles with each attempt.
     pub fn next_pause(&mut self) -> Duration {
         let bound = self
             .settings
@@ -59,8 +59,8 @@
         bound.mul_f64(0.5 + self.random.f64() / 2.0)
     }
 
-    /// Returns the pause before the next attempt, or `None` if it would end after
-    /// the caller's deadline.
+    /// Returns the pause before the next attempt, or `None` if it would end
+    /// after the caller's deadline.
     ///
     /// `service_time` is the expected duration of an attempt.
     pub fn next_within(
--- a/state/limit/src/budget.rs
+++ b/state/limit/src/budget.rs
@@ -57,8 +57,8 @@
         self.balance = limit.min(self.balance + u64::from(self.settings.percent));
     }
 
-    /// Subtracts a retry. Returns false and changes nothing if the budget does not
-    /// allow one.
+    /// Subtracts a retry. Returns false and changes nothing if the budget does
+    /// not allow one.
     #[must_use]
     pub fn withdraw(&mut self) -> bool {
         let Some(balance) = self.balance.checked_sub(RETRY_COST) else {
--- a/state/limit/src/capacity.rs
+++ b/state/limit/src/capacity.rs
@@ -1,4 +1,5 @@
-//! Estimates the capacity of a backend server from the service times of its jobs.
+//! Estimates the capacity of a backend server from the service times of its
+//! jobs.
 use std::time::Duration;
 
 /// Limits of a [`Capacity`].
@@ -40,8 +41,8 @@
 /// Ratio of two adjacent steps of the weight: the fourth root of two.
 const STEP_RATIO: f64 = 1.189_207_115_002_721;
 
-/// Distance of the measured rate from the current step, in steps, above which the
-/// weight changes.
+/// Distance of the measured rate from the current step, in steps, above which
+/// the weight changes.
 const HYSTERESIS_STEPS: f64 = 1.25;
 
 /// Maximum weight, in jobs a second.
@@ -123,10 +124,10 @@
         }
     }
 
-    /// Sets the weight to the step nearest to a measured rate, in jobs a second. The
-    /// weight changes only if the rate is more than `HYSTERESIS_STEPS` away from
-    /// the current step, and not more often than [`Settings::min_change_interval`]
-    /// allows.
+    /// Sets the weight to the step nearest to a measured rate, in jobs a
+    /// second. The weight changes only if the rate is more than
+    /// `HYSTERESIS_STEPS` away from the current step, and not more often than
+    /// [`Settings::min_change_interval`] allows.
     pub fn update(&mut self, now: Duration, rate: f64) {
         let rate = rate * self.warm_share(now);
         let distance = fractional_step(rate) - self.step;
--- a/state/limit/src/gate.rs
+++ b/state/limit/src/gate.rs
@@ -27,8 +27,8 @@
     pub slots: u16,
     /// Maximum expected wait of a queued job.
     pub max_wait: Duration,
-    /// Maximum expected wait of a queued short job, in multiples of the mean service
-    /// time; the smaller of the two limits applies.
+    /// Maximum expected wait of a queued short job, in multiples of the mean
+    /// service time; the smaller of the two limits applies.
     pub max_wait_times: u32,
     /// Maximum number of queued jobs of each class.
     pub max_queue: usize,
@@ -66,12 +66,12 @@
 /// Maximum jitter added to `retry_after`, as a share of it.
 const RETRY_JITTER: f64 = 0.5;
 
-/// Divisor of a short job's mean service time that gives the least time which has
-/// to remain before its deadline when it starts.
+/// Divisor of a short job's mean service time that gives the least time which
+/// has to remain before its deadline when it starts.
 const DEADLINE_MARGIN_DIVISOR: u32 = 2;
 
-/// Ratio of the youngest running job's age to the slow mean above which that age
-/// determines the weight: the backend server has stalled.
+/// Ratio of the youngest running job's age to the slow mean above which that
+/// age determines the weight: the backend server has stalled.
 const STALL_RATIO: u32 = 4;
 
 /// Share of the weight that a backend server keeps during a pause.
@@ -86,8 +86,8 @@
 
 /// The slots and the queue of one backend server.
 ///
-/// Every offered job ends exactly once: by a refusal, a [`Finish`] that the user
-/// of the gate reports, a [`Release::Expire`], or [`Gate::cancel`].
+/// Every offered job ends exactly once: by a refusal, a [`Finish`] that the
+/// user of the gate reports, a [`Release::Expire`], or [`Gate::cancel`].
 ///
 /// ```
 /// use std::time::Duration;
@@ -117,7 +117,8 @@
     long_time: Mean,
     pause: Pause,
     capacity: Capacity,
-    /// Time until which the capacity is taken by the retries of refused callers.
+    /// Time until which the capacity is taken by the retries of refused
+    /// callers.
     reserved_until: Duration,
     /// Time of the latest event.
     now: Duration,
@@ -153,14 +154,15 @@
         self.expected_wait_for(now, Class::Short, Duration::MAX)
     }
 
-    /// Returns whether a short job would start immediately, as of the latest event.
+    /// Returns whether a short job would start immediately, as of the latest
+    /// event.
     #[must_use]
     pub fn free(&self) -> bool {
         self.free_for(Class::Short)
     }
 
-    /// Returns whether a job of the given class would start immediately, as of the
-    /// latest event.
+    /// Returns whether a job of the given class would start immediately, as of
+    /// the latest event.
     #[must_use]
     pub fn free_for(&self, class: Class) -> bool {
         self.admits(class, self.pause.limit(self.now))
@@ -219,8 +221,8 @@
         Verdict::Queued
     }
 
-    /// Frees the slot of a job that ended, and starts queued jobs. Does nothing if
-    /// the job is not running.
+    /// Frees the slot of a job that ended, and starts queued jobs. Does nothing
+    /// if the job is not running.
     pub fn finish(
         &mut self,
         now: Duration,
@@ -245,16 +247,17 @@
         self.expire(now, releases);
     }
 
-    /// Removes a running or queued job that its caller cancelled, and starts queued
-    /// jobs. Emits no [`Release`] for the cancelled job.
+    /// Removes a running or queued job that its caller cancelled, and starts
+    /// queued jobs. Emits no [`Release`] for the cancelled job.
     pub fn cancel(&mut self, now: Duration, id: JobId, releases: &mut Vec<Release>) {
         self.short.remove(id);
         self.long.remove(id);
         self.finish(now, id, Finish::Cancelled, releases);
     }
 
-    /// Expires the queued jobs that can no longer meet their deadline, and starts
-    /// jobs for which there is a slot. Must be called at [`Gate::next_deadline`].
+    /// Expires the queued jobs that can no longer meet their deadline, and
+    /// starts jobs for which there is a slot. Must be called at
+    /// [`Gate::next_deadline`].
     pub fn expire(&mut self, now: Duration, releases: &mut Vec<Release>) {
         self.now = now;
         let pause = self.pause.remaining(now);
@@ -268,7 +271,8 @@
         self.update_capacity(now);
     }
 
-    /// Returns the estimated capacity in jobs a second, in coarse steps; at least 1.
+    /// Returns the estimated capacity in jobs a second, in coarse steps; at
+    /// least 1.
     #[must_use]
     pub fn weight(&self) -> u32 {
         self.capacity.weight()
@@ -330,9 +334,9 @@
         );
     }
 
-    /// Refuses a job and computes its `retry_after`: each refused caller reserves
-    /// the time of one job after those refused before it, so that the callers
-    /// return at different times.
+    /// Refuses a job and computes its `retry_after`: each refused caller
+    /// reserves the time of one job after those refused before it, so that the
+    /// callers return at different times.
     fn refuse(&mut self, now: Duration, reason: Reason) -> Verdict {
         let time_per_job = self.service_time(now) / u32::from(self.short_slots());
         let start = self.reserved_until.max(now + self.expected_wait(now)) + time_per_job;
@@ -372,8 +376,8 @@
     }
 
     /// Returns the mean service time of short jobs, or the age of the youngest
-    /// running short job if that is larger: all of them then have run for longer
-    /// than the mean, so the backend server has slowed down.
+    /// running short job if that is larger: all of them then have run for
+    /// longer than the mean, so the backend server has slowed down.
     fn service_time(&self, now: Duration) -> Duration {
         let short = self.runs.values().filter(|run| run.class == Class::Short);
         let youngest = short.map(|run| run.started).max();
@@ -393,8 +397,8 @@
         }
     }
 
-    /// Returns the least time that has to remain before a job's deadline when it
-    /// starts.
+    /// Returns the least time that has to remain before a job's deadline when
+    /// it starts.
     fn deadline_margin(&self, now: Duration, class: Class) -> Duration {
         match class {
             Class::Short => self.service_time(now) / DEADLINE_MARGIN_DIVISOR,
@@ -402,14 +406,15 @@
         }
     }
 
-    /// Returns the number of slots that short jobs can use once a pause is over, at
-    /// least 1.
+    /// Returns the number of slots that short jobs can use once a pause is
+    /// over, at least 1.
     fn short_slots(&self) -> u16 {
         let left = self.settings.slots.saturating_sub(self.running.long);
         left.min(self.pause.limit_after_pause()).max(1)
     }
 
-    /// Updates the weight from the service time, the usable slots and the pause.
+    /// Updates the weight from the service time, the usable slots and the
+    /// pause.
     fn update_capacity(&mut self, now: Duration) {
         let mean = self.short_time.slow();
         let time = match self.service_time(now) {
--- a/state/limit/src/held.rs
+++ b/state/limit/src/held.rs
@@ -1,8 +1,8 @@
 //! Estimates the load that held flows are expected to cause.
 //!
 //! Accounts for long flows that are all opened at once, for example after a
-//! failure: they have no measured rate yet and cannot be moved later. Until they
-//! have one, each counts with the mean rate of the flows observed so far.
+//! failure: they have no measured rate yet and cannot be moved later. Until
+//! they have one, each counts with the mean rate of the flows observed so far.
 use std::time::Duration;
 
 use crate::Load;
@@ -29,8 +29,8 @@
     }
 }
 
-/// The load of the held flows: the observed load or the load expected from their
-/// number, whichever is larger.
+/// The load of the held flows: the observed load or the load expected from
+/// their number, whichever is larger.
 ///
 /// ```
 /// use std::time::Duration;
@@ -95,8 +95,8 @@
         self.requests / self.flow_seconds
     }
 
-    /// Returns the load to add to a bid, expressed as a wait, given the capacity in
-    /// requests a second.
+    /// Returns the load to add to a bid, expressed as a wait, given the
+    /// capacity in requests a second.
     #[must_use]
     pub fn bid(&self, now: Duration, capacity: u32) -> Duration {
         let expected = self.flows * self.flow_rate() / f64::from(capacity.max(1));
--- a/state/limit/src/job.rs
+++ b/state/limit/src/job.rs
@@ -29,8 +29,8 @@
 pub enum Verdict {
     /// The job has a slot and must be run now.
     Start,
-    /// The job is queued until a [`Release`] starts or expires it, or until it is
-    /// cancelled.
+    /// The job is queued until a [`Release`] starts or expires it, or until it
+    /// is cancelled.
     Queued,
     /// The job was not admitted.
     Refuse {
@@ -48,8 +48,8 @@
     Full,
     /// The job cannot meet its deadline.
     Deadline,
-    /// The backend server is paused because it shed load or failed, until after the
-    /// job's deadline.
+    /// The backend server is paused because it shed load or failed, until after
+    /// the job's deadline.
     Paused,
     /// A job with the same id is already running or queued.
     Duplicate,
--- a/state/limit/src/lib.rs
+++ b/state/limit/src/lib.rs
@@ -1,5 +1,5 @@
-//! Admission control for a backend server: admits work within the server's slots
-//! and the caller's deadline.
+//! Admission control for a backend server: admits work within the server's
+//! slots and the caller's deadline.
 //!
 //! * [`Gate`] manages the slots and the queue of one backend server.
 //! * [`Held`] estimates the load that held flows are expected to cause.
--- a/state/limit/src/load.rs
+++ b/state/limit/src/load.rs
@@ -58,8 +58,8 @@
         self.updated = self.updated.max(now);
     }
 
-    /// Returns the load to add to a bid, expressed as a wait, given the capacity
-    /// (`weight`) in jobs a second.
+    /// Returns the load to add to a bid, expressed as a wait, given the
+    /// capacity (`weight`) in jobs a second.
     #[must_use]
     pub fn bid(&self, now: Duration, weight: u32) -> Duration {
         let share = self.rate * self.decay(now) / f64::from(weight.max(1));
--- a/state/limit/src/occupancy.rs
+++ b/state/limit/src/occupancy.rs
@@ -70,8 +70,8 @@
 
     /// Records that a request was answered, and updates the mean service time.
     pub fn finish(&mut self, now: Duration, start: Start) {
-        // While requests are queued, the time between two answers is the service
-        // time divided by the number of slots.
+        // While requests are queued, the time between two answers is the
+        // service time divided by the number of slots.
         let time = if start.is_queued {
             now.saturating_sub(self.last_event.max(start.at)) * u32::from(self.slots)
         } else {
@@ -81,8 +81,8 @@
         self.release(now);
     }
 
-    /// Records that a request ended without an answer, which gives no measurement of
-    /// the service time.
+    /// Records that a request ended without an answer, which gives no
+    /// measurement of the service time.
     pub fn release(&mut self, now: Duration) {
         self.running = self.running.saturating_sub(1);
         self.last_event = now;
--- a/state/limit/src/pause.rs
+++ b/state/limit/src/pause.rs
@@ -104,8 +104,8 @@
         }
     }
 
-    /// Starts the pause that the backend server requested, up to [`Settings::max`],
-    /// or a pause of the backoff if it requested none.
+    /// Starts the pause that the backend server requested, up to
+    /// [`Settings::max`], or a pause of the backoff if it requested none.
     pub fn record_shed(&mut self, now: Duration, requested: Duration) {
         let pause = match requested {
             Duration::ZERO => self.backoff.next_pause(),
--- a/state/limit/src/queue.rs
+++ b/state/limit/src/queue.rs
@@ -61,8 +61,8 @@
         self.ranks.contains_key(&id)
     }
 
-    /// Returns the number of queued jobs that would start before a new job with the
-    /// given deadline.
+    /// Returns the number of queued jobs that would start before a new job with
+    /// the given deadline.
     #[must_use]
     pub fn ahead(&self, deadline: Duration) -> usize {
         match self.discipline {
--- a/state/limit/src/risk.rs
+++ b/state/limit/src/risk.rs
@@ -1,8 +1,8 @@
 //! Estimates how likely a backend server is to fail a request.
 //!
 //! Guards against backend servers that report that they are healthy, but reset,
-//! drop or never answer requests: they look idle and fast, and would attract all
-//! work. The estimate uses the outcomes of the requests sent to the backend
+//! drop or never answer requests: they look idle and fast, and would attract
+//! all work. The estimate uses the outcomes of the requests sent to the backend
 //! server. Old outcomes decay, so that one that has recovered gets work again
 //! gradually.
 use std::time::Duration;
@@ -12,8 +12,8 @@
 pub struct Settings {
     /// Time constant of the decay of old outcomes.
     pub decay_time: Duration,
-    /// Number of answered requests assumed in advance, which limits the weight of a
-    /// single failure.
+    /// Number of answered requests assumed in advance, which limits the weight
+    /// of a single failure.
     pub prior_answers: f64,
     /// Cost of a failed request to its caller, expressed as a wait.
     pub cost: Duration,
@@ -29,8 +29,8 @@
     }
 }
 
-/// Estimated probability that a backend server fails a request, from the outcomes
-/// of earlier requests.
+/// Estimated probability that a backend server fails a request, from the
+/// outcomes of earlier requests.
 ///
 /// ```
 /// use std::time::Duration;
@@ -84,7 +84,8 @@
         failed / (failed + answered + self.settings.prior_answers)
     }
 
-    /// Returns the expected cost of failure for a new request, expressed as a wait.
+    /// Returns the expected cost of failure for a new request, expressed as a
+    /// wait.
     #[must_use]
     pub fn wait(&self, now: Duration) -> Duration {
         self.settings.cost.mul_f64(self.share(now))
--- a/state/limit/src/share.rs
+++ b/state/limit/src/share.rs
@@ -1,8 +1,8 @@
 //! Division of the slots between short and long jobs.
 //!
-//! Each class has a reserved share of the slots. Short jobs may use free slots of
-//! the long class, since they release them soon. Long jobs never use the reserve
-//! of the short class: a long-lived request would occupy it for hours.
+//! Each class has a reserved share of the slots. Short jobs may use free slots
+//! of the long class, since they release them soon. Long jobs never use the
+//! reserve of the short class: a long-lived request would occupy it for hours.
 use crate::Class;
 
 /// Reserved shares of the slots; each class gets at least one slot if there are
@@ -67,9 +67,9 @@
     }
 
     /// Returns whether a job of the class may start in addition to the running
-    /// ones. The slow-start `limit` applies to short jobs only: it grows when jobs
-    /// end, and a long job that used it up would stop that growth. At a limit of
-    /// zero (a pause), no job starts.
+    /// ones. The slow-start `limit` applies to short jobs only: it grows when
+    /// jobs end, and a long job that used it up would stop that growth. At a
+    /// limit of zero (a pause), no job starts.
     #[must_use]
     pub fn admits(&self, class: Class, running: Count, limit: u16, slots: u16) -> bool {
         let below = match class {
@@ -86,8 +86,8 @@
         reserved_slots(slots, self.long_percent).saturating_sub(running.long)
     }
 
-    /// Returns the class of the next job to start, among the classes that have a
-    /// queued job that may start. With a single slot, the classes alternate.
+    /// Returns the class of the next job to start, among the classes that have
+    /// a queued job that may start. With a single slot, the classes alternate.
     #[must_use]
     pub fn next_class(
         &self,
@@ -109,8 +109,8 @@
     }
 }
 
-/// Returns the number of reserved slots: at least one, and at most all but one if
-/// there are two or more.
+/// Returns the number of reserved slots: at least one, and at most all but one
+/// if there are two or more.
 fn reserved_slots(slots: u16, percent: u32) -> u16 {
     let share = u32::from(slots) * percent.min(100) / 100;
     let share = u16::try_from(share).unwrap_or(slots);
--- a/state/limit/tests/gate.rs
+++ b/state/limit/tests/gate.rs
@@ -155,7 +155,8 @@
             latest = latest.max(retry_after);
         }
     }
-    // 300 jobs of 50 ms on 2 slots take 7.5 s: retries are spread over that time.
+    // 300 jobs of 50 ms on 2 slots take 7.5 s: retries are spread over that
+    // time.
     assert!(
         retry_times.len() > 150,
         "{} distinct times",
@@ -178,8 +179,8 @@
         }
     }
     let most = retry_times.values().max().copied().unwrap_or_default();
-    // Callers refused at the maximum retry time are spread over 10 s, some 100 in
-    // each tenth of a second.
+    // Callers refused at the maximum retry time are spread over 10 s, some 100
+    // in each tenth of a second.
     assert!(
         most < 200,
         "{most} callers retry within the same tenth of a second"
@@ -449,8 +450,8 @@
 }
 
 proptest! {
-    /// No more jobs run than there are slots, each job ends exactly once, and no job
-    /// stays queued once every deadline has passed.
+    /// No more jobs run than there are slots, each job ends exactly once, and
+    /// no job stays queued once every deadline has passed.
     #[test]
     fn every_job_ends_exactly_once(
         slots in 1_u16..6,
@@ -480,8 +481,8 @@
         prop_assert_eq!(tracker.ended.len() + tracker.queued.len(), offers);
     }
 
-    /// After a call of `expire`, `next_deadline` is in the future, so that an event
-    /// loop that waits for it does not spin.
+    /// After a call of `expire`, `next_deadline` is in the future, so that an
+    /// event loop that waits for it does not spin.
     #[test]
     fn the_next_deadline_after_expire_is_in_the_future(events in vec((event(), 0_u64..200), 1..200)) {
         let mut gate = Gate::new(settings(3), Duration::ZERO);
@@ -497,7 +498,8 @@
         }
     }
 
-    /// Under a flood of jobs of both classes, each class gets its reserved share.
+    /// Under a flood of jobs of both classes, each class gets its reserved
+    /// share.
     #[test]
     fn neither_job_class_starves(slots in 1_u16..8, seed in any::<u64>()) {
         let mut gate = Gate::new(Settings { max_wait: FAR, seed, ..settings(slots) }, Duration::ZERO);
--- a/state/limit/tests/load.rs
+++ b/state/limit/tests/load.rs
@@ -54,8 +54,8 @@
 }
 
 proptest! {
-    /// For any request times, the bid is at most that of all requests at the same
-    /// time.
+    /// For any request times, the bid is at most that of all requests at the
+    /// same time.
     #[test]
     fn a_bid_is_at_most_that_of_all_requests_at_once(
         times in proptest::collection::vec(0_u64..1_000_000, 0..200),
