--- a/coordination/route/src/place.rs
+++ b/coordination/route/src/place.rs
@@ -15,7 +15,7 @@
 use wire::ZoneId;
 use wire::transit::Load;
 
-/// Limits of a [`Place`].
+/// Parameters of a [`Place`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// Cost of sending a flow to another availability zone, expressed as a
@@ -24,8 +24,8 @@
     /// Service time assumed for a backend server that has not reported its
     /// load.
     pub service_time: Duration,
-    /// Maximum random time that is added to each expected time to answer.
-    pub spread: Duration,
+    /// Maximum jitter added to each expected time to answer.
+    pub jitter: Duration,
     /// Time for which a backend server that did not answer ranks last.
     pub distrust: Duration,
 }
@@ -35,13 +35,13 @@
         Self {
             cross_zone_cost: Duration::from_millis(12),
             service_time: Duration::from_millis(20),
-            spread: Duration::from_millis(10),
+            jitter: Duration::from_millis(10),
             distrust: Duration::from_secs(2),
         }
     }
 }
 
-/// Backend servers ranked for new flows by their expected time to answer.
+/// Ranking of backend servers for new flows by their expected time to answer.
 #[derive(Debug)]
 pub struct Place {
     settings: Settings,
@@ -61,8 +61,8 @@
 }
 
 impl Place {
-    /// Creates a ranking for an entry in `zone`; the seed drives the random
-    /// part of each cost.
+    /// Creates a ranking for an entry in `zone`; the seed drives the
+    /// jitter.
     #[must_use]
     pub fn new(settings: Settings, zone: ZoneId, seed: u64) -> Self {
         Self {
@@ -113,10 +113,10 @@
         let mut ranked: Vec<(bool, Duration, &Target)> = targets
             .map(|target| {
                 let (is_unresponsive, cost) = self.cost(now, target);
-                // Without the random part, all entries with the same
-                // information would choose the same backend server.
-                let spread = self.settings.spread.mul_f64(self.random.f64());
-                (is_unresponsive, cost + spread, target)
+                // Without the jitter, all entries with the same information
+                // would choose the same backend server.
+                let jitter = self.settings.jitter.mul_f64(self.random.f64());
+                (is_unresponsive, cost + jitter, target)
             })
             .collect();
         ranked.sort_unstable_by_key(|(is_unresponsive, cost, _)| (*is_unresponsive, *cost));
--- a/coordination/route/tests/place.rs
+++ b/coordination/route/tests/place.rs
@@ -44,7 +44,7 @@
 
 fn place() -> Place {
     let settings = Settings {
-        spread: Duration::ZERO,
+        jitter: Duration::ZERO,
         ..Settings::default()
     };
     Place::new(settings, OWN_ZONE, 1)
--- a/state/flow/src/ledger.rs
+++ b/state/flow/src/ledger.rs
@@ -308,7 +308,7 @@
     /// to evict.
     fn reclaim(&mut self) {
         self.evict_answers();
-        while self.is_full() && self.fold_oldest() {}
+        while self.is_full() && self.fold_oldest_flow() {}
     }
 
     /// Evicts answers, oldest first, while the ledger has no room for a record.
@@ -337,7 +337,7 @@
 
     /// Folds the ids of the first flow in `fold_order` into its floor. Returns
     /// false if there is no such flow.
-    fn fold_oldest(&mut self) -> bool {
+    fn fold_oldest_flow(&mut self) -> bool {
         let Some((_, flow)) = self.fold_order.pop_first() else {
             return false;
         };
--- a/state/limit/src/backoff.rs
+++ b/state/limit/src/backoff.rs
@@ -1,7 +1,7 @@
 //! Exponential backoff with jitter.
 use std::time::Duration;
 
-/// Limits of a [`Backoff`].
+/// Parameters of a [`Backoff`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// Upper bound of the first pause.
--- a/state/limit/src/budget.rs
+++ b/state/limit/src/budget.rs
@@ -1,6 +1,6 @@
 //! A retry budget, which limits retries to a share of first attempts.
 
-/// Limits of a [`Budget`].
+/// Parameters of a [`Budget`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// Number of retries allowed for every 100 first attempts.
--- a/state/limit/src/capacity.rs
+++ b/state/limit/src/capacity.rs
@@ -2,7 +2,7 @@
 //! jobs.
 use std::time::Duration;
 
-/// Limits of a [`Capacity`].
+/// Parameters of a [`Capacity`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
     /// Initial estimate of the service time of short jobs.
--- a/state/limit/src/gate.rs
+++ b/state/limit/src/gate.rs
@@ -20,7 +20,7 @@
 use crate::share::Count;
 use crate::share::Waiting;
 
-/// Limits of a [`Gate`].
+/// Parameters of a [`Gate`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
     /// Number of jobs that the backend server runs concurrently.
--- a/state/limit/src/held.rs
+++ b/state/limit/src/held.rs
@@ -8,7 +8,7 @@
 use crate::Load;
 use crate::load;
 
-/// Limits of a [`Held`].
+/// Parameters of a [`Held`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
     /// Parameters of the load estimate from observed requests.
--- a/state/limit/src/load.rs
+++ b/state/limit/src/load.rs
@@ -1,7 +1,7 @@
 //! Estimates the load of a backend server's held flows from their request rate.
 use std::time::Duration;
 
-/// Limits of a [`Load`].
+/// Parameters of a [`Load`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
     /// Time constant of the smoothed request rate.
--- a/state/limit/src/pause.rs
+++ b/state/limit/src/pause.rs
@@ -7,7 +7,7 @@
 use crate::Backoff;
 use crate::backoff;
 
-/// Limits of a [`Pause`].
+/// Parameters of a [`Pause`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// Maximum pause that a backend server can request.
--- a/state/limit/src/risk.rs
+++ b/state/limit/src/risk.rs
@@ -7,7 +7,7 @@
 //! gradually.
 use std::time::Duration;
 
-/// Limits of a [`Risk`].
+/// Parameters of a [`Risk`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
     /// Time constant of the decay of old outcomes.
