--- a/state/flow/tests/table.rs
+++ b/state/flow/tests/table.rs
@@ -99,7 +99,7 @@
         closed: Some(20),
         held_until: 80,
     },
-    packets_after_the_close_do_not_extend_the_lifetime: Lifetime {
+    a_closed_flow_expires_the_late_copy_time_after_the_close: Lifetime {
         packets: vec![10],
         closed: Some(20),
         held_until: 80,
