--- a/state/limit/tests/retry.rs
+++ b/state/limit/tests/retry.rs
@@ -10,17 +10,17 @@
 #[derive(Clone, Copy)]
 struct Share {
     percent: u32,
-    first_tries: u32,
+    first_attempts: u32,
     retries: usize,
 }
 
-fn retries_are_a_share_of_first_tries(share: Share) {
+fn retries_are_a_share_of_first_attempts(share: Share) {
     let mut budget = Budget::new(budget::Settings {
         percent: share.percent,
         burst: 5,
     });
     while budget.withdraw() {}
-    let retries = (0..share.first_tries)
+    let retries = (0..share.first_attempts)
         .filter(|_| {
             budget.deposit();
             budget.withdraw()
@@ -29,11 +29,11 @@
     assert_eq!(retries, share.retries);
 }
 
-cases::cases! { retries_are_a_share_of_first_tries;
-    a_tenth: Share { percent: 10, first_tries: 1000, retries: 100 },
-    none: Share { percent: 0, first_tries: 1000, retries: 0 },
-    as_many: Share { percent: 100, first_tries: 1000, retries: 1000 },
-    more_than_first_tries: Share { percent: 250, first_tries: 1000, retries: 1000 },
+cases::cases! { retries_are_a_share_of_first_attempts;
+    a_retry_budget_of_ten_percent: Share { percent: 10, first_attempts: 1000, retries: 100 },
+    a_retry_budget_of_zero_percent: Share { percent: 0, first_attempts: 1000, retries: 0 },
+    a_retry_budget_of_a_hundred_percent: Share { percent: 100, first_attempts: 1000, retries: 1000 },
+    a_retry_budget_above_a_hundred_percent: Share { percent: 250, first_attempts: 1000, retries: 1000 },
 }
 
 proptest! {
@@ -57,11 +57,11 @@
     }
 
     #[test]
-    fn pauses_lie_in_the_upper_half_of_a_doubling_bound(seed in any::<u64>(), tries in 1_u32..200) {
+    fn pauses_lie_in_the_upper_half_of_a_doubling_bound(seed in any::<u64>(), attempts in 1_u32..200) {
         let settings = backoff::Settings::default();
         let mut backoff = Backoff::new(settings, seed);
         let mut bound = settings.base;
-        for _ in 0..tries {
+        for _ in 0..attempts {
             let pause = backoff.next_pause();
             prop_assert!(bound / 2 <= pause && pause <= bound);
             bound = (bound * 2).min(settings.max);
@@ -71,7 +71,7 @@
     }
 
     #[test]
-    fn two_seeds_do_not_return_together(seed in any::<u64>()) {
+    fn backoffs_with_different_seeds_differ(seed in any::<u64>()) {
         let pauses = |seed| {
             let mut backoff = Backoff::new(backoff::Settings::default(), seed);
             [backoff.next_pause(), backoff.next_pause(), backoff.next_pause()]
@@ -81,7 +81,7 @@
     }
 
     #[test]
-    fn no_retry_outlasts_the_deadline(
+    fn no_retry_ends_after_the_deadline(
         now in 0_u64..10_000,
         deadline in 0_u64..10_000,
         service in 0_u64..1000,
