--- a/coordination/config/src/change.rs
+++ b/coordination/config/src/change.rs
@@ -1,9 +1,10 @@
-//! An operator's change of one service, as a compare-and-swap on the revision
-//! that the operator read.
+//! An operator's change of one service: a compare-and-swap on the revision that
+//! the operator read.
 //!
-//! The stored record names the operation that wrote it and the last few before
-//! it. A write whose answer was lost is thereby recognised on reading back, also
-//! where somebody else has written since.
+//! The stored record names the operation that wrote it and the last few
+//! operations before it. If the answer to a write is lost, the record is read
+//! back and shows whether the write was applied, even if another operator has
+//! written since.
 //!
 //! ```
 //! use config::Change;
@@ -26,7 +27,7 @@
 //! };
 //! let mut change = Change::new(request, 1);
 //! assert!(matches!(change.start(), Action::Read { .. }));
-//! // The store is down: nothing was applied, and the answer is given at once.
+//! // The store is unreachable: the change ends without being applied.
 //! let action = change.on_read(Err(Fault::Unreachable));
 //! assert!(matches!(
 //!     action,
@@ -60,20 +61,20 @@
 pub use request::Edit;
 pub use request::Request;
 
-/// Most writes that one change makes, and most reads before or after a write.
-const MAX_TRIES: u8 = 3;
+/// Maximum number of writes per change, and of reads before or after a write.
+const MAX_ATTEMPTS: u8 = 3;
 
-/// Shortest time that a client is told to wait before it tries again.
+/// Minimum time after which a client may retry; jitter adds up to as much again.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The state of a change.
+/// State machine of one change.
 #[derive(Clone, Debug)]
 pub struct Change {
     request: Request,
     seed: u64,
     stage: Stage,
-    /// Whether some write of this operation may have been applied.
-    uncertain: bool,
+    /// Whether a write of this operation may have been applied.
+    maybe_applied: bool,
     writes: u8,
     reads: u8,
 }
@@ -85,7 +86,7 @@
     ReadingBack(Draft, Fault),
 }
 
-/// A checked write.
+/// A validated write.
 #[derive(Clone, Debug)]
 struct Draft {
     service: Service,
@@ -95,11 +96,11 @@
 }
 
 impl Change {
-    /// Begins a change; `seed` spreads the time to come back.
+    /// Creates a change; `seed` determines the jitter of the retry time.
     #[must_use]
     pub fn new(request: Request, seed: u64) -> Self {
         Self {
-            uncertain: request.retry,
+            maybe_applied: request.retry,
             request,
             seed,
             stage: Stage::Reading,
@@ -108,7 +109,7 @@
         }
     }
 
-    /// The first action.
+    /// Returns the first action.
     #[must_use]
     pub fn start(&self) -> Action {
         if self.request.retry && self.request.expected.is_none() {
@@ -117,27 +118,27 @@
         self.read()
     }
 
-    /// Takes the answer to [`Action::Read`].
+    /// Handles the answer to [`Action::Read`] and returns the next action.
     pub fn on_read(&mut self, answer: Result<Option<Item>, Fault>) -> Action {
         let item = match answer {
             Ok(item) => item,
             Err(fault) => return self.unavailable(fault),
         };
         self.reads += 1;
-        let found = match item.as_ref().map(Found::read).transpose() {
-            Ok(found) => found.unwrap_or_default(),
+        let current = match item.as_ref().map(Current::decode).transpose() {
+            Ok(current) => current.unwrap_or_default(),
             Err(problem) => return Action::Done(Outcome::Invalid(vec![problem])),
         };
-        if let Some(outcome) = self.earlier(&found) {
+        if let Some(outcome) = self.find_earlier_write(&current) {
             return Action::Done(outcome);
         }
         match self.stage.clone() {
-            Stage::Reading | Stage::Writing(_) => self.draft(&found),
-            Stage::ReadingBack(draft, fault) => self.after_read_back(draft, fault, &found),
+            Stage::Reading | Stage::Writing(_) => self.prepare_write(&current),
+            Stage::ReadingBack(draft, fault) => self.after_read_back(draft, fault, &current),
         }
     }
 
-    /// Takes the answer to [`Action::Write`].
+    /// Handles the answer to [`Action::Write`] and returns the next action.
     pub fn on_written(&mut self, answer: Result<Revision, Fault>) -> Action {
         let Stage::Writing(draft) = self.stage.clone() else {
             return self.read();
@@ -153,7 +154,7 @@
                 }),
             }),
             Err(fault) if fault == Fault::Conflict || fault.maybe_applied() => {
-                self.uncertain |= fault.maybe_applied();
+                self.maybe_applied |= fault.maybe_applied();
                 self.reads = 0;
                 self.stage = Stage::ReadingBack(draft, fault);
                 self.read()
@@ -162,36 +163,39 @@
         }
     }
 
-    /// Recognises a write of this operation.
-    fn earlier(&self, found: &Found) -> Option<Outcome> {
-        let record = found.record.as_ref()?;
-        let revision = record.find(&self.request.operation, found.revision)?;
-        if revision == found.revision && !self.matches(&record.service) {
+    /// Returns the outcome if the record shows that this operation has already
+    /// been applied, or that its id belongs to another change.
+    fn find_earlier_write(&self, current: &Current) -> Option<Outcome> {
+        let record = current.record.as_ref()?;
+        let revision = record.revision_of(&self.request.operation, current.revision)?;
+        if revision == current.revision && !self.could_result_in(&record.service) {
             return Some(Outcome::Invalid(vec![Problem::OperationReused]));
         }
         Some(Outcome::Accepted {
             revision,
-            replaced_by: Some(found.revision).filter(|now| *now != revision),
+            replaced_by: Some(current.revision).filter(|now| *now != revision),
             differences: Vec::new(),
             latest: Box::new(Update {
                 service: record.service.clone(),
-                revision: found.revision,
+                revision: current.revision,
             }),
         })
     }
 
-    /// Whether this change could have led to `service`.
-    fn matches(&self, service: &Service) -> bool {
+    /// Returns whether this change could have produced `service`.
+    fn could_result_in(&self, service: &Service) -> bool {
         match &self.request.edit {
-            Edit::Create(wanted) | Edit::Update(wanted) => self.stamp(wanted.clone()) == *service,
+            Edit::Create(wanted) | Edit::Update(wanted) => {
+                self.with_ids(wanted.clone()) == *service
+            }
             Edit::Delete => !service.is_active(),
             Edit::Drain(subject) => service.drained.contains(subject),
             Edit::Undrain(subject) => !service.drained.contains(subject),
         }
     }
 
-    /// Names the service and the operation.
-    fn stamp(&self, service: Service) -> Service {
+    /// Sets the service's address and operation id to those of the request.
+    fn with_ids(&self, service: Service) -> Service {
         Service {
             address: self.request.address,
             operation: self.request.operation.clone(),
@@ -199,17 +203,18 @@
         }
     }
 
-    /// Checks the change against what is stored, and writes it.
-    fn draft(&mut self, found: &Found) -> Action {
-        let base = self.request.expected.unwrap_or(found.revision);
-        match found.revision {
+    /// Validates the change against the stored record and writes it, or returns
+    /// the differences of a dry run.
+    fn prepare_write(&mut self, current: &Current) -> Action {
+        let base = self.request.expected.unwrap_or(current.revision);
+        match current.revision {
             revision if revision == base => {}
-            // The operator has read something newer: this read was stale.
-            revision if revision < base && self.reads < MAX_TRIES => return self.read(),
-            _ => return self.conflict(base, found),
+            // The operator has seen a newer revision, so this read was stale.
+            revision if revision < base && self.reads < MAX_ATTEMPTS => return self.read(),
+            _ => return self.conflict(base, current),
         }
-        let before = found.record.as_ref().map(|record| &record.service);
-        let after = match self.edit(before) {
+        let before = current.record.as_ref().map(|record| &record.service);
+        let after = match self.apply_edit(before) {
             Ok(service) => service,
             Err(problems) => return Action::Done(Outcome::Invalid(problems)),
         };
@@ -221,7 +226,7 @@
             });
         }
         let service = after.clone();
-        let record = match &found.record {
+        let record = match &current.record {
             Some(previous) => Record::replace(after, previous, base),
             None => Record::create(after),
         };
@@ -236,7 +241,7 @@
         }
     }
 
-    fn edit(&self, before: Option<&Service>) -> Result<Service, Vec<Problem>> {
+    fn apply_edit(&self, before: Option<&Service>) -> Result<Service, Vec<Problem>> {
         let active = before.filter(|service| service.is_active());
         let service = match (&self.request.edit, active) {
             (Edit::Create(_), Some(_)) => return Err(vec![Problem::Exists]),
@@ -257,36 +262,38 @@
                 service
             }
         };
-        let service = self.stamp(service);
+        let service = self.with_ids(service);
         service.check().map(|()| service)
     }
 
-    /// Decides after a write that failed, with what the store has now.
-    fn after_read_back(&mut self, draft: Draft, fault: Fault, found: &Found) -> Action {
-        match found.revision {
-            revision if revision > draft.base => self.conflict(draft.base, found),
-            _ if self.reads >= MAX_TRIES || self.writes >= MAX_TRIES => self.unavailable(fault),
+    /// Decides how to go on after a failed write, given the record read back.
+    fn after_read_back(&mut self, draft: Draft, fault: Fault, current: &Current) -> Action {
+        match current.revision {
+            revision if revision > draft.base => self.conflict(draft.base, current),
+            _ if self.reads >= MAX_ATTEMPTS || self.writes >= MAX_ATTEMPTS => {
+                self.unavailable(fault)
+            }
             revision if revision == draft.base && fault != Fault::Conflict => self.write(draft),
             // The read was stale.
             _ => self.read(),
         }
     }
 
-    fn conflict(&self, base: Revision, found: &Found) -> Action {
-        let covered = found
+    fn conflict(&self, base: Revision, current: &Current) -> Action {
+        let covered = current
             .record
             .as_ref()
-            .is_none_or(|record| record.covers(base, found.revision));
-        // A read older than the base says nothing of what came after it.
-        let hidden = !covered || found.revision < base;
+            .is_none_or(|record| record.has_history_since(base, current.revision));
+        // A read older than the base cannot show a write made after the base.
+        let hidden = !covered || current.revision < base;
         let effect = if hidden {
             self.effect()
         } else {
             Effect::NotApplied
         };
         Action::Done(Outcome::Conflict {
-            winner: found.revision,
-            operation: found.operation(),
+            winner: current.revision,
+            operation: current.operation(),
             effect,
         })
     }
@@ -299,9 +306,9 @@
         })
     }
 
-    /// What became of the change as long as reading back does not tell.
+    /// Returns the effect of the change where reading back did not determine it.
     fn effect(&self) -> Effect {
-        if self.uncertain {
+        if self.maybe_applied {
             Effect::Unknown
         } else {
             Effect::NotApplied
@@ -320,22 +327,22 @@
             key: key::service(self.request.address),
             value: draft.value.clone(),
             expected: draft.base,
-            touch: key::mark(key::bucket(self.request.address)),
+            touch: key::change_marker(key::bucket(self.request.address)),
         };
         self.stage = Stage::Writing(draft);
         action
     }
 }
 
-/// What the store has under the key; revision 0 where nothing.
+/// The stored record and its revision; revision 0 if the key does not exist.
 #[derive(Debug, Default)]
-struct Found {
+struct Current {
     record: Option<Record>,
     revision: Revision,
 }
 
-impl Found {
-    fn read(item: &Item) -> Result<Self, Problem> {
+impl Current {
+    fn decode(item: &Item) -> Result<Self, Problem> {
         Ok(Self {
             record: Some(Record::from_json(&item.value)?),
             revision: item.revision,
--- a/coordination/config/src/change/outcome.rs
+++ b/coordination/config/src/change/outcome.rs
@@ -1,4 +1,4 @@
-//! What a change does, and what became of it.
+//! Actions and outcomes of a change.
 use std::time::Duration;
 
 use wire::Revision;
@@ -9,79 +9,79 @@
 use crate::Update;
 use crate::diff::Line;
 
-/// What to do next with the service's key.
+/// The next call to make for the service's key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Read the key, and answer with [`Change::on_read`].
+    /// Read the key and pass the answer to [`Change::on_read`].
     Read {
         /// The key.
         key: String,
     },
-    /// Compare and swap the key, and answer with [`Change::on_written`].
+    /// Compare-and-swap the key and pass the answer to [`Change::on_written`].
     Write {
         /// The key.
         key: String,
         /// The new value.
         value: Vec<u8>,
-        /// Revision that the key must still have; 0 where it must not exist.
+        /// Revision that the key must still have; 0 if it must not exist.
         expected: Revision,
-        /// The key to write in the same step, whatever it holds.
+        /// Change marker to write unconditionally in the same transaction.
         touch: String,
     },
-    /// The change is over.
+    /// The change has ended.
     Done(Outcome),
 }
 
-/// What became of a change.
+/// Result of a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It is stored.
+    /// The change is stored.
     Accepted {
-        /// The revision that it got.
+        /// Revision of the record that the change wrote.
         revision: Revision,
-        /// The revision that has replaced it since.
+        /// The store's present revision, if a later write replaced that record.
         replaced_by: Option<Revision>,
-        /// What it changed; empty where an earlier attempt wrote it.
+        /// Fields changed; empty if an earlier attempt wrote the change.
         differences: Vec<Line>,
-        /// What is stored now, to be spread at once: the store may be down
-        /// before any reader has read it.
+        /// The stored configuration, to be gossiped at once: the store may fail
+        /// before any entry has read it.
         latest: Box<Update>,
     },
-    /// The dry run found no fault.
+    /// The dry run found no problem.
     Checked {
-        /// The revision that would be replaced, 0 for a new service.
+        /// Revision that the change would replace; 0 for a new service.
         revision: Revision,
-        /// What would change.
+        /// Fields that would change.
         differences: Vec<Line>,
     },
-    /// Another change was first.
+    /// The stored revision differs from the expected one.
     Conflict {
-        /// The revision in the store.
+        /// Revision in the store.
         winner: Revision,
-        /// The operation that wrote it.
+        /// Operation that wrote that revision.
         operation: OperationId,
-        /// What became of this change.
+        /// Whether this change may have been applied.
         effect: Effect,
     },
-    /// The request is wrong.
+    /// The request is invalid.
     Invalid(Vec<Problem>),
-    /// The store did not answer.
+    /// A call of the store failed.
     Unavailable {
-        /// Why.
+        /// Cause of the failure.
         fault: Fault,
-        /// What became of this change.
+        /// Whether this change may have been applied.
         effect: Effect,
-        /// Time to wait before another try.
+        /// Time to wait before a retry.
         retry_after: Duration,
     },
 }
 
-/// What became of a change that is not known to be stored.
+/// Effect of a change that is not known to be stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Effect {
-    /// Nothing was applied, and nothing will be.
+    /// The change was not applied and will not be.
     NotApplied,
-    /// It may have been applied, or may yet be; a retry with the same
-    /// operation id tells.
+    /// The change may have been applied, or may still be; a retry with the same
+    /// operation id determines which.
     Unknown,
 }
--- a/coordination/config/src/change/request.rs
+++ b/coordination/config/src/change/request.rs
@@ -1,4 +1,4 @@
-//! What an operator asks for.
+//! An operator's request.
 use wire::Revision;
 use wire::ServiceAddress;
 
@@ -6,35 +6,35 @@
 use crate::OperationId;
 use crate::Service;
 
-/// What an operator asks for.
+/// An operator's request to change one service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// The service.
+    /// Address that identifies the service.
     pub address: ServiceAddress,
-    /// What to do with it.
+    /// The change to make.
     pub edit: Edit,
-    /// The revision that the operator read, 0 for a new service; `None` for
-    /// whatever the store has now, which a retry must not ask for.
+    /// Revision that the operator read, 0 for a new service. `None` accepts any
+    /// stored revision; a retry must state one.
     pub expected: Option<Revision>,
-    /// Names the change; the same on each retry.
+    /// Id of the change; the same for each retry.
     pub operation: OperationId,
-    /// Check only.
+    /// Whether to validate the change without writing it.
     pub dry_run: bool,
     /// Whether an earlier attempt of this operation may have been applied.
     pub retry: bool,
 }
 
-/// What to do with a service.
+/// A change to make to a service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Edit {
-    /// Creates the service, also where it was deleted.
+    /// Creates the service, or recreates it after its deletion.
     Create(Service),
-    /// Replaces its configuration.
+    /// Replaces the service's configuration.
     Update(Service),
-    /// Deletes it.
+    /// Deletes the service.
     Delete,
-    /// Adds to what is drained.
+    /// Drains a target or an availability zone.
     Drain(Drained),
-    /// Takes away from what is drained.
+    /// Ends the drain of a target or an availability zone.
     Undrain(Drained),
 }
--- a/coordination/config/src/diff.rs
+++ b/coordination/config/src/diff.rs
@@ -1,4 +1,4 @@
-//! The difference between two configurations of a service.
+//! Differences between two configurations of a service.
 use std::fmt;
 use std::fmt::Display;
 use std::fmt::Formatter;
@@ -7,14 +7,14 @@
 
 use crate::Service;
 
-/// One field that differs.
+/// A field that differs between two configurations.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Line {
-    /// Name of the field, with its unit.
+    /// Name of the field in JSON, with its unit.
     pub field: String,
-    /// The earlier value as JSON, empty where there was none.
+    /// Earlier value as JSON; empty if there was none.
     pub before: String,
-    /// The later value as JSON.
+    /// Later value as JSON.
     pub after: String,
 }
 
@@ -24,7 +24,7 @@
     }
 }
 
-/// Lists the fields of `after` that differ from `before`, leaving out the
+/// Returns the fields of `after` that differ from `before`, except the
 /// operation id.
 #[must_use]
 pub fn diff(before: Option<&Service>, after: &Service) -> Vec<Line> {
--- a/coordination/config/src/fault.rs
+++ b/coordination/config/src/fault.rs
@@ -1,39 +1,39 @@
-//! Why a call of the platform's key-value service failed.
+//! Failures of calls to the platform's key-value service.
 use displaydoc::Display;
 use thiserror::Error;
 
-/// Why a call of the platform's key-value service failed.
+/// A failed call to the platform's key-value service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display, Error)]
 pub enum Fault {
-    /// the store cannot be reached; check its address, and try again later
+    /// the connection to the store failed; check its address, and retry later
     Unreachable,
-    /// the store failed on its side with status {status}; try again later
+    /// the store answered with server error {status}; retry later
     Failed {
-        /// The HTTP status.
+        /// HTTP status.
         status: u16,
-        /// Whether the call may have taken effect all the same.
+        /// Whether the store may have applied the call despite the failure.
         maybe_applied: bool,
     },
-    /// the store did not answer in time; read back what was written, or try again later
+    /// no complete answer from the store; read back any write, or retry later
     Lost {
-        /// Whether the call may have taken effect all the same.
+        /// Whether the store may have applied the call despite the failure.
         maybe_applied: bool,
     },
-    /// the value changed since it was read; read it again
+    /// the key was changed by another write since it was read; read it again
     Conflict,
-    /// the lease has lapsed; acquire a new one
+    /// the lease has expired; acquire a new one
     Lapsed,
-    /// the store's answer cannot be read; check that its protocol is supported
+    /// the store's answer cannot be decoded; check that its protocol is supported
     Malformed,
     /// the store rejected the call with status {status}; check key, size and permissions
     Rejected {
-        /// The HTTP status.
+        /// HTTP status.
         status: u16,
     },
 }
 
 impl Fault {
-    /// Whether the call may have taken effect although it failed.
+    /// Returns whether the store may have applied the call despite the failure.
     #[must_use]
     pub const fn maybe_applied(self) -> bool {
         match self {
--- a/coordination/config/src/feed.rs
+++ b/coordination/config/src/feed.rs
@@ -1,9 +1,10 @@
-//! Reads the configuration from the store: once as a whole, then as it changes.
+//! Reads the configuration of all services once, then follows its changes.
 //!
-//! One long poll waits for the marks of the buckets (see [`crate::key`]). A
-//! mark that is newer than what was listed of its bucket makes the bucket due.
-//! Marks and lists are states, not events: one that was missed, repeated,
-//! late or older than the last changes nothing but the time.
+//! One long poll watches the change markers of all buckets (see
+//! [`crate::key`]). If a bucket's marker is newer than the newest service
+//! listed in it, the bucket is listed again. Both markers and lists carry state
+//! rather than events: if an answer is missing, repeated, late or stale, the
+//! feed reads the change later but never loses or reverts it.
 mod action;
 mod bucket;
 mod settings;
@@ -31,119 +32,125 @@
 pub use action::Update;
 pub use settings::Settings;
 
-/// Lists that do not reach their bucket's mark, after which the marks are
-/// watched again before the next list.
-const MAX_FRUITLESS: u8 = 3;
+/// Number of successive steps without newer data after which the feed watches
+/// the markers instead of listing an outdated bucket once more.
+const MAX_STALLED_STEPS: u8 = 3;
 
-/// Reads the configuration while it is running.
+/// State machine that reads the configuration while it is running.
 #[derive(Clone, Debug)]
 pub struct Feed {
     settings: Settings,
     random: Rng,
     backoff: Backoff,
     step: Step,
-    /// When the step is due; `None` while it is under way or nothing runs.
+    /// Time at which the step is due; `None` while its call is in flight and
+    /// while the feed is stopped.
     due: Option<Duration>,
-    relist: Duration,
-    call: CallId,
-    index: Revision,
+    /// Time of the next full list.
+    relist_due: Duration,
+    call_id: CallId,
+    /// Index of the last answer about the markers; the next watch waits for a
+    /// later one.
+    watch_index: Revision,
     buckets: Buckets,
-    fruitless: u8,
-    known: HashMap<ServiceAddress, Revision>,
+    /// Successive steps that returned nothing newer.
+    stalled_steps: u8,
+    /// Newest published revision of each service.
+    newest: HashMap<ServiceAddress, Revision>,
     counts: Counts,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
-    /// Nothing runs.
-    Off,
-    /// Read the marks, and then everything.
-    Marks,
-    /// Read everything.
-    All,
-    /// Read one bucket.
-    Bucket(Bucket),
-    /// Wait for a mark; began at the time given.
+    /// The feed is not running.
+    Stopped,
+    /// List the change markers; a list of all services follows.
+    ListMarkers,
+    /// List all services.
+    ListAll,
+    /// List the services of one bucket.
+    ListBucket(Bucket),
+    /// Watch the change markers since the given time.
     Watch(Duration),
 }
 
 impl Feed {
-    /// Makes a feed that is not running.
+    /// Creates a stopped feed; `seed` determines its jitter.
     #[must_use]
     pub fn new(settings: Settings, seed: u64) -> Self {
         Self {
             backoff: Backoff::new(settings.backoff, seed),
             settings,
             random: Rng::with_seed(seed),
-            step: Step::Off,
+            step: Step::Stopped,
             due: None,
-            relist: Duration::ZERO,
-            call: 0,
-            index: 0,
+            relist_due: Duration::ZERO,
+            call_id: 0,
+            watch_index: 0,
             buckets: Buckets::new(),
-            fruitless: 0,
-            known: HashMap::new(),
+            stalled_steps: 0,
+            newest: HashMap::new(),
             counts: Counts::default(),
         }
     }
 
-    /// Whether it is running.
+    /// Returns whether the feed is running.
     #[must_use]
     pub fn is_running(&self) -> bool {
-        self.step != Step::Off
+        self.step != Step::Stopped
     }
 
-    /// Begins with a read of everything.
+    /// Starts the feed with a full list after a random delay.
     pub fn start(&mut self, now: Duration) {
-        let spread = jitter(self.random.u64(..), self.settings.spread);
-        self.begin(now + spread);
+        let delay = jitter(self.random.u64(..), self.settings.start_jitter);
+        self.schedule_relist(now + delay);
     }
 
-    /// Stops; the answer to a call under way will be ignored.
+    /// Stops the feed; the answer to a call in flight will be ignored.
     pub fn stop(&mut self) {
-        self.step = Step::Off;
+        self.step = Step::Stopped;
         self.due = None;
-        self.call += 1;
+        self.call_id += 1;
     }
 
-    /// Counts so far.
+    /// Returns the counts since the feed was created.
     #[must_use]
     pub const fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// When [`Self::tick`] has something to do.
+    /// Returns the time at which [`Self::tick`] is due.
     #[must_use]
     pub const fn next_deadline(&self) -> Option<Duration> {
         self.due
     }
 
-    /// Does what is due.
+    /// Returns the call that is due, if any.
     pub fn tick(&mut self, now: Duration) -> Vec<Action> {
         if self.due.is_none_or(|due| now < due) {
             return Vec::new();
         }
         self.due = None;
-        self.call += 1;
-        let id = self.call;
+        self.call_id += 1;
+        let id = self.call_id;
         let prefix = match self.step {
-            Step::Off => return Vec::new(),
-            Step::Marks => key::MARKS.to_owned(),
-            Step::All => {
+            Step::Stopped => return Vec::new(),
+            Step::ListMarkers => key::MARKER_PREFIX.to_owned(),
+            Step::ListAll => {
                 self.counts.relists += 1;
                 key::SERVICES.to_owned()
             }
-            Step::Bucket(bucket) => {
+            Step::ListBucket(bucket) => {
                 self.counts.lists += 1;
-                key::services(bucket)
+                key::bucket_prefix(bucket)
             }
             Step::Watch(_) => {
                 self.counts.watches += 1;
                 self.step = Step::Watch(now);
                 return vec![Action::Watch {
                     id,
-                    prefix: key::MARKS.to_owned(),
-                    since: self.index,
+                    prefix: key::MARKER_PREFIX.to_owned(),
+                    since: self.watch_index,
                     wait: self.settings.wait,
                 }];
             }
@@ -151,14 +158,14 @@
         vec![Action::List { id, prefix }]
     }
 
-    /// Takes the answer to call `id`.
+    /// Handles the answer to call `id`; answers to earlier calls are ignored.
     pub fn on_answer(
         &mut self,
         now: Duration,
         id: CallId,
         answer: Result<Listing, Fault>,
     ) -> Vec<Action> {
-        if id != self.call || self.due.is_some() {
+        if id != self.call_id || self.due.is_some() {
             return Vec::new();
         }
         let mut actions = match answer {
@@ -174,90 +181,98 @@
 
     fn on_fault(&mut self, now: Duration, fault: Fault) {
         self.counts.failures += 1;
-        let lost = matches!(fault, Fault::Rejected { .. } | Fault::Malformed);
-        if lost && matches!(self.step, Step::Watch(_)) {
-            // The store no longer knows the index.
-            self.step = Step::Marks;
+        let index_rejected = matches!(fault, Fault::Rejected { .. } | Fault::Malformed);
+        if index_rejected && matches!(self.step, Step::Watch(_)) {
+            // The store may no longer accept the index.
+            self.step = Step::ListMarkers;
         }
         self.due = Some(now + self.backoff.next_pause());
     }
 
     fn on_listing(&mut self, now: Duration, listing: &Listing) -> Vec<Action> {
         match self.step {
-            Step::Off => Vec::new(),
-            Step::Marks => {
-                self.index = listing.index.max(1);
-                self.buckets.mark(listing);
-                self.step = Step::All;
+            Step::Stopped => Vec::new(),
+            Step::ListMarkers => {
+                self.watch_index = listing.index.max(1);
+                self.buckets.record_markers(listing);
+                self.step = Step::ListAll;
                 self.due = Some(now);
                 Vec::new()
             }
-            Step::All | Step::Bucket(_) => {
-                let newer = self.list(listing);
-                self.advance(now, newer || self.step == Step::All);
+            Step::ListAll | Step::ListBucket(_) => {
+                let newer = self.record_listed(listing);
+                self.schedule_next(now, newer || self.step == Step::ListAll);
                 self.publish(listing)
             }
-            Step::Watch(_) if listing.index < self.index => {
-                self.counts.gaps += 1;
+            Step::Watch(_) if listing.index < self.watch_index => {
+                self.counts.index_resets += 1;
                 let pause = self.backoff.next_pause();
-                self.begin(now + pause);
+                self.schedule_relist(now + pause);
                 Vec::new()
             }
             Step::Watch(sent) => {
-                let changed = self.buckets.mark(listing);
-                self.index = listing.index;
-                // An event that changed nothing was repeated by the store.
-                let fruitful = changed || now.saturating_sub(sent) >= self.settings.wait / 2;
-                self.advance(now, fruitful);
+                let changed = self.buckets.record_markers(listing);
+                self.watch_index = listing.index;
+                // A watch that returns early without a newer marker repeats an
+                // event; a backoff keeps the feed from polling in a tight loop.
+                let has_progress = changed || now.saturating_sub(sent) >= self.settings.wait / 2;
+                self.schedule_next(now, has_progress);
                 Vec::new()
             }
         }
     }
 
-    /// Chooses the next step; waits before it where the last brought nothing.
-    fn advance(&mut self, now: Duration, fruitful: bool) {
-        if fruitful {
+    /// Schedules the next step, after a backoff if the last one returned nothing
+    /// newer.
+    fn schedule_next(&mut self, now: Duration, has_progress: bool) {
+        if has_progress {
             self.backoff.reset();
-            self.fruitless = 0;
+            self.stalled_steps = 0;
         } else {
-            self.fruitless = self.fruitless.saturating_add(1);
+            self.stalled_steps = self.stalled_steps.saturating_add(1);
         }
-        let pause = if fruitful {
+        let pause = if has_progress {
             Duration::ZERO
         } else {
             self.backoff.next_pause()
         };
         let last = match self.step {
-            Step::Bucket(bucket) => bucket,
+            Step::ListBucket(bucket) => bucket,
             _ => 0,
         };
-        self.step = match (self.step, self.buckets.behind(last)) {
-            (Step::Bucket(_), Some(_)) if self.fruitless >= MAX_FRUITLESS => Step::Watch(now),
-            (_, Some(bucket)) => Step::Bucket(bucket),
-            (_, None) if now >= self.relist => return self.begin(now + pause),
+        self.step = match (self.step, self.buckets.next_outdated(last)) {
+            (Step::ListBucket(_), Some(_)) if self.stalled_steps >= MAX_STALLED_STEPS => {
+                Step::Watch(now)
+            }
+            (_, Some(bucket)) => Step::ListBucket(bucket),
+            (_, None) if now >= self.relist_due => return self.schedule_relist(now + pause),
             (_, None) => Step::Watch(now),
         };
         self.due = Some(now + pause);
     }
 
-    fn begin(&mut self, due: Duration) {
-        let half = self.settings.relist / 2;
-        self.relist = due + half + jitter(self.random.u64(..), half);
-        self.step = Step::Marks;
+    /// Schedules a full list at `due`, and the one after it at a random time.
+    fn schedule_relist(&mut self, due: Duration) {
+        let min_interval = self.settings.relist_interval / 2;
+        self.relist_due = due + min_interval + jitter(self.random.u64(..), min_interval);
+        self.step = Step::ListMarkers;
         self.due = Some(due);
     }
 
-    /// Notes how new the listed buckets are; true where one is newer.
-    fn list(&mut self, listing: &Listing) -> bool {
+    /// Records the revisions of the listed services; returns whether a bucket
+    /// has a newer one.
+    fn record_listed(&mut self, listing: &Listing) -> bool {
         let mut newer = false;
         for item in &listing.items {
-            if let Some(bucket) = key::parse_service(&item.key) {
-                newer |= self.buckets.list(bucket, item.revision);
+            if let Some(bucket) = key::service_bucket(&item.key) {
+                newer |= self.buckets.record_listed(bucket, item.revision);
             }
         }
         newer
     }
 
+    /// Returns an update for each listed service that is newer than the last one
+    /// published; counts and skips malformed records.
     fn publish(&mut self, listing: &Listing) -> Vec<Action> {
         let mut actions = Vec::new();
         for item in &listing.items {
@@ -266,12 +281,12 @@
                 continue;
             };
             let address = record.service.address;
-            let known = self.known.entry(address).or_default();
-            self.counts.stale += u64::from(item.revision < *known);
-            if item.revision <= *known {
+            let newest = self.newest.entry(address).or_default();
+            self.counts.stale += u64::from(item.revision < *newest);
+            if item.revision <= *newest {
                 continue;
             }
-            *known = item.revision;
+            *newest = item.revision;
             self.counts.published += 1;
             actions.push(Action::Publish(Update {
                 service: record.service,
--- a/coordination/config/src/feed/action.rs
+++ b/coordination/config/src/feed/action.rs
@@ -1,4 +1,4 @@
-//! What a feed does, and its counts.
+//! Actions and counts of a feed.
 use std::time::Duration;
 
 use wire::Revision;
@@ -6,37 +6,37 @@
 use crate::Service;
 use crate::lease::CallId;
 
-/// What to do.
+/// A call to make, or an update to publish.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// List all keys under a prefix.
     List {
-        /// Comes back with the answer.
+        /// Call id, to be passed back with the answer.
         id: CallId,
-        /// The prefix.
+        /// Prefix of the keys.
         prefix: String,
     },
     /// Wait for a change under a prefix, then list all keys under it.
     Watch {
-        /// Comes back with the answer.
+        /// Call id, to be passed back with the answer.
         id: CallId,
-        /// The prefix.
+        /// Prefix of the keys.
         prefix: String,
-        /// Index to wait beyond.
+        /// Index after which a change ends the wait.
         since: Revision,
-        /// Longest wait.
+        /// Maximum time to wait for a change.
         wait: Duration,
     },
-    /// Take over a configuration and spread it.
+    /// Put a configuration in force and gossip it.
     Publish(Update),
 }
 
-/// A configuration and its revision.
+/// A service's configuration and its revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Update {
-    /// The configuration.
+    /// Configuration of the service.
     pub service: Service,
-    /// Its revision.
+    /// Revision of the stored record.
     pub revision: Revision,
 }
 
@@ -45,18 +45,18 @@
 pub struct Counts {
     /// Configurations published.
     pub published: u64,
-    /// Reads of everything.
+    /// Lists of all services.
     pub relists: u64,
-    /// Reads of one bucket.
+    /// Lists of one bucket.
     pub lists: u64,
-    /// Long polls.
+    /// Long polls of the change markers.
     pub watches: u64,
-    /// Calls that failed.
+    /// Failed calls.
     pub failures: u64,
-    /// Records that could not be read, or that have a problem.
+    /// Records that could not be decoded or that failed validation.
     pub malformed: u64,
-    /// Records that were older than what is known.
+    /// Records older than the newest one published of their service.
     pub stale: u64,
-    /// Indexes that went backwards.
-    pub gaps: u64,
+    /// Answers whose index was lower than the previous one.
+    pub index_resets: u64,
 }
--- a/coordination/config/src/feed/bucket.rs
+++ b/coordination/config/src/feed/bucket.rs
@@ -1,4 +1,4 @@
-//! Which buckets have changed since they were listed.
+//! Tracks the buckets that have changed since they were listed.
 use wire::Revision;
 
 use crate::Listing;
@@ -6,7 +6,8 @@
 use crate::key::BUCKETS;
 use crate::key::Bucket;
 
-/// The newest revision of each bucket, as marked and as listed.
+/// Newest revision of each bucket, by its change marker and by its listed
+/// services.
 #[derive(Clone, Debug)]
 pub(super) struct Buckets {
     marked: [Revision; BUCKETS as usize],
@@ -14,7 +15,7 @@
 }
 
 impl Buckets {
-    /// Buckets of which nothing is known.
+    /// Creates buckets without known revisions.
     pub(super) const fn new() -> Self {
         Self {
             marked: [0; BUCKETS as usize],
@@ -22,24 +23,26 @@
         }
     }
 
-    /// Takes over marks; true where one is newer.
-    pub(super) fn mark(&mut self, listing: &Listing) -> bool {
+    /// Records the revisions of change markers; returns whether one is newer.
+    pub(super) fn record_markers(&mut self, listing: &Listing) -> bool {
         let mut changed = false;
         for item in &listing.items {
-            if let Some(bucket) = key::parse_mark(&item.key) {
-                changed |= rise(&mut self.marked[usize::from(bucket)], item.revision);
+            if let Some(bucket) = key::marker_bucket(&item.key) {
+                changed |= raise(&mut self.marked[usize::from(bucket)], item.revision);
             }
         }
         changed
     }
 
-    /// Notes that a service of the bucket was listed; true where it is newer.
-    pub(super) fn list(&mut self, bucket: Bucket, revision: Revision) -> bool {
-        rise(&mut self.listed[usize::from(bucket)], revision)
+    /// Records the revision of a service listed in the bucket; returns whether it
+    /// is newer.
+    pub(super) fn record_listed(&mut self, bucket: Bucket, revision: Revision) -> bool {
+        raise(&mut self.listed[usize::from(bucket)], revision)
     }
 
-    /// The next bucket after `last` whose mark is newer than what was listed.
-    pub(super) fn behind(&self, last: Bucket) -> Option<Bucket> {
+    /// Returns the next bucket after `last`, in circular order, whose change
+    /// marker is newer than its listed services.
+    pub(super) fn next_outdated(&self, last: Bucket) -> Option<Bucket> {
         let mut next = (last + 1..BUCKETS).chain(0..=last);
         next.find(|bucket| {
             let bucket = usize::from(*bucket);
@@ -48,8 +51,8 @@
     }
 }
 
-/// Takes over a newer revision; true where it is newer.
-fn rise(known: &mut Revision, revision: Revision) -> bool {
+/// Raises `known` to `revision` if that is newer; returns whether it was.
+fn raise(known: &mut Revision, revision: Revision) -> bool {
     let newer = revision > *known;
     *known = revision.max(*known);
     newer
--- a/coordination/config/src/feed/settings.rs
+++ b/coordination/config/src/feed/settings.rs
@@ -6,13 +6,14 @@
 /// Settings of a feed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Longest wait of one long poll. Bounds the delay of a missed event.
+    /// Maximum duration of one long poll. Bounds the delay after a missed event.
     pub wait: Duration,
-    /// Longest time before the first read, jittered.
-    pub spread: Duration,
-    /// Time between reads of everything; jittered.
-    pub relist: Duration,
-    /// Pauses after calls that failed or brought nothing.
+    /// Upper bound of the random delay before the first list.
+    pub start_jitter: Duration,
+    /// Maximum time between lists of all services; jitter shortens it by up to
+    /// half.
+    pub relist_interval: Duration,
+    /// Backoff after calls that failed or returned nothing newer.
     pub backoff: backoff::Settings,
 }
 
@@ -20,8 +21,8 @@
     fn default() -> Self {
         Self {
             wait: Duration::from_secs(4),
-            spread: Duration::from_millis(500),
-            relist: Duration::from_mins(30),
+            start_jitter: Duration::from_millis(500),
+            relist_interval: Duration::from_mins(30),
             backoff: backoff::Settings {
                 base: Duration::from_millis(200),
                 max: Duration::from_secs(5),
--- a/coordination/config/src/follow.rs
+++ b/coordination/config/src/follow.rs
@@ -1,8 +1,8 @@
 //! Follows one key of the platform's store.
 //!
-//! A watch tells of changes; whatever may have hidden one (a failed call, a cut
-//! watch) is followed by a read. A watch is short, since a connection may go
-//! silent without an error.
+//! A watch reports changes. After a failed call or an interrupted watch, which
+//! may have missed a change, the key is read again. Watches are short because a
+//! connection may stop delivering data without an error.
 use std::time::Duration;
 
 use limit::Backoff;
@@ -13,15 +13,16 @@
 use crate::Item;
 use crate::Listing;
 
-/// Limits of a [`Follow`].
+/// Settings of a [`Follow`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Longest time that a watch waits for a change.
+    /// Maximum time that a watch waits for a change.
     pub wait: Duration,
-    /// The pauses after failures.
+    /// Backoff after failed calls.
     pub backoff: backoff::Settings,
-    /// Time since the last answer after which the value may have changed unseen.
-    pub confirmed: Duration,
+    /// Time after an answer during which the value counts as confirmed; later it
+    /// may have changed unnoticed.
+    pub confirmation_ttl: Duration,
 }
 
 impl Default for Settings {
@@ -32,71 +33,72 @@
                 base: Duration::from_millis(100),
                 max: Duration::from_secs(1),
             },
-            confirmed: Duration::from_millis(2_500),
+            confirmation_ttl: Duration::from_millis(2_500),
         }
     }
 }
 
-/// What happened.
+/// The answer to a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The read has ended.
+    /// Answer to [`Action::Read`].
     Read(Result<Option<Item>, Fault>),
-    /// The watch has ended.
+    /// Answer to [`Action::Watch`].
     Watched(Result<Listing, Fault>),
 }
 
-/// What to do next.
+/// The next call to make.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Read the key.
     Read,
-    /// Watch it for changes after `since`.
+    /// Watch the key for changes after `since`.
     Watch {
-        /// Revision of the store.
+        /// Index of the store after which a change ends the wait.
         since: Revision,
-        /// Longest time to wait.
+        /// Maximum time to wait.
         wait: Duration,
     },
 }
 
-/// What has come of an event.
+/// Result of handling an event.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Outcome {
-    /// The value, where it is newer than the last.
+    /// The key's value, if newer than the last one returned.
     pub value: Option<Item>,
-    /// How long to pause before the next call.
+    /// Time to wait before the next call.
     pub pause: Duration,
-    /// Set where the store was lost or regained.
+    /// Set if the store became unreachable or reachable again.
     pub change: Option<Change>,
 }
 
 /// A change of the store's reachability.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// It does not answer any more, for this reason.
+    /// Calls have started to fail, first with this fault.
     Lost(Fault),
-    /// It answers again.
+    /// Calls succeed again.
     Regained,
 }
 
-/// Follows one key.
+/// State machine that follows one key.
 #[derive(Debug)]
 pub struct Follow {
     settings: Settings,
     key: String,
-    /// Revision of the newest value; 0 before the first.
+    /// Revision of the newest value; 0 before the first value.
     newest: Revision,
-    /// Revision to watch from, or `None` where a read comes first.
+    /// Index to watch from; `None` if the key must be read first.
     since: Option<Revision>,
     seed: u64,
-    /// Set while calls fail.
-    failing: Option<Backoff>,
-    answered: Option<Duration>,
+    /// Backoff between calls; set while calls fail.
+    backoff: Option<Backoff>,
+    /// Time of the last successful answer.
+    last_answer: Option<Duration>,
 }
 
 impl Follow {
-    /// Follows `key`; the seed decides the jitter.
+    /// Creates a follower of `key`; `seed` determines the backoff's jitter.
     #[must_use]
     pub fn new(settings: Settings, key: impl Into<String>, seed: u64) -> Self {
         Self {
@@ -105,18 +107,18 @@
             newest: 0,
             since: None,
             seed,
-            failing: None,
-            answered: None,
+            backoff: None,
+            last_answer: None,
         }
     }
 
-    /// The key.
+    /// Returns the followed key.
     #[must_use]
     pub fn key(&self) -> &str {
         &self.key
     }
 
-    /// The next call.
+    /// Returns the next call to make.
     #[must_use]
     pub const fn next(&self) -> Action {
         match self.since {
@@ -128,37 +130,39 @@
         }
     }
 
-    /// Whether the store confirmed the value lately.
+    /// Returns whether the store has confirmed the value within
+    /// [`Settings::confirmation_ttl`].
     #[must_use]
     pub fn is_confirmed(&self, now: Duration) -> bool {
-        self.answered
-            .is_some_and(|at| now < at + self.settings.confirmed)
+        self.last_answer
+            .is_some_and(|at| now < at + self.settings.confirmation_ttl)
     }
 
-    /// Takes what came of a call.
+    /// Handles the answer to a call.
     pub fn handle(&mut self, now: Duration, event: Event) -> Outcome {
         match event {
             Event::Read(Ok(item)) => {
-                // Changes before the read are in it, later ones come by the watch.
+                // The read includes all earlier changes; the watch starts from its
+                // revision and reports the later ones.
                 self.since = item.as_ref().map(|item| item.revision);
                 let pause = match item {
                     Some(_) => Duration::ZERO,
                     None => self.settings.backoff.base,
                 };
-                self.answer(now, item, pause)
+                self.on_answer(now, item, pause)
             }
             Event::Watched(Ok(listing)) => {
                 let item = listing.items.into_iter().find(|item| item.key == self.key);
                 self.since = self.since.max(Some(listing.index));
-                self.answer(now, item, Duration::ZERO)
+                self.on_answer(now, item, Duration::ZERO)
             }
-            Event::Read(Err(fault)) | Event::Watched(Err(fault)) => self.fail(fault),
+            Event::Read(Err(fault)) | Event::Watched(Err(fault)) => self.on_fault(fault),
         }
     }
 
-    fn answer(&mut self, now: Duration, item: Option<Item>, pause: Duration) -> Outcome {
-        self.answered = Some(now);
-        let change = self.failing.take().map(|_| Change::Regained);
+    fn on_answer(&mut self, now: Duration, item: Option<Item>, pause: Duration) -> Outcome {
+        self.last_answer = Some(now);
+        let change = self.backoff.take().map(|_| Change::Regained);
         let value = item.filter(|item| item.revision > self.newest);
         if let Some(item) = &value {
             self.newest = item.revision;
@@ -170,19 +174,19 @@
         }
     }
 
-    fn fail(&mut self, fault: Fault) -> Outcome {
+    fn on_fault(&mut self, fault: Fault) -> Outcome {
         self.since = None;
-        let change = match self.failing {
+        let change = match self.backoff {
             None => Some(Change::Lost(fault)),
             Some(_) => None,
         };
         let (settings, seed) = (self.settings.backoff, self.seed);
-        let failing = self
-            .failing
+        let backoff = self
+            .backoff
             .get_or_insert_with(|| Backoff::new(settings, seed));
         Outcome {
             value: None,
-            pause: failing.next_pause(),
+            pause: backoff.next_pause(),
             change,
         }
     }
--- a/coordination/config/src/item.rs
+++ b/coordination/config/src/item.rs
@@ -1,17 +1,17 @@
-//! What the platform's key-value service answers.
+//! Data types in the answers of the platform's key-value service.
 use wire::Revision;
 
-/// Names a lease, as the store chose it.
+/// Id of a lease, assigned by the store.
 pub type LeaseId = String;
 
-/// One key of the store.
+/// A key of the store with its value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Item {
     /// The key.
     pub key: String,
     /// The value.
     pub value: Vec<u8>,
-    /// Revision of the last write of this key.
+    /// Revision of the last write to the key.
     pub revision: Revision,
 }
 
@@ -20,6 +20,6 @@
 pub struct Listing {
     /// The keys, in no particular order.
     pub items: Vec<Item>,
-    /// Index to watch from for the next change.
+    /// Index from which to watch for the next change.
     pub index: Revision,
 }
--- a/coordination/config/src/key.rs
+++ b/coordination/config/src/key.rs
@@ -1,12 +1,12 @@
-//! Keys of the platform's key-value service that the system uses.
+//! Keys used in the platform's key-value service.
 //!
-//! Services are spread over [`BUCKETS`] buckets. Each write of a service writes
-//! the mark of its bucket in the same step, so that a reader watches the small
-//! marks and then lists only the buckets that changed.
+//! Services are hashed into [`BUCKETS`] buckets. Each write of a service also
+//! writes the change marker of its bucket in the same transaction. Markers are
+//! small: a reader watches all of them and lists only the buckets that changed.
 use wire::ServiceAddress;
 use wire::ZoneId;
 
-/// Names a bucket; less than [`BUCKETS`].
+/// Number of a bucket; less than [`BUCKETS`].
 pub type Bucket = u8;
 
 /// Number of buckets.
@@ -15,60 +15,62 @@
 /// Prefix of the keys of all services.
 pub const SERVICES: &str = "greengagelug/service/";
 
-/// Prefix of the marks of all buckets.
-pub const MARKS: &str = "greengagelug/changed/";
+/// Prefix of the change markers of all buckets.
+pub const MARKER_PREFIX: &str = "greengagelug/changed/";
 
-/// Prefix of the seats of all zones.
-const SEATS: &str = "greengagelug/reader/";
+/// Prefix of the reader locks of all zones.
+const READER_LOCK_PREFIX: &str = "greengagelug/reader/";
 
-/// The bucket of a service.
+/// Returns the bucket of a service.
 #[must_use]
 pub fn bucket(address: ServiceAddress) -> Bucket {
     blake3::hash(address.to_string().as_bytes()).as_bytes()[0] % BUCKETS
 }
 
-/// The key that a service is stored under.
+/// Returns the key under which a service is stored.
 #[must_use]
 pub fn service(address: ServiceAddress) -> String {
-    let prefix = services(bucket(address));
+    let prefix = bucket_prefix(bucket(address));
     format!("{prefix}{}/{}", address.ip(), address.port())
 }
 
-/// Prefix of the keys of a bucket's services.
+/// Returns the prefix of the keys of a bucket's services.
 #[must_use]
-pub fn services(bucket: Bucket) -> String {
+pub fn bucket_prefix(bucket: Bucket) -> String {
     format!("{SERVICES}{bucket:02x}/")
 }
 
-/// The key that is written whenever a service of the bucket is.
+/// Returns the key of a bucket's change marker, which every write of a service
+/// in the bucket also writes.
 #[must_use]
-pub fn mark(bucket: Bucket) -> String {
-    format!("{MARKS}{bucket:02x}")
+pub fn change_marker(bucket: Bucket) -> String {
+    format!("{MARKER_PREFIX}{bucket:02x}")
 }
 
-/// The bucket that a mark belongs to.
+/// Returns the bucket of a change marker's key.
 #[must_use]
-pub fn parse_mark(key: &str) -> Option<Bucket> {
-    let bucket = Bucket::from_str_radix(key.strip_prefix(MARKS)?, 16).ok()?;
+pub fn marker_bucket(key: &str) -> Option<Bucket> {
+    let bucket = Bucket::from_str_radix(key.strip_prefix(MARKER_PREFIX)?, 16).ok()?;
     (bucket < BUCKETS).then_some(bucket)
 }
 
-/// The bucket of a service's key.
+/// Returns the bucket of a service's key.
 #[must_use]
-pub fn parse_service(key: &str) -> Option<Bucket> {
+pub fn service_bucket(key: &str) -> Option<Bucket> {
     let (bucket, _) = key.strip_prefix(SERVICES)?.split_once('/')?;
     let bucket = Bucket::from_str_radix(bucket, 16).ok()?;
     (bucket < BUCKETS).then_some(bucket)
 }
 
-/// The key that a reader of a zone holds.
+/// Returns the key of a zone's reader lock. The entry that holds it by a lease
+/// reads the configuration from the store.
 #[must_use]
-pub fn seat(zone: ZoneId, number: u8) -> String {
-    format!("{}{number}", seats(zone))
+pub fn reader_lock(zone: ZoneId, number: u8) -> String {
+    format!("{}{number}", reader_lock_prefix(zone))
 }
 
-/// Prefix of the keys that the readers of a zone hold.
+/// Returns the prefix of the keys of a zone's reader locks.
 #[must_use]
-pub fn seats(zone: ZoneId) -> String {
-    format!("{SEATS}{zone}/")
+pub fn reader_lock_prefix(zone: ZoneId) -> String {
+    format!("{READER_LOCK_PREFIX}{zone}/")
 }
--- a/coordination/config/src/lease.rs
+++ b/coordination/config/src/lease.rs
@@ -1,10 +1,10 @@
-//! Holds one of a few keys by a lease.
+//! Acquires one of several keys under a lease and keeps the lease renewed.
 //!
-//! A holder that was paused cannot know whether its lease still holds, so
+//! A process that was paused cannot tell whether its lease is still valid. So
 //! [`Lease`] counts the time to live from the moment at which a renewal was
-//! sent, ends it a margin early, and answers [`Lease::fence`] only within. A
-//! write carries the fence, which the store checks once more: a pause between
-//! the two checks cannot let an old holder write.
+//! sent, ends it a margin early, and returns a [`Lease::fence`] only before
+//! that end. The fence is sent with each write and checked by the store, so that
+//! a former holder cannot write even if it was paused after the local check.
 //!
 //! ```
 //! use std::time::Duration;
@@ -16,17 +16,17 @@
 //!
 //! let now = Duration::from_secs(1);
 //! let mut lease = Lease::new(Settings::default(), "job/".into(), vec!["job/0".into()], 1);
-//! lease.want(true);
-//! let look = lease.tick(now).remove(0);
+//! lease.set_wanted(true);
+//! let list = lease.tick(now).remove(0);
 //! let grant = lease
-//!     .on_answer(now, look.id, Answer::Looked(Ok(Listing::default())))
+//!     .on_answer(now, list.id, Answer::Listed(Ok(Listing::default())))
 //!     .remove(0);
 //! let acquire = lease
 //!     .on_answer(now, grant.id, Answer::Granted(Ok("lease".into())))
 //!     .remove(0);
 //! lease.on_answer(now, acquire.id, Answer::Acquired(Ok(true)));
 //! assert!(lease.fence(now).is_some());
-//! // Paused for a minute, the holder may not write.
+//! // After a pause of one minute the holder may no longer write.
 //! assert!(lease.fence(now + Duration::from_mins(1)).is_none());
 //! ```
 mod call;
@@ -50,15 +50,16 @@
 /// Settings of a lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Time to live, counted from a renewal; the store accepts 10 s and more.
+    /// Time to live, counted from a renewal; the store requires at least 10 s.
     pub ttl: Duration,
     /// Time between renewals.
-    pub renew: Duration,
-    /// Time by which the holder stops before the lease ends.
+    pub renew_interval: Duration,
+    /// Time before the lease's expiry at which the holder stops using it.
     pub margin: Duration,
-    /// Longest time between looks for a free key; jittered.
-    pub look: Duration,
-    /// Pauses after calls that failed.
+    /// Maximum time between searches for a free key; jitter shortens it by up to
+    /// half.
+    pub search_interval: Duration,
+    /// Backoff after failed calls.
     pub backoff: backoff::Settings,
 }
 
@@ -66,9 +67,9 @@
     fn default() -> Self {
         Self {
             ttl: Duration::from_secs(10),
-            renew: Duration::from_secs(3),
+            renew_interval: Duration::from_secs(3),
             margin: Duration::from_secs(1),
-            look: Duration::from_secs(10),
+            search_interval: Duration::from_secs(10),
             backoff: backoff::Settings {
                 base: Duration::from_millis(500),
                 max: Duration::from_secs(3),
@@ -77,7 +78,7 @@
     }
 }
 
-/// Acquires one of a few keys and keeps it.
+/// State machine that acquires one of several keys and keeps it.
 #[derive(Clone, Debug)]
 pub struct Lease {
     settings: Settings,
@@ -87,16 +88,16 @@
     backoff: Backoff,
     wanted: bool,
     state: State,
-    call: CallId,
+    call_id: CallId,
 }
 
 #[derive(Clone, Debug)]
 enum State {
-    /// Looks again when `due`.
-    Free {
+    /// No key is held; the next search for a free key is at `due`.
+    Idle {
         due: Duration,
     },
-    Looking,
+    Searching,
     Granting {
         key: String,
         sent: Duration,
@@ -108,17 +109,18 @@
 #[derive(Clone, Debug)]
 struct Held {
     fence: Fence,
-    /// When the holder must stop.
-    end: Duration,
-    /// When the next renewal is due.
-    due: Duration,
-    /// When the renewal under way was sent.
-    renewing: Option<Duration>,
+    /// Time at which the holder must stop using the lease.
+    valid_until: Duration,
+    /// Time of the next renewal.
+    renewal_due: Duration,
+    /// Time at which the renewal in flight was sent.
+    renewal_sent: Option<Duration>,
 }
 
 impl Lease {
-    /// Will hold one of `keys`, all of which begin with `prefix`, once it is
-    /// [wanted](Self::want).
+    /// Creates a lease for one of `keys`, all of which begin with `prefix`. It
+    /// acquires a key only while [wanted](Self::set_wanted); `seed` determines its
+    /// random choices.
     #[must_use]
     pub fn new(settings: Settings, prefix: String, keys: Vec<String>, seed: u64) -> Self {
         Self {
@@ -128,96 +130,97 @@
             keys,
             random: Rng::with_seed(seed),
             wanted: false,
-            state: State::Free {
+            state: State::Idle {
                 due: Duration::ZERO,
             },
-            call: 0,
+            call_id: 0,
         }
     }
 
-    /// Says whether a key is to be acquired. One that is held is kept.
-    pub fn want(&mut self, wanted: bool) {
+    /// Sets whether to acquire a key. A key already held is kept either way.
+    pub fn set_wanted(&mut self, wanted: bool) {
         self.wanted = wanted;
     }
 
-    /// The fence for a write now, or `None` where no key is held for sure.
+    /// Returns the fence for a write at `now`, or `None` unless a key is certainly
+    /// held.
     #[must_use]
     pub fn fence(&self, now: Duration) -> Option<&Fence> {
         match &self.state {
-            State::Held(held) if now < held.end => Some(&held.fence),
+            State::Held(held) if now < held.valid_until => Some(&held.fence),
             _ => None,
         }
     }
 
-    /// Whether a key is held for sure.
+    /// Returns whether a key is certainly held.
     #[must_use]
     pub fn holds(&self, now: Duration) -> bool {
         self.fence(now).is_some()
     }
 
-    /// When [`Self::tick`] has something to do.
+    /// Returns the time at which [`Self::tick`] is due.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Duration> {
         match &self.state {
-            State::Free { due } => self.wanted.then_some(*due),
-            State::Looking | State::Granting { .. } => None,
-            State::Acquiring(held) => Some(held.end),
-            State::Held(held) if held.renewing.is_some() => Some(held.end),
-            State::Held(held) => Some(held.due.min(held.end)),
+            State::Idle { due } => self.wanted.then_some(*due),
+            State::Searching | State::Granting { .. } => None,
+            State::Acquiring(held) => Some(held.valid_until),
+            State::Held(held) if held.renewal_sent.is_some() => Some(held.valid_until),
+            State::Held(held) => Some(held.renewal_due.min(held.valid_until)),
         }
     }
 
-    /// Does what is due.
+    /// Returns the calls that are due.
     pub fn tick(&mut self, now: Duration) -> Vec<Action> {
         match &mut self.state {
-            State::Free { due } if self.wanted && now >= *due => {
-                self.state = State::Looking;
+            State::Idle { due } if self.wanted && now >= *due => {
+                self.state = State::Searching;
                 let prefix = self.prefix.clone();
-                vec![self.call(Call::Look { prefix })]
+                vec![self.start_call(Call::List { prefix })]
             }
-            State::Acquiring(held) | State::Held(held) if now >= held.end => {
+            State::Acquiring(held) | State::Held(held) if now >= held.valid_until => {
                 let lease = held.fence.lease.clone();
-                self.free(now);
-                vec![self.call(Call::Revoke { lease })]
+                self.set_idle(now);
+                vec![self.start_call(Call::Revoke { lease })]
             }
-            State::Held(held) if now >= held.due && held.renewing.is_none() => {
-                held.renewing = Some(now);
+            State::Held(held) if now >= held.renewal_due && held.renewal_sent.is_none() => {
+                held.renewal_sent = Some(now);
                 let lease = held.fence.lease.clone();
-                vec![self.call(Call::KeepAlive { lease })]
+                vec![self.start_call(Call::Renew { lease })]
             }
             _ => Vec::new(),
         }
     }
 
-    /// Gives up the key.
+    /// Releases the key and stops acquiring one.
     pub fn release(&mut self, now: Duration) -> Vec<Action> {
         self.wanted = false;
         match &self.state {
             State::Acquiring(held) | State::Held(held) => {
                 let lease = held.fence.lease.clone();
-                self.free(now);
-                vec![self.call(Call::Revoke { lease })]
+                self.set_idle(now);
+                vec![self.start_call(Call::Revoke { lease })]
             }
             _ => {
-                self.free(now);
-                // An answer under way is of no interest any more.
-                self.call += 1;
+                self.set_idle(now);
+                // Invalidates the call in flight, so that its answer is ignored.
+                self.call_id += 1;
                 Vec::new()
             }
         }
     }
 
-    /// Takes the answer to call `id`.
+    /// Handles the answer to call `id`; answers to earlier calls are ignored.
     pub fn on_answer(&mut self, now: Duration, id: CallId, answer: Answer) -> Vec<Action> {
-        // What has lapsed meanwhile goes first.
+        // Expiry and other due work take precedence over the answer.
         let actions = self.tick(now);
-        if id != self.call || !actions.is_empty() {
+        if id != self.call_id || !actions.is_empty() {
             return actions;
         }
         match (self.state.clone(), answer) {
-            (State::Looking, Answer::Looked(Ok(listing))) => self.looked(now, &listing),
+            (State::Searching, Answer::Listed(Ok(listing))) => self.on_listed(now, &listing),
             (State::Granting { key, sent }, Answer::Granted(Ok(lease))) => {
-                self.granted(now, sent, Fence { key, lease })
+                self.on_granted(now, sent, Fence { key, lease })
             }
             (State::Acquiring(held), Answer::Acquired(Ok(true))) => {
                 self.backoff.reset();
@@ -226,30 +229,30 @@
             }
             (State::Acquiring(held), Answer::Acquired(_)) => {
                 let pause = self.backoff.next_pause();
-                self.free(now + pause);
+                self.set_idle(now + pause);
                 let lease = held.fence.lease;
-                vec![self.call(Call::Revoke { lease })]
+                vec![self.start_call(Call::Revoke { lease })]
             }
-            (State::Held(held), Answer::Kept(kept)) => {
-                self.kept(now, held, kept);
+            (State::Held(held), Answer::Renewed(renewed)) => {
+                self.on_renewed(now, held, renewed);
                 Vec::new()
             }
             _ => {
                 let pause = self.backoff.next_pause();
-                self.free(now + pause);
+                self.set_idle(now + pause);
                 Vec::new()
             }
         }
     }
 
-    fn looked(&mut self, now: Duration, listing: &Listing) -> Vec<Action> {
-        let taken = |key: &&String| listing.items.iter().any(|item| item.key == **key);
-        let free: Vec<&String> = self.keys.iter().filter(|key| !taken(key)).collect();
+    fn on_listed(&mut self, now: Duration, listing: &Listing) -> Vec<Action> {
+        let is_held = |key: &&String| listing.items.iter().any(|item| item.key == **key);
+        let free: Vec<&String> = self.keys.iter().filter(|key| !is_held(key)).collect();
         let Some(key) = self.random.choice(free) else {
             self.backoff.reset();
-            let pause = self.settings.look / 2;
+            let pause = self.settings.search_interval / 2;
             let due = now + pause + jitter(self.random.u64(..), pause);
-            self.free(due);
+            self.set_idle(due);
             return Vec::new();
         };
         self.state = State::Granting {
@@ -257,14 +260,14 @@
             sent: now,
         };
         let ttl = self.settings.ttl;
-        vec![self.call(Call::Grant { ttl })]
+        vec![self.start_call(Call::Grant { ttl })]
     }
 
-    fn granted(&mut self, now: Duration, sent: Duration, fence: Fence) -> Vec<Action> {
-        if now >= self.end(sent) {
-            self.free(now);
+    fn on_granted(&mut self, now: Duration, sent: Duration, fence: Fence) -> Vec<Action> {
+        if now >= self.valid_until(sent) {
+            self.set_idle(now);
             let lease = fence.lease;
-            return vec![self.call(Call::Revoke { lease })];
+            return vec![self.start_call(Call::Revoke { lease })];
         }
         let acquire = Call::Acquire {
             key: fence.key.clone(),
@@ -272,48 +275,49 @@
         };
         self.state = State::Acquiring(Held {
             fence,
-            end: self.end(sent),
-            due: now + self.settings.renew,
-            renewing: None,
+            valid_until: self.valid_until(sent),
+            renewal_due: now + self.settings.renew_interval,
+            renewal_sent: None,
         });
-        vec![self.call(acquire)]
+        vec![self.start_call(acquire)]
     }
 
-    fn kept(&mut self, now: Duration, held: Held, kept: Result<(), Fault>) {
-        match (kept, held.renewing) {
+    fn on_renewed(&mut self, now: Duration, held: Held, renewed: Result<(), Fault>) {
+        match (renewed, held.renewal_sent) {
             (Ok(()), Some(sent)) => {
                 self.backoff.reset();
                 self.state = State::Held(Held {
-                    end: self.end(sent),
-                    due: sent + self.settings.renew,
-                    renewing: None,
+                    valid_until: self.valid_until(sent),
+                    renewal_due: sent + self.settings.renew_interval,
+                    renewal_sent: None,
                     ..held
                 });
             }
-            (Err(Fault::Lapsed), _) => self.free(now),
+            (Err(Fault::Lapsed), _) => self.set_idle(now),
             _ => {
                 let due = now + self.backoff.next_pause();
                 self.state = State::Held(Held {
-                    due,
-                    renewing: None,
+                    renewal_due: due,
+                    renewal_sent: None,
                     ..held
                 });
             }
         }
     }
 
-    fn end(&self, sent: Duration) -> Duration {
+    /// Returns the time until which a lease granted or renewed at `sent` is used.
+    fn valid_until(&self, sent: Duration) -> Duration {
         sent + self.settings.ttl.saturating_sub(self.settings.margin)
     }
 
-    fn free(&mut self, due: Duration) {
-        self.state = State::Free { due };
+    fn set_idle(&mut self, due: Duration) {
+        self.state = State::Idle { due };
     }
 
-    fn call(&mut self, call: Call) -> Action {
-        self.call += 1;
+    fn start_call(&mut self, call: Call) -> Action {
+        self.call_id += 1;
         Action {
-            id: self.call,
+            id: self.call_id,
             call,
         }
     }
--- a/coordination/config/src/lease/call.rs
+++ b/coordination/config/src/lease/call.rs
@@ -1,37 +1,37 @@
-//! The calls of the store that a lease needs.
+//! Calls of the store made for a lease, and their answers.
 use std::time::Duration;
 
 use crate::Fault;
 use crate::LeaseId;
 use crate::Listing;
 
-/// A key and the lease that must hold it when a write is applied.
+/// Condition of a write: a key and the lease that must hold it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fence {
-    /// The key held.
+    /// Key held by the lease.
     pub key: String,
-    /// The lease that must hold it.
+    /// Lease that must hold the key when the write is applied.
     pub lease: LeaseId,
 }
 
-/// Numbers the calls of one state machine; an answer to an older call is
-/// ignored.
+/// Sequence number of a call of one state machine; the answer to an earlier call
+/// is ignored.
 pub type CallId = u64;
 
 /// A call of the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// List the keys under a prefix.
-    Look {
+    /// List the keys under a prefix, to find a free one.
+    List {
         /// The prefix.
         prefix: String,
     },
-    /// Start a lease.
+    /// Grant a lease.
     Grant {
         /// Time to live.
         ttl: Duration,
     },
-    /// Take a key for a lease.
+    /// Acquire a key under a lease.
     Acquire {
         /// The key.
         key: String,
@@ -39,11 +39,11 @@
         lease: LeaseId,
     },
     /// Renew a lease.
-    KeepAlive {
+    Renew {
         /// The lease.
         lease: LeaseId,
     },
-    /// End a lease. The answer is of no interest.
+    /// Revoke a lease. Its answer is ignored.
     Revoke {
         /// The lease.
         lease: LeaseId,
@@ -53,20 +53,20 @@
 /// The answer to a [`Call`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// To [`Call::Look`].
-    Looked(Result<Listing, Fault>),
-    /// To [`Call::Grant`].
+    /// Answer to [`Call::List`].
+    Listed(Result<Listing, Fault>),
+    /// Answer to [`Call::Grant`].
     Granted(Result<LeaseId, Fault>),
-    /// To [`Call::Acquire`]: whether the lease holds the key.
+    /// Answer to [`Call::Acquire`]: whether the lease holds the key.
     Acquired(Result<bool, Fault>),
-    /// To [`Call::KeepAlive`].
-    Kept(Result<(), Fault>),
+    /// Answer to [`Call::Renew`].
+    Renewed(Result<(), Fault>),
 }
 
-/// A call to make, and its number.
+/// A call to make, with its id.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Action {
-    /// Comes back with the answer.
+    /// Call id, to be passed back with the answer.
     pub id: CallId,
     /// The call.
     pub call: Call,
--- a/coordination/config/src/lib.rs
+++ b/coordination/config/src/lib.rs
@@ -1,13 +1,16 @@
-//! The configuration of services, and the decisions about it that need no I/O.
+//! Configuration of services, as data types and state machines without I/O.
 //!
-//! * [`Service`] is the configuration of one service, with its checks and codecs.
-//! * [`Record`] is what the platform's key-value service stores of it.
-//! * [`Change`] decides about an operator's change.
-//! * [`Reader`] decides which entries read the store, by a [`Lease`] and a
-//!   [`Feed`].
-//! * [`Follow`] decides how one key of the store is followed.
-//! * [`Presence`] decides how a process stays listed in the store.
-//! * [`Item`], [`Listing`] and [`Fault`] are the answers of that service.
+//! The store is the platform's key-value service. Each state machine returns
+//! the calls to make and takes their answers; the `store` crate makes the calls.
+//!
+//! * [`Service`] is the configuration of one service, with validation and codecs.
+//! * [`Record`] is the value that the store holds for a service.
+//! * [`Change`] applies an operator's change by compare-and-swap.
+//! * [`Reader`] reads the configuration into an entry: a [`Lease`] decides
+//!   whether this entry reads, and a [`Feed`] does the reading.
+//! * [`Follow`] follows a single key of the store.
+//! * [`Presence`] keeps a process registered in the store.
+//! * [`Item`], [`Listing`] and [`Fault`] are the store's answers.
 pub mod change;
 pub mod diff;
 pub mod fault;
--- a/coordination/config/src/presence.rs
+++ b/coordination/config/src/presence.rs
@@ -1,7 +1,8 @@
-//! Keeps a process listed in the platform's store, and finds the others.
+//! Keeps a process registered in the platform's store and discovers its peers.
 //!
-//! A key under a lease lists the process. Keys may vanish while their lease
-//! looks intact, so the list is read now and then, which also tells of others.
+//! A key held under a lease registers the process. The store may lose the key
+//! although the lease can still be renewed, so the registered keys are listed
+//! periodically; the same list names the peers.
 use std::time::Duration;
 
 use limit::Backoff;
@@ -11,14 +12,15 @@
 use crate::LeaseId;
 use crate::Listing;
 
-/// Limits of a [`Presence`].
+/// Settings of a [`Presence`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Time that a key outlives its process.
+    /// Time to live of the lease, and so the time that a key outlives its
+    /// process.
     pub ttl: Duration,
-    /// Time between two readings of the list.
-    pub check: Duration,
-    /// The pauses after failures.
+    /// Time between lists of the registered keys.
+    pub list_interval: Duration,
+    /// Backoff after failed calls.
     pub backoff: backoff::Settings,
 }
 
@@ -26,7 +28,7 @@
     fn default() -> Self {
         Self {
             ttl: Duration::from_secs(30),
-            check: Duration::from_secs(2),
+            list_interval: Duration::from_secs(2),
             backoff: backoff::Settings {
                 base: Duration::from_millis(200),
                 max: Duration::from_secs(1),
@@ -35,54 +37,55 @@
     }
 }
 
-/// Renewals within the time of a lease.
-const RENEWALS: u32 = 3;
+/// Number of renewals within a lease's time to live.
+const RENEWALS_PER_TTL: u32 = 3;
 
-/// What to do next.
+/// The next call to make.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Read the list.
+    /// List the registered keys.
     List,
-    /// Start a lease.
+    /// Grant a lease with this time to live.
     Grant(Duration),
-    /// Write the key under the lease.
+    /// Acquire the key under the lease.
     Acquire(LeaseId),
     /// Renew the lease.
     Renew(LeaseId),
-    /// Do nothing for this time.
+    /// Make no call for this time.
     Sleep(Duration),
 }
 
-/// What came of a call.
+/// The answer to a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The list was read.
+    /// Answer to [`Action::List`].
     Listed(Result<Listing, Fault>),
-    /// A lease was started.
+    /// Answer to [`Action::Grant`].
     Granted(Result<LeaseId, Fault>),
-    /// The key was written.
+    /// Answer to [`Action::Acquire`]: whether the lease holds the key.
     Acquired(Result<bool, Fault>),
-    /// The lease was renewed.
+    /// Answer to [`Action::Renew`].
     Renewed(Result<(), Fault>),
 }
 
-/// Keeps a process listed.
+/// State machine that keeps a process registered.
 #[derive(Debug)]
 pub struct Presence {
     settings: Settings,
     key: String,
     lease: Option<LeaseId>,
     is_listed: bool,
-    renewed: Duration,
-    next_check: Duration,
+    last_renewal: Duration,
+    next_list: Duration,
     paused_until: Duration,
     seed: u64,
-    /// Set while calls fail.
-    failing: Option<Backoff>,
+    /// Backoff between calls; set while calls fail.
+    backoff: Option<Backoff>,
 }
 
 impl Presence {
-    /// Lists the process under `key`; the seed decides the jitter.
+    /// Creates the registration of a process under `key`; `seed` determines the
+    /// backoff's jitter.
     #[must_use]
     pub fn new(settings: Settings, key: impl Into<String>, seed: u64, now: Duration) -> Self {
         Self {
@@ -90,79 +93,80 @@
             key: key.into(),
             lease: None,
             is_listed: false,
-            renewed: now,
-            next_check: now,
+            last_renewal: now,
+            next_list: now,
             paused_until: now,
             seed,
-            failing: None,
+            backoff: None,
         }
     }
 
-    /// The key that lists the process.
+    /// Returns the key that registers the process.
     #[must_use]
     pub fn key(&self) -> &str {
         &self.key
     }
 
-    /// The next call.
+    /// Returns the next call to make.
     #[must_use]
     pub fn next(&self, now: Duration) -> Action {
-        let renewal = self.renewed + self.settings.ttl / RENEWALS;
+        let renewal = self.last_renewal + self.settings.ttl / RENEWALS_PER_TTL;
         match &self.lease {
             _ if now < self.paused_until => Action::Sleep(self.paused_until.saturating_sub(now)),
-            _ if now >= self.next_check => Action::List,
+            _ if now >= self.next_list => Action::List,
             None => Action::Grant(self.settings.ttl),
             Some(lease) if !self.is_listed => Action::Acquire(lease.clone()),
             Some(lease) if now >= renewal => Action::Renew(lease.clone()),
-            Some(_) => Action::Sleep(self.next_check.min(renewal).saturating_sub(now)),
+            Some(_) => Action::Sleep(self.next_list.min(renewal).saturating_sub(now)),
         }
     }
 
-    /// Takes what came of a call; the listed keys after a reading.
+    /// Handles the answer to a call; returns the registered keys if it was a
+    /// list.
     pub fn handle(&mut self, now: Duration, event: Event) -> Vec<String> {
         let result = match event {
-            Event::Listed(listed) => return self.listed(now, listed),
+            Event::Listed(listed) => return self.on_listed(now, listed),
             Event::Granted(granted) => granted.map(|lease| {
                 self.lease = Some(lease);
                 self.is_listed = false;
-                self.renewed = now;
+                self.last_renewal = now;
             }),
             Event::Acquired(acquired) => acquired.map(|is_listed| self.is_listed = is_listed),
-            Event::Renewed(renewed) => renewed.map(|()| self.renewed = now),
+            Event::Renewed(renewed) => renewed.map(|()| self.last_renewal = now),
         };
-        self.settle(now, result);
+        self.on_result(now, result);
         Vec::new()
     }
 
-    fn listed(&mut self, now: Duration, listed: Result<Listing, Fault>) -> Vec<String> {
+    fn on_listed(&mut self, now: Duration, listed: Result<Listing, Fault>) -> Vec<String> {
         let result = listed.map(|listing| {
-            self.next_check = now + self.settings.check;
+            self.next_list = now + self.settings.list_interval;
             let keys: Vec<String> = listing.items.into_iter().map(|item| item.key).collect();
             self.is_listed &= keys.contains(&self.key);
             keys
         });
         match result {
             Ok(keys) => {
-                self.failing = None;
+                self.backoff = None;
                 keys
             }
             Err(fault) => {
-                self.settle(now, Err(fault));
+                self.on_result(now, Err(fault));
                 Vec::new()
             }
         }
     }
 
-    fn settle(&mut self, now: Duration, result: Result<(), Fault>) {
+    fn on_result(&mut self, now: Duration, result: Result<(), Fault>) {
         match result {
-            Ok(()) => self.failing = None,
+            Ok(()) => self.backoff = None,
             Err(Fault::Lapsed) => self.lease = None,
             Err(_) => {
                 let (settings, seed) = (self.settings.backoff, self.seed);
-                let failing = self
-                    .failing
+                let backoff = self
+                    .backoff
                     .get_or_insert_with(|| Backoff::new(settings, seed));
-                self.paused_until = now + failing.next_pause();
+                self.paused_until = now + backoff.next_pause();
             }
         }
     }
--- a/coordination/config/src/reader.rs
+++ b/coordination/config/src/reader.rs
@@ -1,8 +1,9 @@
 //! Decides whether this entry reads the configuration from the store.
 //!
-//! A few entries of each zone hold a seat by lease and read; all others learn
-//! by gossip. Only the first few entries of a zone, by address, look for a free
-//! seat, so that the calls do not grow with the fleet.
+//! In each zone a few entries hold a reader lock by lease and read the store;
+//! all other entries receive the configuration by gossip. Only the entries with
+//! the lowest addresses of a zone search for a free lock, so that the number of
+//! calls does not grow with the number of entries.
 //!
 //! ```
 //! use std::time::Duration;
@@ -15,10 +16,10 @@
 //!
 //! let mut reader = Reader::new(Settings::new(1), 0, 7);
 //! let actions = reader.handle(Duration::ZERO, Event::Tick);
-//! // The first of its zone looks for a free seat.
+//! // The first entry of its zone searches for a free reader lock.
 //! assert!(matches!(
 //!     &actions[..],
-//!     [Action::Lease(action)] if matches!(action.call, Call::Look { .. })
+//!     [Action::Lease(action)] if matches!(action.call, Call::List { .. })
 //! ));
 //! ```
 use std::net::SocketAddr;
@@ -40,23 +41,23 @@
 pub struct Settings {
     /// Availability zone of the entry.
     pub zone: ZoneId,
-    /// Entries of a zone that read.
-    pub seats: u8,
-    /// Entries of a zone that look for a free seat, by rank.
+    /// Number of reader locks of a zone, and so of entries that read.
+    pub readers: u8,
+    /// Number of entries of a zone, by rank, that search for a free reader lock.
     pub candidates: usize,
-    /// The lease of a seat.
+    /// Lease of a reader lock.
     pub lease: lease::Settings,
-    /// The reading.
+    /// Feed that reads the store.
     pub feed: feed::Settings,
 }
 
 impl Settings {
-    /// The default settings in a zone.
+    /// Returns the default settings for an entry in `zone`.
     #[must_use]
     pub fn new(zone: ZoneId) -> Self {
         Self {
             zone,
-            seats: 2,
+            readers: 2,
             candidates: 4,
             lease: lease::Settings::default(),
             feed: feed::Settings::default(),
@@ -64,32 +65,33 @@
     }
 }
 
-/// What happened.
+/// An event that a reader handles.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A deadline was reached, or nothing in particular.
+    /// A deadline was reached, the reader starts, or a call ended whose answer is
+    /// ignored.
     Tick,
-    /// The [`rank`] of this entry among those of its zone.
+    /// New [`rank`] of this entry in its zone.
     Rank(usize),
-    /// Answer to [`Action::Lease`].
+    /// Answer to an [`Action::Lease`].
     Lease(CallId, lease::Answer),
-    /// Answer to [`feed::Action::List`] or [`feed::Action::Watch`].
+    /// Answer to a [`feed::Action::List`] or [`feed::Action::Watch`].
     Feed(CallId, Result<Listing, Fault>),
     /// The process is about to stop.
     Stop,
 }
 
-/// What to do.
+/// An action to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// A call for the lease; the answer comes back as [`Event::Lease`].
+    /// Make a call for the lease; its answer is passed back as [`Event::Lease`].
     Lease(lease::Action),
-    /// A step of the reading; the answer to a call comes back as
-    /// [`Event::Feed`].
+    /// Make a call for the feed, whose answer is passed back as
+    /// [`Event::Feed`], or publish an update.
     Feed(feed::Action),
 }
 
-/// Reads the configuration while it holds a seat.
+/// State machine that reads the configuration while it holds a reader lock.
 #[derive(Clone, Debug)]
 pub struct Reader {
     candidates: usize,
@@ -97,24 +99,24 @@
     feed: Feed,
 }
 
-/// The rank of an entry: how many other entries of its zone have a smaller
-/// address.
+/// Returns the rank of an entry: the number of other entries of its zone with a
+/// lower address.
 #[must_use]
 pub fn rank(own: SocketAddr, others: impl IntoIterator<Item = SocketAddr>) -> usize {
     others.into_iter().filter(|other| *other < own).count()
 }
 
 impl Reader {
-    /// Makes a reader of an entry whose [`rank`] is `rank` as far as is known;
-    /// `seed` spreads its calls.
+    /// Creates a reader for an entry with the presumed [`rank`]; `seed` determines
+    /// the jitter of its calls.
     #[must_use]
     pub fn new(settings: Settings, rank: usize, seed: u64) -> Self {
-        let keys = (0..settings.seats)
-            .map(|number| key::seat(settings.zone, number))
+        let keys = (0..settings.readers)
+            .map(|number| key::reader_lock(settings.zone, number))
             .collect();
-        let prefix = key::seats(settings.zone);
+        let prefix = key::reader_lock_prefix(settings.zone);
         let mut lease = Lease::new(settings.lease, prefix, keys, seed);
-        lease.want(rank < settings.candidates);
+        lease.set_wanted(rank < settings.candidates);
         Self {
             candidates: settings.candidates,
             lease,
@@ -122,11 +124,11 @@
         }
     }
 
-    /// Takes an event, and says what to do.
+    /// Handles an event and returns the actions to carry out.
     pub fn handle(&mut self, now: Duration, event: Event) -> Vec<Action> {
-        let (calls, read) = match event {
+        let (calls, feed_answer) = match event {
             Event::Rank(rank) => {
-                self.lease.want(rank < self.candidates);
+                self.lease.set_wanted(rank < self.candidates);
                 (Vec::new(), None)
             }
             Event::Lease(id, answer) => (self.lease.on_answer(now, id, answer), None),
@@ -139,19 +141,19 @@
         let mut actions: Vec<Action> = calls.collect();
         match (self.lease.holds(now), self.feed.is_running()) {
             (true, false) => self.feed.start(now),
-            // Whoever holds the seat now reads in this entry's place.
+            // The lock may have passed to another entry, which then reads instead.
             (false, true) => self.feed.stop(),
             _ => {}
         }
-        if let Some((id, answer)) = read {
-            let steps = self.feed.on_answer(now, id, answer);
-            actions.extend(steps.into_iter().map(Action::Feed));
+        if let Some((id, answer)) = feed_answer {
+            let feed_actions = self.feed.on_answer(now, id, answer);
+            actions.extend(feed_actions.into_iter().map(Action::Feed));
         }
         actions.extend(self.feed.tick(now).into_iter().map(Action::Feed));
         actions
     }
 
-    /// When [`Event::Tick`] has something to do.
+    /// Returns the time at which [`Event::Tick`] is due.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Duration> {
         [self.lease.next_deadline(), self.feed.next_deadline()]
@@ -160,13 +162,13 @@
             .min()
     }
 
-    /// Whether this entry holds a seat for sure.
+    /// Returns whether this entry certainly holds a reader lock.
     #[must_use]
     pub fn is_reading(&self, now: Duration) -> bool {
         self.lease.holds(now)
     }
 
-    /// Counts of the reading.
+    /// Returns the counts of the feed.
     #[must_use]
     pub const fn counts(&self) -> feed::Counts {
         self.feed.counts()
--- a/coordination/config/src/record.rs
+++ b/coordination/config/src/record.rs
@@ -1,4 +1,4 @@
-//! What the platform's key-value service stores of a service.
+//! The record that the platform's key-value service holds for a service.
 use serde::Deserialize;
 use serde::Serialize;
 use wire::Revision;
@@ -9,34 +9,34 @@
 use crate::Service;
 use crate::key;
 
-/// Number of earlier writes that a record remembers.
+/// Maximum number of earlier writes in a record's history.
 pub const MAX_HISTORY: usize = 8;
 
 /// The value stored under the key of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// The configuration.
+    /// Configuration of the service.
     #[serde(flatten)]
     pub service: Service,
-    /// Earlier writes, newest first; [`MAX_HISTORY`] at most.
+    /// Earlier writes, newest first; at most [`MAX_HISTORY`].
     #[serde(default)]
-    pub history: Vec<Past>,
+    pub history: Vec<PastWrite>,
 }
 
 /// An earlier write of a record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Past {
-    /// The change that wrote it.
+pub struct PastWrite {
+    /// Id of the change that made the write.
     pub operation: OperationId,
-    /// The revision that it got.
+    /// Revision of the record after the write.
     pub revision: Revision,
 }
 
 impl Record {
-    /// The record that replaces `previous`, which has revision `revision`.
+    /// Returns the record that replaces `previous`, which is stored at `revision`.
     #[must_use]
     pub fn replace(service: Service, previous: &Self, revision: Revision) -> Self {
-        let past = Past {
+        let past = PastWrite {
             operation: previous.service.operation.clone(),
             revision,
         };
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The first record of a service.
+    /// Returns the first record of a service.
     #[must_use]
     pub fn create(service: Service) -> Self {
         Self {
@@ -56,10 +56,10 @@
         }
     }
 
-    /// The revision that `operation` got, where the record, stored at
-    /// `revision`, still remembers it.
+    /// Returns the revision that `operation` wrote, if it is the last write of
+    /// this record, stored at `revision`, or still in its history.
     #[must_use]
-    pub fn find(&self, operation: &str, revision: Revision) -> Option<Revision> {
+    pub fn revision_of(&self, operation: &str, revision: Revision) -> Option<Revision> {
         if self.service.operation == operation {
             return Some(revision);
         }
@@ -69,20 +69,21 @@
             .map(|past| past.revision)
     }
 
-    /// Whether the record, stored at `revision`, remembers every write since
-    /// `base`.
+    /// Returns whether the history of this record, stored at `revision`, contains
+    /// every write since `base`.
     #[must_use]
-    pub fn covers(&self, base: Revision, revision: Revision) -> bool {
+    pub fn has_history_since(&self, base: Revision, revision: Revision) -> bool {
         revision <= base
             || self.history.len() < MAX_HISTORY
             || self.history.iter().any(|past| past.revision <= base)
     }
 
-    /// Reads and checks what the store has under a key.
+    /// Decodes and validates the record stored under a key.
     ///
     /// # Errors
     ///
-    /// The first [`Problem`]; keep the configuration in force and count it.
+    /// Returns the first [`Problem`]; the caller should keep the configuration in
+    /// force and count the record as malformed.
     pub fn from_item(item: &Item) -> Result<Self, Problem> {
         let record = Self::from_json(&item.value)?;
         if item.key != key::service(record.service.address) {
@@ -98,7 +99,7 @@
     ///
     /// # Errors
     ///
-    /// [`Problem::Malformed`] where it cannot be encoded.
+    /// Returns [`Problem::Malformed`] if the record cannot be encoded.
     pub fn to_json(&self) -> Result<Vec<u8>, Problem> {
         serde_json::to_vec(self).map_err(|_| Problem::Malformed)
     }
@@ -107,7 +108,8 @@
     ///
     /// # Errors
     ///
-    /// [`Problem::Malformed`]; keep the configuration in force and count it.
+    /// Returns [`Problem::Malformed`] if the JSON is no record; the caller should
+    /// keep the configuration in force and count the record as malformed.
     pub fn from_json(json: &[u8]) -> Result<Self, Problem> {
         serde_json::from_slice(json).map_err(|_| Problem::Malformed)
     }
--- a/coordination/config/src/service.rs
+++ b/coordination/config/src/service.rs
@@ -14,118 +14,119 @@
 
 use crate::Problem;
 
-/// Names one change by an operator; chosen by the operator's client, 1 to 64
+/// Id of one change by an operator, chosen by the operator's client: 1 to 64
 /// printable ASCII characters. A retry of the change carries the same id.
 pub type OperationId = String;
 
-/// Longest name of a service, in bytes.
+/// Maximum length of a service's name, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// Longest operation id, in bytes.
+/// Maximum length of an operation id, in bytes.
 pub const MAX_OPERATION_BYTES: usize = 64;
 
-/// Most drained targets and zones of one service.
+/// Maximum number of drained targets and zones of one service.
 pub const MAX_DRAINED: usize = 1024;
 
-/// Fewest agents that an open visits.
+/// Minimum number of agents that an open may visit.
 pub const MIN_HUNT: u8 = 1;
 
-/// Most agents that an open visits.
+/// Maximum number of agents that an open may visit.
 pub const MAX_HUNT: u8 = 3;
 
-/// Longest queue limit.
+/// Maximum queue limit of a service.
 pub const MAX_QUEUE_LIMIT: Duration = Duration::from_mins(1);
 
-/// Shortest idle timeout of a flow.
+/// Minimum idle timeout of a flow.
 pub const MIN_IDLE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Longest idle timeout of a flow.
+/// Maximum idle timeout of a flow.
 pub const MAX_IDLE_TIMEOUT: Duration = Duration::from_hours(24);
 
-/// Longest deadline of a request.
+/// Maximum deadline of a request.
 pub const MAX_DEADLINE: Duration = Duration::from_hours(1);
 
-/// Largest answer that a service may allow, in bytes.
+/// Maximum answer size that a service may allow, in bytes.
 pub const MAX_ANSWER_BYTES: u32 = 16 * 1024 * 1024;
 
-const FORMAT: u8 = 1;
+/// First byte of an encoded configuration.
+const FORMAT_VERSION: u8 = 1;
 
 /// The configuration of one service.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
-    /// The address that callers send to; names the service.
+    /// Address that callers send to; identifies the service.
     pub address: ServiceAddress,
-    /// Name for people.
+    /// Human-readable name.
     #[serde(default)]
     pub name: String,
-    /// Whether requests need the flow's own backend server.
+    /// Whether requests must run at their flow's backend server.
     #[serde(default)]
     pub binding: Binding,
-    /// Number of agents that an open visits, [`MIN_HUNT`] to [`MAX_HUNT`].
+    /// Number of agents that an open may visit, [`MIN_HUNT`] to [`MAX_HUNT`].
     #[serde(default = "default::hunt")]
     pub hunt: u8,
-    /// Longest expected wait of a request in a target's queue.
+    /// Maximum expected wait of a request in a target's queue.
     #[serde(rename = "queue_limit_ms", default = "default::queue_limit")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub queue_limit: Duration,
-    /// Time without a packet after which a flow is forgotten.
+    /// Time without a packet after which a flow expires.
     #[serde(rename = "idle_timeout_ms", default = "default::idle_timeout")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub idle_timeout: Duration,
-    /// Deadline of a request that states none.
+    /// Deadline of a request that does not state one.
     #[serde(rename = "default_deadline_ms", default = "default::default_deadline")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub default_deadline: Duration,
-    /// Longest deadline that a request may state; longer ones are shortened.
+    /// Maximum deadline of a request; a longer one is shortened to it.
     #[serde(rename = "largest_deadline_ms", default = "default::largest_deadline")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub largest_deadline: Duration,
-    /// Largest answer, in bytes.
+    /// Maximum size of an answer, in bytes.
     #[serde(
         rename = "largest_answer_bytes",
         default = "default::largest_answer_bytes"
     )]
     pub largest_answer_bytes: u32,
-    /// Targets and zones that take no new work.
+    /// Targets and zones that accept no new work.
     #[serde(default)]
     pub drained: BTreeSet<Drained>,
-    /// Whether the service exists or was deleted.
+    /// Whether the service is active or deleted.
     #[serde(default)]
     pub state: State,
-    /// The change that wrote this configuration.
+    /// Id of the change that wrote this configuration.
     #[serde(default)]
     pub operation: OperationId,
 }
 
-/// Whether requests need the backend server that holds their flow.
+/// Where the requests of a flow may run.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Binding {
-    /// Requests run at the flow's backend server only.
+    /// Requests run only at the backend server that holds their flow.
     #[default]
     Bound,
     /// Any backend server of the service may run a request.
     Independent,
 }
 
-/// Whether a service exists.
+/// Lifecycle state of a service.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// The service takes flows.
+    /// The service accepts flows.
     #[default]
     Active,
-    /// The service was deleted. The record stays, so that no older revision can
-    /// bring the service back.
+    /// The service is deleted. Its record is kept, so that an older revision
+    /// cannot restore the service.
     Deleted,
 }
 
-/// What an operator drained.
+/// A target or availability zone drained by an operator.
 #[serde_as]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
@@ -136,7 +137,7 @@
     Zone(ZoneId),
 }
 
-/// Typed defaults of the fields.
+/// Default values of the fields of [`Service`](super::Service).
 mod default {
     use std::time::Duration;
 
@@ -166,7 +167,7 @@
 }
 
 impl Service {
-    /// The default configuration of the service at `address`.
+    /// Returns the default configuration of the service at `address`.
     #[must_use]
     pub fn new(address: ServiceAddress) -> Self {
         Self {
@@ -185,20 +186,21 @@
         }
     }
 
-    /// Whether the service exists.
+    /// Returns whether the service is not deleted.
     #[must_use]
     pub fn is_active(&self) -> bool {
         self.state == State::Active
     }
 
-    /// Whether an operator has drained this target or its zone.
+    /// Returns whether an operator has drained `target` or its `zone`.
     #[must_use]
     pub fn is_drained(&self, target: TargetId, zone: ZoneId) -> bool {
         self.drained.contains(&Drained::Target(target))
             || self.drained.contains(&Drained::Zone(zone))
     }
 
-    /// The deadline in force for a request that states `stated`; zero means none.
+    /// Returns the effective deadline of a request that states `stated`; zero
+    /// stands for no stated deadline.
     #[must_use]
     pub fn deadline(&self, stated: Duration) -> Duration {
         match stated {
@@ -207,11 +209,11 @@
         }
     }
 
-    /// Checks every field.
+    /// Validates every field.
     ///
     /// # Errors
     ///
-    /// Every [`Problem`] found, in the order of the fields.
+    /// Returns all problems found, in the order of the fields.
     pub fn check(&self) -> Result<(), Vec<Problem>> {
         let checks = [
             (
@@ -219,7 +221,7 @@
                 Problem::AddressUnspecified,
             ),
             (self.address.port() != 0, Problem::PortZero),
-            (is_name(&self.name, MAX_NAME_BYTES), Problem::Name),
+            (is_valid_name(&self.name, MAX_NAME_BYTES), Problem::Name),
             ((MIN_HUNT..=MAX_HUNT).contains(&self.hunt), Problem::Hunt),
             (self.queue_limit <= MAX_QUEUE_LIMIT, Problem::QueueLimit),
             (
@@ -244,7 +246,7 @@
             ),
             (self.drained.len() <= MAX_DRAINED, Problem::Drained),
             (
-                is_name(&self.operation, MAX_OPERATION_BYTES),
+                is_valid_name(&self.operation, MAX_OPERATION_BYTES),
                 Problem::Operation,
             ),
         ];
@@ -263,20 +265,21 @@
     ///
     /// # Errors
     ///
-    /// [`Problem::Malformed`] where it cannot be encoded.
+    /// Returns [`Problem::Malformed`] if the configuration cannot be encoded.
     pub fn to_bytes(&self) -> Result<Vec<u8>, Problem> {
-        postcard::to_extend(self, vec![FORMAT]).map_err(|_| Problem::Malformed)
+        postcard::to_extend(self, vec![FORMAT_VERSION]).map_err(|_| Problem::Malformed)
     }
 
-    /// Decodes a configuration from gossip. Bytes that a later version of the
-    /// program appended are ignored.
+    /// Decodes a configuration received by gossip. Trailing bytes, as a later
+    /// version of the program may append, are ignored.
     ///
     /// # Errors
     ///
-    /// [`Problem::Malformed`]; keep the configuration in force and count it.
+    /// Returns [`Problem::Malformed`] if the bytes cannot be decoded; the caller
+    /// should keep the configuration in force and count the error.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, Problem> {
         match bytes {
-            [FORMAT, body @ ..] => postcard::take_from_bytes(body)
+            [FORMAT_VERSION, body @ ..] => postcard::take_from_bytes(body)
                 .map(|(service, _)| service)
                 .map_err(|_| Problem::Malformed),
             _ => Err(Problem::Malformed),
@@ -284,6 +287,8 @@
     }
 }
 
-fn is_name(text: &str, max_bytes: usize) -> bool {
+/// Returns whether `text` is 1 to `max_bytes` printable ASCII characters without
+/// spaces.
+fn is_valid_name(text: &str, max_bytes: usize) -> bool {
     !text.is_empty() && text.len() <= max_bytes && text.bytes().all(|byte| byte.is_ascii_graphic())
 }
--- a/coordination/config/tests/change.rs
+++ b/coordination/config/tests/change.rs
@@ -37,7 +37,7 @@
 #[test]
 fn an_own_write_is_recognised_after_its_answer_was_lost() {
     let mut store = store_with_service();
-    let outcome = store.run(update(1, 1, "a"), &[Failure::None, Failure::LostAfter]);
+    let outcome = store.run(update(1, 1, "a"), &[Failure::None, Failure::AnswerLost]);
     assert_eq!(accepted(&outcome), (2, None));
     assert_eq!(store.operations(), ["create", "a"]);
 }
@@ -45,7 +45,7 @@
 #[test]
 fn an_own_write_is_recognised_after_somebody_wrote_over_it() {
     let mut store = store_with_service();
-    let lost = [Failure::None, Failure::LostAfter, Failure::Unreachable];
+    let lost = [Failure::None, Failure::AnswerLost, Failure::Unreachable];
     let outcome = store.run(update(1, 1, "a"), &lost);
     assert!(matches!(
         outcome,
@@ -66,7 +66,7 @@
     let mut loser = Change::new(update(2, 1, "b"), 1);
     let action = loser.start();
     let write = store.step(&mut loser, action, Failure::None);
-    let lost = [Failure::None, Failure::LostAfter];
+    let lost = [Failure::None, Failure::AnswerLost];
     assert_eq!(accepted(&store.run(update(1, 1, "a"), &lost)), (2, None));
     let read = store.step(&mut loser, write, Failure::None);
     let end = store.step(&mut loser, read, Failure::None);
@@ -83,7 +83,7 @@
 #[test]
 fn a_write_hidden_by_many_later_ones_is_not_called_unapplied() {
     let mut store = store_with_service();
-    let lost = [Failure::None, Failure::LostAfter, Failure::Unreachable];
+    let lost = [Failure::None, Failure::AnswerLost, Failure::Unreachable];
     store.run(update(1, 1, "a"), &lost);
     for number in 2..12 {
         store.run(update(2, number, &format!("later-{number}")), &[]);
@@ -184,10 +184,10 @@
     request: Request,
     change: Change,
     action: Action,
-    tries: u8,
+    retries: u8,
 }
 
-const MAX_TRIES: u8 = 4;
+const MAX_RETRIES: u8 = 4;
 
 impl Operator {
     fn new(request: Request) -> Self {
@@ -196,16 +196,16 @@
             action: change.start(),
             change,
             request,
-            tries: 0,
+            retries: 0,
         }
     }
 
     fn step(&mut self, store: &mut Store, failure: Failure) {
         self.action = store.step(&mut self.change, self.action.clone(), failure);
         if let Action::Done(Outcome::Unavailable { effect, .. }) = &self.action
-            && self.tries < MAX_TRIES
+            && self.retries < MAX_RETRIES
         {
-            self.tries += 1;
+            self.retries += 1;
             self.request.retry |= *effect == Effect::Unknown;
             self.change = Change::new(self.request.clone(), 1);
             self.action = self.change.start();
@@ -216,7 +216,7 @@
     fn check(&self, store: &Store) {
         let operation = &self.request.operation;
         let applied: Vec<_> = store
-            .written
+            .versions
             .iter()
             .zip(store.operations())
             .filter(|(_, written)| written == operation)
@@ -228,7 +228,7 @@
             }) => {
                 assert_eq!(applied, [*revision], "{operation}");
                 assert!(latest.revision >= *revision, "{operation}");
-                assert!(store.has(latest), "{operation}");
+                assert!(store.had_version(latest), "{operation}");
             }
             Action::Done(
                 Outcome::Conflict {
@@ -250,9 +250,9 @@
     prop_oneof![
         4 => Just(Failure::None),
         1 => Just(Failure::Unreachable),
-        2 => Just(Failure::LostAfter),
-        1 => Just(Failure::LostBefore),
-        2 => Just(Failure::LostOnTheWay),
+        2 => Just(Failure::AnswerLost),
+        1 => Just(Failure::RequestLost),
+        2 => Just(Failure::Delayed),
         2 => Just(Failure::Stale),
     ]
 }
@@ -275,11 +275,11 @@
         for (who, failure) in steps {
             match operators.get_mut(who) {
                 Some(operator) => operator.step(&mut store, failure),
-                None => store.deliver(),
+                None => store.apply_delayed(),
             }
         }
         for _ in 0..60 {
-            store.deliver();
+            store.apply_delayed();
         }
         for operator in &operators {
             operator.check(&store);
--- a/coordination/config/tests/common/mod.rs
+++ b/coordination/config/tests/common/mod.rs
@@ -19,11 +19,11 @@
     /// The store is not reached.
     Unreachable,
     /// The answer is lost; a write was applied.
-    LostAfter,
+    AnswerLost,
     /// The answer is lost; a write was not applied.
-    LostBefore,
+    RequestLost,
     /// The answer is lost; a write is applied later.
-    LostOnTheWay,
+    Delayed,
     /// A read answers what was there one write before.
     Stale,
 }
@@ -32,19 +32,19 @@
 #[derive(Debug, Default)]
 pub struct Store {
     /// All values that the key had, oldest first.
-    pub written: Vec<Item>,
-    on_the_way: Vec<Item>,
+    pub versions: Vec<Item>,
+    delayed: Vec<Item>,
 }
 
 impl Store {
     /// Revision of the key.
     pub fn revision(&self) -> Revision {
-        self.written.last().map_or(0, |item| item.revision)
+        self.versions.last().map_or(0, |item| item.revision)
     }
 
     /// Delivers a write that is on the way.
-    pub fn deliver(&mut self) {
-        if let Some(item) = self.on_the_way.pop() {
+    pub fn apply_delayed(&mut self) {
+        if let Some(item) = self.delayed.pop() {
             let _ = self.swap(item);
         }
     }
@@ -88,7 +88,7 @@
 
     /// Operations in the order in which they were applied.
     pub fn operations(&self) -> Vec<String> {
-        let records = self.written.iter().map(|item| {
+        let records = self.versions.iter().map(|item| {
             let record = Record::from_json(&item.value).expect("a record");
             record.service.operation
         });
@@ -96,8 +96,8 @@
     }
 
     /// Whether the service was once stored so at that revision.
-    pub fn has(&self, update: &Update) -> bool {
-        self.written.iter().any(|item| {
+    pub fn had_version(&self, update: &Update) -> bool {
+        self.versions.iter().any(|item| {
             let record = Record::from_json(&item.value).expect("a record");
             (record.service, item.revision) == (update.service.clone(), update.revision)
         })
@@ -114,16 +114,16 @@
                 });
             }
         };
-        Ok(self.written.iter().rev().nth(skip).cloned())
+        Ok(self.versions.iter().rev().nth(skip).cloned())
     }
 
     fn write(&mut self, item: Item, failure: Failure) -> Result<Revision, Fault> {
         match failure {
             Failure::None | Failure::Stale => return self.swap(item),
             Failure::Unreachable => return Err(Fault::Unreachable),
-            Failure::LostAfter => drop(self.swap(item)),
-            Failure::LostBefore => {}
-            Failure::LostOnTheWay => self.on_the_way.push(item),
+            Failure::AnswerLost => drop(self.swap(item)),
+            Failure::RequestLost => {}
+            Failure::Delayed => self.delayed.push(item),
         }
         Err(Fault::Lost {
             maybe_applied: true,
@@ -136,7 +136,7 @@
             return Err(Fault::Conflict);
         }
         let revision = item.revision + 1;
-        self.written.push(Item { revision, ..item });
+        self.versions.push(Item { revision, ..item });
         Ok(revision)
     }
 }
--- a/coordination/config/tests/feed.rs
+++ b/coordination/config/tests/feed.rs
@@ -69,7 +69,7 @@
         let value = Record::create(service).to_json().expect("a record");
         for (key, value) in [
             (key::service(address(number)), value),
-            (key::mark(bucket), Vec::new()),
+            (key::change_marker(bucket), Vec::new()),
         ] {
             let item = Item {
                 key: key.clone(),
@@ -127,7 +127,7 @@
         }
     }
 
-    fn act(&mut self, actions: Vec<Action>) {
+    fn apply(&mut self, actions: Vec<Action>) {
         for action in actions {
             let call = match action {
                 Action::Publish(update) => {
@@ -167,7 +167,7 @@
             self.now = self.now.max(due);
         }
         let actions = self.feed.tick(self.now);
-        self.act(actions);
+        self.apply(actions);
     }
 
     /// Answers the call under way.
@@ -178,14 +178,14 @@
         };
         let answer = self.store.answer(&call, reply);
         let actions = self.feed.on_answer(self.now, call.id, answer);
-        self.act(actions);
+        self.apply(actions);
     }
 
     /// Answers calls truly until the feed waits for a change that has not come.
-    fn settle(&mut self) {
+    fn run_until_caught_up(&mut self) {
         for _ in 0..100 {
             self.advance();
-            if self.waits() {
+            if self.is_caught_up() {
                 return;
             }
             self.reply(Reply::Latest);
@@ -194,7 +194,7 @@
     }
 
     /// Whether the feed waits for a change that has not come.
-    fn waits(&self) -> bool {
+    fn is_caught_up(&self) -> bool {
         let since = self.call.as_ref().and_then(|call| call.since);
         since.is_some_and(|since| since + 1 >= self.store.next_revision())
     }
@@ -222,13 +222,16 @@
 fn everything_is_read_once_and_then_only_what_changed() {
     let mut fixture = Fixture::new();
     (0..SERVICES).for_each(|number| fixture.store.write(number));
-    fixture.settle();
+    fixture.run_until_caught_up();
     fixture.assert_latest();
     assert_eq!(fixture.feed.counts().published, u64::from(SERVICES));
     fixture.store.write(2);
     fixture.reply(Reply::Latest);
-    assert_eq!(fixture.prefix(), key::services(key::bucket(address(2))));
-    fixture.settle();
+    assert_eq!(
+        fixture.prefix(),
+        key::bucket_prefix(key::bucket(address(2)))
+    );
+    fixture.run_until_caught_up();
     fixture.assert_latest();
     let counts = fixture.feed.counts();
     assert_eq!((counts.relists, counts.lists), (1, 1));
@@ -238,15 +241,15 @@
 fn an_index_that_goes_backwards_is_a_gap_and_everything_is_read_again() {
     let mut fixture = Fixture::new();
     (0..SERVICES).for_each(|number| fixture.store.write(number));
-    fixture.settle();
+    fixture.run_until_caught_up();
     fixture.store.write(0);
     fixture.reply(Reply::Stale(2));
-    assert_eq!(fixture.feed.counts().gaps, 1);
+    assert_eq!(fixture.feed.counts().index_resets, 1);
     let pause = fixture.pause();
     assert!(!pause.is_zero());
     fixture.advance();
-    assert_eq!(fixture.prefix(), key::MARKS);
-    fixture.settle();
+    assert_eq!(fixture.prefix(), key::MARKER_PREFIX);
+    fixture.run_until_caught_up();
     fixture.assert_latest();
     assert_eq!(fixture.feed.counts().relists, 2);
 }
@@ -254,10 +257,10 @@
 #[test]
 fn a_missed_event_is_made_up_for_when_the_wait_ends() {
     let mut fixture = Fixture::new();
-    fixture.settle();
+    fixture.run_until_caught_up();
     fixture.store.write(1);
     fixture.now += Settings::default().wait;
-    fixture.settle();
+    fixture.run_until_caught_up();
     fixture.assert_latest();
 }
 
@@ -265,7 +268,7 @@
 fn a_repeated_event_is_not_followed_by_a_call_at_once() {
     let mut fixture = Fixture::new();
     fixture.store.write(1);
-    fixture.settle();
+    fixture.run_until_caught_up();
     let mut pause = Duration::ZERO;
     for _ in 0..8 {
         fixture.reply(Reply::Latest);
@@ -279,12 +282,12 @@
 fn a_stale_list_of_a_bucket_is_read_again() {
     let mut fixture = Fixture::new();
     fixture.store.write(1);
-    fixture.settle();
+    fixture.run_until_caught_up();
     fixture.store.write(1);
     fixture.reply(Reply::Latest);
     fixture.reply(Reply::Stale(1));
     assert_eq!(fixture.in_force[&address(1)], 2);
-    fixture.settle();
+    fixture.run_until_caught_up();
     fixture.assert_latest();
 }
 
@@ -292,16 +295,16 @@
 fn many_stale_lists_of_a_bucket_hide_nothing() {
     let mut fixture = Fixture::new();
     fixture.store.write(1);
-    fixture.settle();
+    fixture.run_until_caught_up();
     fixture.store.write(1);
     fixture.reply(Reply::Latest);
     for _ in 0..20 {
         fixture.reply(Reply::Stale(1));
     }
-    fixture.settle();
+    fixture.run_until_caught_up();
     fixture.now += Settings::default().wait;
     fixture.reply(Reply::Latest);
-    fixture.settle();
+    fixture.run_until_caught_up();
     fixture.assert_latest();
 }
 
@@ -311,7 +314,7 @@
     fixture.store.write(1);
     let state = fixture.store.0.last_mut().expect("a state");
     state.remove(&key::service(address(1)));
-    fixture.settle();
+    fixture.run_until_caught_up();
     for number in [0, 2, 3] {
         fixture.store.write(number);
     }
@@ -329,37 +332,37 @@
     fixture.store.write(1);
     let state = fixture.store.0.last_mut().expect("a state");
     state.remove(&key::service(address(1)));
-    fixture.settle();
+    fixture.run_until_caught_up();
     assert!(fixture.feed.counts().lists <= 5);
 }
 
 #[test]
 fn a_service_written_without_its_mark_is_read_in_the_end() {
     let mut fixture = Fixture::new();
-    fixture.settle();
+    fixture.run_until_caught_up();
     fixture.store.write(1);
-    let mark = key::mark(key::bucket(address(1)));
+    let mark = key::change_marker(key::bucket(address(1)));
     let state = fixture.store.0.last_mut().expect("a state");
     state.remove(&mark);
-    fixture.now += Settings::default().relist;
+    fixture.now += Settings::default().relist_interval;
     for _ in 0..3 {
         fixture.reply(Reply::Latest);
     }
     fixture.assert_latest();
 }
 
-fn is_left_out(spoil: fn(&mut Item)) {
+fn is_skipped(spoil: fn(&mut Item)) {
     let mut fixture = Fixture::new();
     fixture.store.write(1);
-    fixture.settle();
+    fixture.run_until_caught_up();
     fixture.store.write(1);
     let state = fixture.store.0.last_mut().expect("a state");
     spoil(state.get_mut(&key::service(address(1))).expect("an item"));
-    fixture.settle();
+    fixture.run_until_caught_up();
     assert_eq!(fixture.in_force[&address(1)], 2);
     assert_eq!(fixture.feed.counts().malformed, 1);
     fixture.store.write(1);
-    fixture.settle();
+    fixture.run_until_caught_up();
     fixture.assert_latest();
 }
 
@@ -369,7 +372,7 @@
     item.value = text.replace(from, to).into_bytes();
 }
 
-cases::cases! { is_left_out;
+cases::cases! { is_skipped;
     a_record_that_cannot_be_read_is_left_out: |item| item.value.truncate(9),
     a_record_with_a_problem_is_left_out:
         |item| replace(item, "\"hunt\":3", "\"hunt\":200"),
@@ -381,14 +384,14 @@
 fn an_outage_is_met_with_growing_pauses() {
     let mut fixture = Fixture::new();
     fixture.store.write(1);
-    fixture.settle();
+    fixture.run_until_caught_up();
     let start = fixture.now;
     for _ in 0..100 {
         fixture.reply(Reply::Fault(Fault::Unreachable));
     }
     assert!(fixture.now > start + 200 * SECOND, "{:?}", fixture.now);
     fixture.store.write(1);
-    fixture.settle();
+    fixture.run_until_caught_up();
     fixture.assert_latest();
     assert_eq!(fixture.feed.counts().relists, 1);
 }
@@ -405,7 +408,7 @@
     let answer = fixture.store.answer(&call, Reply::Latest);
     assert_eq!(fixture.feed.on_answer(fixture.now, call.id, answer), []);
     assert_eq!(fixture.feed.next_deadline(), None);
-    fixture.settle();
+    fixture.run_until_caught_up();
     fixture.assert_latest();
 }
 
@@ -427,7 +430,7 @@
     Write(u16),
     Reply(Reply),
     Restart,
-    Pass(u64),
+    PassTime(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -435,7 +438,7 @@
         3 => (0..SERVICES).prop_map(Step::Write),
         6 => reply().prop_map(Step::Reply),
         1 => Just(Step::Restart),
-        1 => (0..2000_u64).prop_map(Step::Pass),
+        1 => (0..2000_u64).prop_map(Step::PassTime),
     ]
 }
 
@@ -451,7 +454,7 @@
             match step {
                 Step::Write(number) => fixture.store.write(number),
                 Step::Reply(reply) => fixture.reply(reply),
-                Step::Pass(seconds) => fixture.now += Duration::from_secs(seconds),
+                Step::PassTime(seconds) => fixture.now += Duration::from_secs(seconds),
                 Step::Restart => {
                     fixture.feed.stop();
                     fixture.call = None;
@@ -459,11 +462,11 @@
                 }
             }
         }
-        fixture.settle();
+        fixture.run_until_caught_up();
         // After many stale lists, the next is made when the wait ends.
         fixture.now += Settings::default().wait;
         fixture.reply(Reply::Latest);
-        fixture.settle();
+        fixture.run_until_caught_up();
         fixture.assert_latest();
     }
 }
--- a/coordination/config/tests/follow.rs
+++ b/coordination/config/tests/follow.rs
@@ -43,7 +43,7 @@
 }
 
 /// A follower that has read revision 5.
-fn reading() -> Follow {
+fn follow_at_5() -> Follow {
     let mut follow = follow();
     assert_eq!(follow.next(), Action::Read);
     let outcome = follow.handle(ms(0), Event::Read(Ok(Some(item(5)))));
@@ -51,7 +51,7 @@
     follow
 }
 
-fn since(follow: &Follow) -> Option<u64> {
+fn watched_since(follow: &Follow) -> Option<u64> {
     match follow.next() {
         Action::Watch { since, .. } => Some(since),
         Action::Read => None,
@@ -60,23 +60,23 @@
 
 #[test]
 fn a_change_is_published_once() {
-    let mut follow = reading();
-    assert_eq!(since(&follow), Some(5));
+    let mut follow = follow_at_5();
+    assert_eq!(watched_since(&follow), Some(5));
     assert_eq!(follow.handle(ms(1), changed(8)).value, Some(item(8)));
-    assert_eq!(since(&follow), Some(8));
+    assert_eq!(watched_since(&follow), Some(8));
     assert_eq!(follow.handle(ms(2), changed(8)).value, None);
 }
 
 #[test]
 fn a_quiet_watch_moves_on() {
-    let mut follow = reading();
+    let mut follow = follow_at_5();
     assert_eq!(follow.handle(ms(1), unchanged(40)).value, None);
-    assert_eq!(since(&follow), Some(40));
+    assert_eq!(watched_since(&follow), Some(40));
 }
 
 #[test]
 fn an_older_value_never_comes_back() {
-    let mut follow = reading();
+    let mut follow = follow_at_5();
     follow.handle(ms(1), changed(9));
     assert_eq!(follow.handle(ms(2), changed(7)).value, None);
     follow.handle(ms(3), Event::Watched(Err(Fault::Unreachable)));
@@ -89,7 +89,7 @@
 /// What a cut watch may have hidden is read.
 #[test]
 fn a_failed_watch_is_followed_by_a_read() {
-    let mut follow = reading();
+    let mut follow = follow_at_5();
     let outcome = follow.handle(ms(1), Event::Watched(Err(Fault::Malformed)));
     assert_eq!(outcome.change, Some(Change::Lost(Fault::Malformed)));
     assert!(outcome.pause > Duration::ZERO);
@@ -98,7 +98,7 @@
 
 #[test]
 fn pauses_grow_to_their_limit_and_the_return_is_told_once() {
-    let mut follow = reading();
+    let mut follow = follow_at_5();
     let mut longest = Duration::ZERO;
     for _ in 0..20 {
         let outcome = follow.handle(ms(1), Event::Read(Err(Fault::Unreachable)));
@@ -116,9 +116,9 @@
 
 #[test]
 fn a_value_is_confirmed_only_for_a_while() {
-    let mut follow = reading();
+    let mut follow = follow_at_5();
     assert!(follow.is_confirmed(ms(100)));
-    assert!(!follow.is_confirmed(Settings::default().confirmed));
+    assert!(!follow.is_confirmed(Settings::default().confirmation_ttl));
     follow.handle(ms(5_000), unchanged(6));
     assert!(follow.is_confirmed(ms(5_100)));
 }
--- a/coordination/config/tests/lease.rs
+++ b/coordination/config/tests/lease.rs
@@ -16,22 +16,22 @@
 fn lease() -> Lease {
     let keys = vec!["seat/0".to_owned(), "seat/1".to_owned()];
     let mut lease = Lease::new(Settings::default(), "seat/".to_owned(), keys, 1);
-    lease.want(true);
+    lease.set_wanted(true);
     lease
 }
 
 /// Time after a renewal for which a holder may act.
-fn use_time() -> Duration {
+fn usable_time() -> Duration {
     let settings = Settings::default();
     settings.ttl.saturating_sub(settings.margin)
 }
 
-fn only(actions: Vec<Action>) -> Action {
+fn single(actions: Vec<Action>) -> Action {
     assert_eq!(actions.len(), 1, "{actions:?}");
     actions.into_iter().next().expect("one action")
 }
 
-fn taken(keys: &[&str]) -> Listing {
+fn listing_of(keys: &[&str]) -> Listing {
     let item = |key: &&str| Item {
         key: (*key).to_owned(),
         value: Vec::new(),
@@ -44,16 +44,16 @@
 }
 
 /// A lease that acquired `seat/1` at `now`.
-fn held(now: Duration) -> Lease {
+fn held_lease(now: Duration) -> Lease {
     acquire(lease(), now)
 }
 
 fn acquire(mut lease: Lease, now: Duration) -> Lease {
-    let look = only(lease.tick(now));
-    let listing = Answer::Looked(Ok(taken(&["seat/0"])));
-    let grant = only(lease.on_answer(now, look.id, listing));
+    let look = single(lease.tick(now));
+    let listing = Answer::Listed(Ok(listing_of(&["seat/0"])));
+    let grant = single(lease.on_answer(now, look.id, listing));
     let granted = Answer::Granted(Ok("id".to_owned()));
-    let acquire = only(lease.on_answer(now, grant.id, granted));
+    let acquire = single(lease.on_answer(now, grant.id, granted));
     let call = Call::Acquire {
         key: "seat/1".to_owned(),
         lease: "id".to_owned(),
@@ -67,8 +67,8 @@
 
 #[test]
 fn a_paused_holder_has_no_fence() {
-    let lease = held(SECOND);
-    let last = SECOND + use_time();
+    let lease = held_lease(SECOND);
+    let last = SECOND + usable_time();
     let before = last.saturating_sub(NANO);
     assert_eq!(
         lease.fence(before).map(|fence| fence.key.as_str()),
@@ -80,24 +80,24 @@
 
 #[test]
 fn a_renewal_that_was_answered_after_a_pause_does_not_revive_the_lease() {
-    let mut lease = held(SECOND);
-    let renew = only(lease.tick(5 * SECOND));
-    assert!(matches!(renew.call, Call::KeepAlive { .. }));
+    let mut lease = held_lease(SECOND);
+    let renew = single(lease.tick(5 * SECOND));
+    assert!(matches!(renew.call, Call::Renew { .. }));
     let late = 60 * SECOND;
-    let revoke = only(lease.on_answer(late, renew.id, Answer::Kept(Ok(()))));
+    let revoke = single(lease.on_answer(late, renew.id, Answer::Renewed(Ok(()))));
     assert!(matches!(revoke.call, Call::Revoke { .. }));
     assert!(!lease.holds(late));
 }
 
 #[test]
 fn a_renewal_counts_from_when_it_was_sent() {
-    let mut lease = held(SECOND);
-    let renew = only(lease.tick(5 * SECOND));
+    let mut lease = held_lease(SECOND);
+    let renew = single(lease.tick(5 * SECOND));
     assert_eq!(
-        lease.on_answer(9 * SECOND, renew.id, Answer::Kept(Ok(()))),
+        lease.on_answer(9 * SECOND, renew.id, Answer::Renewed(Ok(()))),
         []
     );
-    let last = 5 * SECOND + use_time();
+    let last = 5 * SECOND + usable_time();
     assert!(lease.holds(last.saturating_sub(NANO)));
     assert!(!lease.holds(last));
 }
@@ -105,74 +105,74 @@
 #[test]
 fn a_grant_that_was_answered_after_a_pause_is_ended() {
     let mut lease = lease();
-    let look = only(lease.tick(SECOND));
-    let grant = only(lease.on_answer(SECOND, look.id, Answer::Looked(Ok(taken(&[])))));
+    let look = single(lease.tick(SECOND));
+    let grant = single(lease.on_answer(SECOND, look.id, Answer::Listed(Ok(listing_of(&[])))));
     let granted = Answer::Granted(Ok("id".to_owned()));
-    let revoke = only(lease.on_answer(60 * SECOND, grant.id, granted));
+    let revoke = single(lease.on_answer(60 * SECOND, grant.id, granted));
     assert!(matches!(revoke.call, Call::Revoke { .. }));
 }
 
 #[test]
 fn a_lapsed_lease_is_not_held() {
-    let mut lease = held(SECOND);
-    let renew = only(lease.tick(5 * SECOND));
-    lease.on_answer(5 * SECOND, renew.id, Answer::Kept(Err(Fault::Lapsed)));
+    let mut lease = held_lease(SECOND);
+    let renew = single(lease.tick(5 * SECOND));
+    lease.on_answer(5 * SECOND, renew.id, Answer::Renewed(Err(Fault::Lapsed)));
     assert!(!lease.holds(5 * SECOND));
 }
 
 #[test]
 fn an_answer_about_an_earlier_lease_does_not_end_the_present_one() {
-    let mut lease = held(SECOND);
-    let renew = only(lease.tick(5 * SECOND));
+    let mut lease = held_lease(SECOND);
+    let renew = single(lease.tick(5 * SECOND));
     lease.tick(60 * SECOND);
     let mut lease = acquire(lease, 60 * SECOND);
-    lease.on_answer(60 * SECOND, renew.id, Answer::Kept(Err(Fault::Lapsed)));
+    lease.on_answer(60 * SECOND, renew.id, Answer::Renewed(Err(Fault::Lapsed)));
     assert!(lease.holds(60 * SECOND));
 }
 
 #[test]
 fn a_failed_renewal_is_repeated_until_the_lease_ends() {
-    let mut lease = held(SECOND);
+    let mut lease = held_lease(SECOND);
     let mut now = SECOND;
     let mut renewals = 0;
     while lease.holds(now) {
         now = lease.next_deadline().expect("a deadline");
         for action in lease.tick(now) {
-            renewals += u32::from(matches!(action.call, Call::KeepAlive { .. }));
-            lease.on_answer(now, action.id, Answer::Kept(Err(Fault::Unreachable)));
+            renewals += u32::from(matches!(action.call, Call::Renew { .. }));
+            lease.on_answer(now, action.id, Answer::Renewed(Err(Fault::Unreachable)));
         }
     }
     assert!(renewals > 2, "{renewals}");
-    assert_eq!(now, SECOND + use_time());
+    assert_eq!(now, SECOND + usable_time());
 }
 
 #[test]
 fn a_full_zone_is_looked_at_again_later() {
     let mut lease = lease();
-    let look = only(lease.tick(SECOND));
-    let listing = Answer::Looked(Ok(taken(&["seat/0", "seat/1"])));
+    let look = single(lease.tick(SECOND));
+    let listing = Answer::Listed(Ok(listing_of(&["seat/0", "seat/1"])));
     assert_eq!(lease.on_answer(SECOND, look.id, listing), []);
     let due = lease.next_deadline().expect("a deadline");
-    assert!(due >= SECOND + Settings::default().look / 2);
+    assert!(due >= SECOND + Settings::default().search_interval / 2);
     assert_eq!(lease.tick(due.saturating_sub(NANO)), []);
-    assert!(matches!(only(lease.tick(due)).call, Call::Look { .. }));
+    assert!(matches!(single(lease.tick(due)).call, Call::List { .. }));
 }
 
 #[test]
 fn a_lease_that_is_not_wanted_makes_no_call() {
     let mut lease = lease();
-    lease.want(false);
+    lease.set_wanted(false);
     assert_eq!(lease.next_deadline(), None);
     assert_eq!(lease.tick(1000 * SECOND), []);
 }
 
 fn acquisition_fails(answer: Answer) {
     let mut lease = lease();
-    let look = only(lease.tick(SECOND));
-    let grant = only(lease.on_answer(SECOND, look.id, Answer::Looked(Ok(taken(&[])))));
+    let look = single(lease.tick(SECOND));
+    let grant = single(lease.on_answer(SECOND, look.id, Answer::Listed(Ok(listing_of(&[])))));
     let granted = Answer::Granted(Ok("id".to_owned()));
-    let acquire = only(lease.on_answer(SECOND, grant.id, granted));
-    let revoke = only(lease.on_answer(SECOND, acquire.id, answer));
+    let acquire = single(lease.on_answer(SECOND, grant.id, granted));
+    let revoke = single(lease.on_answer(SECOND, acquire.id, answer));
     assert!(matches!(revoke.call, Call::Revoke { .. }));
     assert!(!lease.holds(SECOND));
     assert!(lease.next_deadline().expect("a deadline") > SECOND);
@@ -186,8 +186,8 @@
 
 #[test]
 fn a_released_key_is_given_back() {
-    let mut lease = held(SECOND);
-    let revoke = only(lease.release(2 * SECOND));
+    let mut lease = held_lease(SECOND);
+    let revoke = single(lease.release(2 * SECOND));
     assert!(matches!(revoke.call, Call::Revoke { .. }));
     assert!(!lease.holds(2 * SECOND));
     assert_eq!(lease.next_deadline(), None);
--- a/coordination/config/tests/presence.rs
+++ b/coordination/config/tests/presence.rs
@@ -32,7 +32,7 @@
 }
 
 /// A process that is listed since the start.
-fn present() -> Presence {
+fn listed_presence() -> Presence {
     let mut presence = Presence::new(Settings::default(), OWN, 1, ms(0));
     assert_eq!(presence.next(ms(0)), Action::List);
     presence.handle(ms(0), listed(&["entries/other"]));
@@ -53,7 +53,7 @@
 
 #[test]
 fn a_lease_is_renewed_in_time() {
-    let mut presence = present();
+    let mut presence = listed_presence();
     let due = Settings::default().ttl / 2;
     presence.handle(due, listed(&[OWN]));
     assert_eq!(presence.next(due), Action::Renew("lease".to_owned()));
@@ -64,8 +64,8 @@
 /// The key may vanish while its lease looks intact.
 #[test]
 fn a_key_that_vanished_is_written_again() {
-    let mut presence = present();
-    let check = Settings::default().check + ms(10);
+    let mut presence = listed_presence();
+    let check = Settings::default().list_interval + ms(10);
     assert_eq!(presence.next(check), Action::List);
     presence.handle(check, listed(&["entries/other"]));
     assert_eq!(presence.next(check), Action::Acquire("lease".to_owned()));
@@ -73,7 +73,7 @@
 
 #[test]
 fn a_lease_that_lapsed_is_replaced() {
-    let mut presence = present();
+    let mut presence = listed_presence();
     presence.handle(ms(5), Event::Renewed(Err(Fault::Lapsed)));
     assert_eq!(presence.next(ms(5)), Action::Grant(Settings::default().ttl));
 }
@@ -81,7 +81,7 @@
 /// Entries that lapsed during an outage are back soon after it.
 #[test]
 fn an_outage_is_over_within_two_seconds_of_its_end() {
-    let mut presence = present();
+    let mut presence = listed_presence();
     let mut now = ms(0);
     let end = ms(60_000);
     while now < end {
--- a/coordination/config/tests/reader.rs
+++ b/coordination/config/tests/reader.rs
@@ -37,7 +37,7 @@
     revision: Revision,
     down: bool,
     /// Time until an answer arrives.
-    slow: Duration,
+    latency: Duration,
     calls: u64,
 }
 
@@ -51,11 +51,11 @@
         };
         let value = Record::create(service).to_json().expect("a record");
         self.revision += 1;
-        self.put(key::service(address), value);
-        self.put(key::mark(key::bucket(address)), Vec::new());
+        self.insert(key::service(address), value);
+        self.insert(key::change_marker(key::bucket(address)), Vec::new());
     }
 
-    fn put(&mut self, key: String, value: Vec<u8>) {
+    fn insert(&mut self, key: String, value: Vec<u8>) {
         let item = Item {
             key: key.clone(),
             value,
@@ -69,7 +69,7 @@
         self.holders
             .retain(|_, lease| self.leases.contains_key(lease));
         let held = |key: &String| self.holders.contains_key(key);
-        let seats = key::seats(ZONE);
+        let seats = key::reader_lock_prefix(ZONE);
         self.items
             .retain(|key, _| !key.starts_with(&seats) || held(key));
     }
@@ -91,15 +91,15 @@
         })
     }
 
-    fn lease(&mut self, now: Duration, call: Call) -> Option<Answer> {
+    fn on_lease_call(&mut self, now: Duration, call: Call) -> Option<Answer> {
         self.calls += 1;
         let ttl = lease::Settings::default().ttl;
         let fault = Fault::Unreachable;
         match call {
-            Call::Look { prefix } => Some(Answer::Looked(self.list(&prefix))),
+            Call::List { prefix } => Some(Answer::Listed(self.list(&prefix))),
             Call::Grant { .. } if self.down => Some(Answer::Granted(Err(fault))),
             Call::Acquire { .. } if self.down => Some(Answer::Acquired(Err(fault))),
-            Call::KeepAlive { .. } if self.down => Some(Answer::Kept(Err(fault))),
+            Call::Renew { .. } if self.down => Some(Answer::Renewed(Err(fault))),
             Call::Revoke { .. } if self.down => None,
             Call::Grant { .. } => {
                 self.granted += 1;
@@ -111,18 +111,18 @@
                 let free = !self.holders.contains_key(&key);
                 if free && self.leases.contains_key(&lease) {
                     self.revision += 1;
-                    self.put(key.clone(), Vec::new());
+                    self.insert(key.clone(), Vec::new());
                     self.holders.insert(key.clone(), lease.clone());
                 }
                 let held = self.holders.get(&key) == Some(&lease);
                 Some(Answer::Acquired(Ok(held)))
             }
-            Call::KeepAlive { lease } => match self.leases.get_mut(&lease) {
+            Call::Renew { lease } => match self.leases.get_mut(&lease) {
                 Some(end) => {
                     *end = now + ttl;
-                    Some(Answer::Kept(Ok(())))
+                    Some(Answer::Renewed(Ok(())))
                 }
-                None => Some(Answer::Kept(Err(Fault::Lapsed))),
+                None => Some(Answer::Renewed(Err(Fault::Lapsed))),
             },
             Call::Revoke { lease } => {
                 self.leases.remove(&lease);
@@ -168,7 +168,7 @@
         }
     }
 
-    fn pass(&mut self, time: Duration) {
+    fn advance(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
             self.now += MS;
@@ -191,12 +191,12 @@
         {
             entry.events.push((self.now, Event::Tick));
         }
-        let changed = self.store.list(key::MARKS);
+        let changed = self.store.list(key::MARKER_PREFIX);
         if let Some((id, since, end)) = entry.watch
             && (end <= self.now || changed.as_ref().map_or(true, |marks| marks.index > since))
         {
             entry.watch = None;
-            let arrival = self.now + self.store.slow;
+            let arrival = self.now + self.store.latency;
             entry.events.push((arrival, Event::Feed(id, changed)));
         }
         let arrived = |(arrival, _): &(Duration, Event)| *arrival <= self.now;
@@ -204,13 +204,13 @@
             let (_, event) = entry.events.remove(position);
             for action in entry.reader.handle(self.now, event) {
                 let answer = carry_out(&mut self.store, entry, self.now, action);
-                let arrival = self.now + self.store.slow;
+                let arrival = self.now + self.store.latency;
                 entry.events.extend(answer.map(|event| (arrival, event)));
             }
         }
     }
 
-    fn readers(&self) -> usize {
+    fn reader_count(&self) -> usize {
         let reading = |entry: &&Entry| entry.reader.is_reading(self.now);
         self.entries.iter().filter(reading).count()
     }
@@ -221,7 +221,7 @@
     }
 
     /// The entries that read, by number.
-    fn reading(&self) -> Vec<usize> {
+    fn reader_numbers(&self) -> Vec<usize> {
         let reads = |number: &usize| self.entries[*number].reader.is_reading(self.now);
         (0..self.entries.len()).filter(reads).collect()
     }
@@ -230,7 +230,7 @@
 fn carry_out(store: &mut Store, entry: &mut Entry, now: Duration, action: Action) -> Option<Event> {
     match action {
         Action::Lease(action) => {
-            let answer = store.lease(now, action.call)?;
+            let answer = store.on_lease_call(now, action.call)?;
             Some(Event::Lease(action.id, answer))
         }
         Action::Feed(feed::Action::List { id, prefix }) => {
@@ -257,11 +257,11 @@
 fn two_entries_of_a_zone_read_and_learn_of_a_change() {
     let mut zone = Zone::new(6);
     zone.store.write("one");
-    zone.pass(10 * SECOND);
-    assert_eq!(zone.readers(), 2);
+    zone.advance(10 * SECOND);
+    assert_eq!(zone.reader_count(), 2);
     zone.store.write("two");
-    zone.pass(SECOND);
-    for number in zone.reading() {
+    zone.advance(SECOND);
+    for number in zone.reader_numbers() {
         assert_eq!(zone.in_force(number), Some("two"));
     }
     let silent = (0..6).filter(|number| zone.in_force(*number).is_none());
@@ -272,7 +272,7 @@
 fn the_calls_do_not_grow_with_the_fleet() {
     let calls = [6, 60].map(|entries| {
         let mut zone = Zone::new(entries);
-        zone.pass(60 * SECOND);
+        zone.advance(60 * SECOND);
         zone.store.calls
     });
     assert_eq!(calls[0], calls[1]);
@@ -282,18 +282,18 @@
 fn a_paused_reader_is_replaced_and_does_not_go_on_reading() {
     let mut zone = Zone::new(4);
     zone.store.write("one");
-    zone.pass(10 * SECOND);
-    let paused = zone.reading()[0];
+    zone.advance(10 * SECOND);
+    let paused = zone.reader_numbers()[0];
     zone.entries[paused].paused = true;
-    zone.pass(30 * SECOND);
+    zone.advance(30 * SECOND);
     assert!(!zone.entries[paused].reader.is_reading(zone.now));
-    assert_eq!(zone.readers(), 2);
+    assert_eq!(zone.reader_count(), 2);
     zone.store.write("two");
-    zone.pass(SECOND);
+    zone.advance(SECOND);
     zone.entries[paused].paused = false;
-    zone.pass(30 * SECOND);
-    assert_eq!(zone.readers(), 2);
-    assert!(!zone.reading().contains(&paused));
+    zone.advance(30 * SECOND);
+    assert_eq!(zone.reader_count(), 2);
+    assert!(!zone.reader_numbers().contains(&paused));
     assert_eq!(zone.entries[paused].watch, None);
     assert_eq!(zone.in_force(paused), Some("one"));
 }
@@ -302,16 +302,16 @@
 fn reading_goes_on_after_an_outage() {
     let mut zone = Zone::new(4);
     zone.store.write("one");
-    zone.pass(10 * SECOND);
+    zone.advance(10 * SECOND);
     zone.store.down = true;
     let before = zone.store.calls;
-    zone.pass(600 * SECOND);
-    assert_eq!(zone.readers(), 0);
+    zone.advance(600 * SECOND);
+    assert_eq!(zone.reader_count(), 0);
     let calls = zone.store.calls - before;
     assert!(calls < 4 * 600, "{calls}");
     zone.store.down = false;
     zone.store.write("two");
-    zone.pass(5 * SECOND);
+    zone.advance(5 * SECOND);
     let told = (0..4).filter(|number| zone.in_force(*number) == Some("two"));
     assert_eq!(told.count(), 2);
 }
@@ -319,14 +319,14 @@
 #[test]
 fn a_slow_store_is_read() {
     let mut zone = Zone::new(4);
-    zone.store.slow = 2 * SECOND;
+    zone.store.latency = 2 * SECOND;
     zone.store.write("one");
-    zone.pass(60 * SECOND);
-    assert_eq!(zone.readers(), 2);
+    zone.advance(60 * SECOND);
+    assert_eq!(zone.reader_count(), 2);
     zone.store.write("two");
-    zone.pass(7 * SECOND);
-    assert_eq!(zone.readers(), 2);
-    for number in zone.reading() {
+    zone.advance(7 * SECOND);
+    assert_eq!(zone.reader_count(), 2);
+    for number in zone.reader_numbers() {
         assert_eq!(zone.in_force(number), Some("two"));
     }
 }
@@ -334,8 +334,8 @@
 #[test]
 fn a_reader_that_stops_gives_its_seat_back() {
     let mut zone = Zone::new(4);
-    zone.pass(10 * SECOND);
-    let stopping = zone.reading()[0];
+    zone.advance(10 * SECOND);
+    let stopping = zone.reader_numbers()[0];
     let actions = zone.entries[stopping].reader.handle(zone.now, Event::Stop);
     for action in actions {
         carry_out(
@@ -346,35 +346,35 @@
         );
     }
     assert_eq!(zone.store.holders.len(), 1);
-    zone.pass(15 * SECOND);
-    assert_eq!(zone.readers(), 2);
-    assert!(!zone.reading().contains(&stopping));
+    zone.advance(15 * SECOND);
+    assert_eq!(zone.reader_count(), 2);
+    assert!(!zone.reader_numbers().contains(&stopping));
 }
 
 #[test]
 fn a_lease_that_the_store_ended_early_is_given_up() {
     let mut zone = Zone::new(2);
-    zone.pass(10 * SECOND);
+    zone.advance(10 * SECOND);
     zone.store.leases.clear();
-    zone.pass(20 * SECOND);
-    assert_eq!(zone.readers(), 2);
+    zone.advance(20 * SECOND);
+    assert_eq!(zone.reader_count(), 2);
     assert_eq!(zone.store.holders.len(), 2);
 }
 
 #[test]
 fn an_entry_that_moves_up_takes_a_free_seat() {
     let mut zone = Zone::new(6);
-    zone.pass(10 * SECOND);
+    zone.advance(10 * SECOND);
     for entry in &mut zone.entries[..4] {
         entry.paused = true;
     }
-    zone.pass(30 * SECOND);
-    assert_eq!(zone.readers(), 0);
+    zone.advance(30 * SECOND);
+    assert_eq!(zone.reader_count(), 0);
     for (rank, entry) in zone.entries[4..].iter_mut().enumerate() {
         entry.events.push((zone.now, Event::Rank(rank)));
     }
-    zone.pass(SECOND);
-    assert_eq!(zone.reading(), [4, 5]);
+    zone.advance(SECOND);
+    assert_eq!(zone.reader_numbers(), [4, 5]);
 }
 
 #[test]
--- a/coordination/config/tests/service.rs
+++ b/coordination/config/tests/service.rs
@@ -168,8 +168,8 @@
     fn a_key_leads_back_to_its_bucket(ip: [u8; 4], port: u16) {
         let address = SocketAddr::from((ip, port));
         let bucket = key::bucket(address);
-        prop_assert_eq!(key::parse_mark(&key::mark(bucket)), Some(bucket));
-        prop_assert_eq!(key::parse_service(&key::service(address)), Some(bucket));
-        prop_assert!(key::service(address).starts_with(&key::services(bucket)));
+        prop_assert_eq!(key::marker_bucket(&key::change_marker(bucket)), Some(bucket));
+        prop_assert_eq!(key::service_bucket(&key::service(address)), Some(bucket));
+        prop_assert!(key::service(address).starts_with(&key::bucket_prefix(bucket)));
     }
 }
--- a/transport/store/examples/reading.rs
+++ b/transport/store/examples/reading.rs
@@ -35,19 +35,19 @@
 use wire::ZoneId;
 
 /// Entries of each zone.
-const ENTRIES: usize = 6;
+const ENTRIES_PER_ZONE: usize = 6;
 
 /// Time over which idle calls are counted.
-const IDLE: Duration = Duration::from_secs(20);
+const IDLE_TIME: Duration = Duration::from_secs(20);
 
 /// Time between looks at whether everything was read.
-const POLL: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Time of the outage.
-const OUTAGE: Duration = Duration::from_secs(20);
+const OUTAGE_TIME: Duration = Duration::from_secs(20);
 
 /// A reader and what it publishes.
-struct Follower {
+struct Entry {
     http: Http,
     updates: Receiver<Update>,
 }
@@ -78,11 +78,11 @@
     executor.spawn(serve).detach();
     let operator = Http::new(store::http::Settings::new(address));
     for number in 0..plan.services {
-        write(&operator, number, 0).await?;
+        write_service(&operator, number, 0).await?;
     }
     let start = Instant::now();
     let followers = start_readers(&plan, address, &executor);
-    let readers = reading(&followers, &plan).await;
+    let readers = wait_for_readers(&followers, &plan).await;
     println!("services                       {}", plan.services);
     println!("zones                          {}", plan.zones);
     println!("entries                        {}", followers.len());
@@ -91,21 +91,21 @@
         "first read of everything, ms   {}",
         start.elapsed().as_millis()
     );
-    let bytes = received(&followers) / readers.len() as u64;
+    let bytes = received_bytes(&followers) / readers.len() as u64;
     println!("  bytes a reader               {bytes}");
-    idle(&platform, &followers, readers.len()).await;
-    changes(&plan, &operator, &followers, &readers).await?;
-    outage(&platform, &operator, &followers).await
+    measure_idle(&platform, &followers, readers.len()).await;
+    measure_changes(&plan, &operator, &followers, &readers).await?;
+    measure_outage(&platform, &operator, &followers).await
 }
 
 fn start_readers(
     plan: &Plan,
     address: SocketAddr,
     executor: &Arc<Executor<'static>>,
-) -> Vec<Follower> {
+) -> Vec<Entry> {
     let mut followers = Vec::new();
     for zone in 0..plan.zones {
-        for rank in 0..ENTRIES {
+        for rank in 0..ENTRIES_PER_ZONE {
             let http = Http::new(store::http::Settings::new(address));
             let (sender, updates) = async_channel::unbounded();
             let (inputs, events) = async_channel::unbounded();
@@ -117,7 +117,7 @@
                     drop(inputs);
                 })
                 .detach();
-            followers.push(Follower { http, updates });
+            followers.push(Entry { http, updates });
         }
     }
     followers
@@ -125,8 +125,8 @@
 
 /// Waits until every seat is taken and its follower has everything, and
 /// returns those followers.
-async fn reading<'a>(followers: &'a [Follower], plan: &Plan) -> Vec<&'a Follower> {
-    let seats = usize::from(plan.zones) * usize::from(Settings::new(0).seats);
+async fn wait_for_readers<'a>(followers: &'a [Entry], plan: &Plan) -> Vec<&'a Entry> {
+    let seats = usize::from(plan.zones) * usize::from(Settings::new(0).readers);
     let services = usize::from(plan.services);
     loop {
         let ready = followers
@@ -139,14 +139,14 @@
             }
             return ready;
         }
-        Timer::after(POLL).await;
+        Timer::after(POLL_INTERVAL).await;
     }
 }
 
-async fn idle(platform: &Platform, followers: &[Follower], readers: usize) {
-    let (calls, bytes) = (platform.calls(), received(followers));
-    Timer::after(IDLE).await;
-    let seconds = IDLE.as_secs_f64();
+async fn measure_idle(platform: &Platform, followers: &[Entry], readers: usize) {
+    let (calls, bytes) = (platform.calls(), received_bytes(followers));
+    Timer::after(IDLE_TIME).await;
+    let seconds = IDLE_TIME.as_secs_f64();
     let after = platform.calls();
     let rate = |before: u64, after: u64| (after - before) as f64 / seconds;
     println!(
@@ -162,24 +162,24 @@
         rate(calls.leases, after.leases)
     );
     println!("idle: watches that wait        {}", after.waiting);
-    let bytes = rate(bytes, received(followers)) / readers as f64;
+    let bytes = rate(bytes, received_bytes(followers)) / readers as f64;
     println!("idle: bytes a second a reader  {bytes:.0}");
 }
 
-async fn changes(
+async fn measure_changes(
     plan: &Plan,
     operator: &Http,
-    followers: &[Follower],
-    readers: &[&Follower],
+    followers: &[Entry],
+    readers: &[&Entry],
 ) -> Result<(), Box<dyn Error>> {
-    let before = received(followers);
+    let before = received_bytes(followers);
     let mut delays = Vec::new();
     for number in 0..plan.changes {
         let number = number % plan.services;
         let item = operator.get(&key::service(address_of(number))).await?;
         let base = item.map_or(0, |item| item.revision);
         let start = Instant::now();
-        let revision = write(operator, number, base).await?;
+        let revision = write_service(operator, number, base).await?;
         for reader in readers {
             while reader.updates.recv().await?.revision < revision {}
         }
@@ -190,27 +190,28 @@
     println!("change: p50 ms to all readers  {:.1}", at(50));
     println!("change: p99 ms to all readers  {:.1}", at(99));
     println!("change: max ms to all readers  {:.1}", at(100));
-    let bytes = (received(followers) - before) / u64::from(plan.changes) / readers.len() as u64;
+    let bytes =
+        (received_bytes(followers) - before) / u64::from(plan.changes) / readers.len() as u64;
     println!("change: bytes a reader         {bytes}");
     Ok(())
 }
 
-async fn outage(
+async fn measure_outage(
     platform: &Platform,
     operator: &Http,
-    followers: &[Follower],
+    followers: &[Entry],
 ) -> Result<(), Box<dyn Error>> {
     let before = platform.calls().refused;
     platform.set_faults(|faults| faults.mode = Mode::Down);
-    Timer::after(OUTAGE).await;
+    Timer::after(OUTAGE_TIME).await;
     let refused = platform.calls().refused - before;
     println!(
         "outage: calls a second         {:.1}",
-        refused as f64 / OUTAGE.as_secs_f64()
+        refused as f64 / OUTAGE_TIME.as_secs_f64()
     );
     platform.set_faults(|faults| faults.mode = Mode::Up);
     let item = operator.get(&key::service(address_of(0))).await?;
-    let revision = write(operator, 0, item.map_or(0, |item| item.revision)).await?;
+    let revision = write_service(operator, 0, item.map_or(0, |item| item.revision)).await?;
     let start = Instant::now();
     // Whoever reads first spreads the change.
     let mut first = async { futures_lite::future::pending().await }.boxed();
@@ -232,7 +233,7 @@
     Ok(())
 }
 
-fn received(followers: &[Follower]) -> u64 {
+fn received_bytes(followers: &[Entry]) -> u64 {
     followers
         .iter()
         .map(|follower| follower.http.counts().received_bytes)
@@ -243,7 +244,11 @@
     SocketAddr::from(([192, 0, 2, 1], 1000 + number))
 }
 
-async fn write(http: &Http, number: u16, expected: Revision) -> Result<Revision, config::Fault> {
+async fn write_service(
+    http: &Http,
+    number: u16,
+    expected: Revision,
+) -> Result<Revision, config::Fault> {
     let address = address_of(number);
     let service = Service {
         name: format!("service-{number}"),
@@ -258,7 +263,7 @@
         key: key::service(address),
         value: record.to_json().unwrap_or_default(),
         expected,
-        touch: Some(key::mark(key::bucket(address))),
+        touch: Some(key::change_marker(key::bucket(address))),
         fence: None,
     };
     http.swap(swap).await
--- a/transport/store/src/change.rs
+++ b/transport/store/src/change.rs
@@ -1,4 +1,4 @@
-//! Carries out an operator's change against a store.
+//! Applies an operator's change to a store.
 use config::Change;
 use config::change::Action;
 use config::change::Outcome;
@@ -6,7 +6,7 @@
 use crate::Store;
 use crate::Swap;
 
-/// Runs a change to its end.
+/// Makes the calls of a change until it ends, and returns its outcome.
 pub async fn run(store: &impl Store, mut change: Change) -> Outcome {
     let mut action = change.start();
     loop {
--- a/transport/store/src/count.rs
+++ b/transport/store/src/count.rs
@@ -1,39 +1,40 @@
-//! Counts of the calls that a client made.
+//! Counts of a client's calls.
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering::Relaxed;
 
-/// Calls of the store since the client was made.
+/// Counts of calls since the client was created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Single reads and lists.
+    /// Reads of a key or of a prefix.
     pub reads: u64,
     /// Conditional writes.
     pub writes: u64,
-    /// Watches begun; each counts as one call.
+    /// Watches started.
     pub watches: u64,
-    /// Lease calls.
+    /// Calls about leases.
     pub leases: u64,
-    /// Calls that failed, conflicts left out.
+    /// Failed calls, except conflicts.
     pub failures: u64,
-    /// Watches that wait now.
+    /// Watches currently waiting.
     pub waiting: u64,
-    /// Bytes of answers, headers left out.
+    /// Bytes of answers received, without headers.
     pub received_bytes: u64,
 }
 
-/// The kind of a call.
+/// Kind of a call, as it is counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// A read of one key or several.
+    /// Read of a key or of a prefix.
     Read,
-    /// A write on condition.
+    /// Conditional write.
     Write,
-    /// A read that waits for a change.
+    /// Read that waits for a change.
     Watch,
-    /// A call about a lease.
+    /// Call about a lease.
     Lease,
 }
 
+/// Counts shared by the clones of a client.
 #[derive(Debug, Default)]
 pub(crate) struct Counter {
     reads: AtomicU64,
@@ -46,16 +47,16 @@
 }
 
 /// Counts a waiting watch until dropped.
-pub(crate) struct Waiting<'a>(&'a Counter);
+pub(crate) struct WaitGuard<'a>(&'a Counter);
 
-impl Drop for Waiting<'_> {
+impl Drop for WaitGuard<'_> {
     fn drop(&mut self) {
         self.0.waiting.fetch_sub(1, Relaxed);
     }
 }
 
 impl Counter {
-    pub(crate) fn call(&self, kind: Kind) {
+    pub(crate) fn record_call(&self, kind: Kind) {
         let counter = match kind {
             Kind::Read => &self.reads,
             Kind::Write => &self.writes,
@@ -65,17 +66,17 @@
         counter.fetch_add(1, Relaxed);
     }
 
-    pub(crate) fn fail(&self) {
+    pub(crate) fn record_failure(&self) {
         self.failures.fetch_add(1, Relaxed);
     }
 
-    pub(crate) fn receive(&self, bytes: usize) {
+    pub(crate) fn record_received(&self, bytes: usize) {
         self.received_bytes.fetch_add(bytes as u64, Relaxed);
     }
 
-    pub(crate) fn wait(&self) -> Waiting<'_> {
+    pub(crate) fn begin_wait(&self) -> WaitGuard<'_> {
         self.waiting.fetch_add(1, Relaxed);
-        Waiting(self)
+        WaitGuard(self)
     }
 
     pub(crate) fn snapshot(&self) -> Counts {
--- a/transport/store/src/http.rs
+++ b/transport/store/src/http.rs
@@ -1,11 +1,11 @@
-//! A client of the platform's key-value service over HTTP.
+//! HTTP client of the platform's key-value service.
 //!
-//! Speaks the published HTTP protocol of Consul's key-value store, sessions
-//! and transactions: long polls by `index` and `wait`, compare-and-swap and
-//! session checks in one transaction.
+//! Uses the public HTTP API of Consul for its key-value store, sessions and
+//! transactions: long polls by `index` and `wait`, and compare-and-swap with a
+//! session check in one transaction.
 //!
-//! Each call takes its own connection: an idle connection that the server has
-//! closed would turn a write into one that may or may not have been applied.
+//! Each call opens its own connection: a write sent on an idle connection that
+//! the server has just closed may or may not have been applied.
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -49,14 +49,14 @@
 pub struct Settings {
     /// TCP address of the store.
     pub address: SocketAddr,
-    /// Longest time to wait for an answer, beyond the wait that a watch asks for.
+    /// Maximum time to wait for an answer, in addition to a watch's own wait.
     pub timeout: Duration,
-    /// Largest answer, in bytes.
+    /// Maximum size of an answer's body, in bytes.
     pub max_answer_bytes: usize,
 }
 
 impl Settings {
-    /// The default settings for the store at `address`.
+    /// Returns the default settings for the store at `address`.
     #[must_use]
     pub const fn new(address: SocketAddr) -> Self {
         Self {
@@ -67,39 +67,39 @@
     }
 }
 
-/// A client of the store. Clones share their counts.
+/// HTTP client of the store. Clones share their counts.
 #[derive(Clone, Debug)]
 pub struct Http {
     settings: Settings,
     counter: Arc<Counter>,
 }
 
-/// An answer of the store, whatever its status.
+/// Answer of the store, with any status.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// The HTTP status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// The revision that its headers name, or 0.
+    /// Index from the headers; 0 if they name none.
     pub index: Revision,
-    /// The body.
+    /// Body.
     pub body: Bytes,
 }
 
-/// One call of the store.
+/// HTTP request to the store.
 #[derive(Clone, Debug)]
 pub struct Call<'a> {
-    /// What it is counted as.
+    /// Kind under which the call is counted.
     pub kind: Kind,
     /// HTTP method.
     pub method: Method,
     /// Path and query.
     pub path: &'a str,
-    /// Body, empty for none.
+    /// Body; empty for none.
     pub body: Vec<u8>,
 }
 
 impl Http {
-    /// Makes a client. Connects at each call only.
+    /// Creates a client. Connections are opened by its calls.
     #[must_use]
     pub fn new(settings: Settings) -> Self {
         Self {
@@ -108,7 +108,7 @@
         }
     }
 
-    /// A client that waits `timeout` for an answer, and shares the counts.
+    /// Returns a client with another timeout that shares this client's counts.
     #[must_use]
     pub fn with_timeout(&self, timeout: Duration) -> Self {
         let mut client = self.clone();
@@ -116,20 +116,20 @@
         client
     }
 
-    /// Calls made so far, by this client and its clones.
+    /// Returns the counts of the calls made by this client and its clones.
     #[must_use]
     pub fn counts(&self) -> Counts {
         self.counter.snapshot()
     }
 
-    /// Makes one call and returns the answer, whatever its status. A call that
-    /// the store answers only after `wait` has that much more time.
+    /// Makes one call and returns the answer, with any status. The timeout is
+    /// extended by `wait`, for calls that the store answers only after that time.
     ///
     /// # Errors
     ///
-    /// [`Fault`] where there is no answer.
+    /// Returns a [`Fault`] if there is no complete answer.
     pub async fn request(&self, call: Call<'_>, wait: Duration) -> Result<Answer, Fault> {
-        self.counter.call(call.kind);
+        self.counter.record_call(call.kind);
         let maybe_applied = call.method != Method::GET;
         let expire = async {
             Timer::after(self.settings.timeout + wait).await;
@@ -138,11 +138,12 @@
         let exchange = self.exchange(call.method, call.path, call.body);
         let answer = exchange.or(expire).await;
         if answer.is_err() {
-            self.counter.fail();
+            self.counter.record_failure();
         }
         answer
     }
 
+    /// Makes one call and turns error statuses into faults.
     async fn call(
         &self,
         kind: Kind,
@@ -158,13 +159,14 @@
             path,
             body,
         };
-        let answer = check(self.request(call, wait).await?, maybe_applied);
+        let answer = check_status(self.request(call, wait).await?, maybe_applied);
         if answer.is_err() {
-            self.counter.fail();
+            self.counter.record_failure();
         }
         answer
     }
 
+    /// Sends one request on a new connection and receives the answer.
     async fn exchange(&self, method: Method, path: &str, body: Vec<u8>) -> Result<Answer, Fault> {
         let maybe_applied = method != Method::GET;
         let request = Request::builder()
@@ -196,7 +198,7 @@
                 .await
                 .map_err(|_| lost)?
                 .to_bytes();
-            self.counter.receive(body.len());
+            self.counter.record_received(body.len());
             Ok(Answer {
                 status,
                 index,
@@ -204,14 +206,15 @@
             })
         };
         let drive = async {
-            // The connection ends once the answer is read, or with an error
-            // that the receiving side sees as well.
+            // The connection ends when the answer has been read, or with an error
+            // that `receive` reports as well.
             let _ = connection.await;
             future::pending().await
         };
         receive.or(drive).await
     }
 
+    /// Reads key-value pairs and the answer's index; an unknown path has no pairs.
     async fn read(
         &self,
         kind: Kind,
@@ -226,6 +229,7 @@
         Ok((pairs, answer.index))
     }
 
+    /// Sends a body as JSON by `PUT`.
     async fn write(&self, kind: Kind, path: &str, body: &impl Serialize) -> Result<Answer, Fault> {
         let body = serde_json::to_vec(body).map_err(|_| Fault::Malformed)?;
         self.call(kind, Method::PUT, path, body, Duration::ZERO)
@@ -237,28 +241,28 @@
     async fn get(&self, key: &str) -> Result<Option<Item>, Fault> {
         let path = format!("/v1/kv/{key}?consistent");
         let (pairs, _) = self.read(Kind::Read, &path, Duration::ZERO).await?;
-        Ok(pairs.into_iter().next().map(item))
+        Ok(pairs.into_iter().next().map(to_item))
     }
 
     async fn list(&self, prefix: &str) -> Result<Listing, Fault> {
         let path = format!("/v1/kv/{prefix}?recurse&consistent");
         let (pairs, index) = self.read(Kind::Read, &path, Duration::ZERO).await?;
-        Ok(listing(pairs, index))
+        Ok(to_listing(pairs, index))
     }
 
     async fn list_stale(&self, prefix: &str) -> Result<Listing, Fault> {
         let path = format!("/v1/kv/{prefix}?recurse&stale");
         let (pairs, index) = self.read(Kind::Read, &path, Duration::ZERO).await?;
-        Ok(listing(pairs, index))
+        Ok(to_listing(pairs, index))
     }
 
     async fn watch(&self, prefix: &str, since: Revision, wait: Duration) -> Result<Listing, Fault> {
         let wait_ms = wait.as_millis();
         let path = format!("/v1/kv/{prefix}?recurse&index={since}&wait={wait_ms}ms");
-        let _waiting = self.counter.wait();
-        // The store adds up to a sixteenth to the wait, to spread the answers.
+        let _waiting = self.counter.begin_wait();
+        // The store extends the wait by up to a sixteenth, as jitter.
         let (pairs, index) = self.read(Kind::Watch, &path, wait + wait / 16).await?;
-        Ok(listing(pairs, index))
+        Ok(to_listing(pairs, index))
     }
 
     async fn swap(&self, swap: Swap) -> Result<Revision, Fault> {
@@ -341,7 +345,8 @@
     }
 }
 
-fn check(answer: Answer, maybe_applied: bool) -> Result<Answer, Fault> {
+/// Returns the answer, or a fault if its status is neither 200, 404 nor 409.
+fn check_status(answer: Answer, maybe_applied: bool) -> Result<Answer, Fault> {
     match answer.status {
         StatusCode::OK | StatusCode::NOT_FOUND | StatusCode::CONFLICT => Ok(answer),
         status if status.is_server_error() => Err(Fault::Failed {
@@ -358,7 +363,7 @@
     serde_json::from_slice(body).map_err(|_| Fault::Malformed)
 }
 
-fn item(pair: schema::Pair) -> Item {
+fn to_item(pair: schema::Pair) -> Item {
     Item {
         key: pair.key,
         value: pair.value.unwrap_or_default(),
@@ -366,9 +371,9 @@
     }
 }
 
-fn listing(pairs: Vec<schema::Pair>, index: Revision) -> Listing {
+fn to_listing(pairs: Vec<schema::Pair>, index: Revision) -> Listing {
     Listing {
-        items: pairs.into_iter().map(item).collect(),
+        items: pairs.into_iter().map(to_item).collect(),
         index,
     }
 }
--- a/transport/store/src/lib.rs
+++ b/transport/store/src/lib.rs
@@ -1,9 +1,9 @@
-//! The edge to the platform's key-value service.
+//! Client of the platform's key-value service, the store.
 //!
-//! * [`Store`] is the trait that the rest of the system sees.
-//! * [`Http`] is a client over HTTP.
-//! * [`reader`] runs the reads that keep an entry's configuration fresh.
-//! * [`change`] carries out an operator's change.
+//! * [`Store`] is the trait that the rest of the system uses.
+//! * [`Http`] implements it over HTTP.
+//! * [`reader`] keeps an entry's configuration up to date.
+//! * [`change`] applies an operator's change.
 pub mod change;
 pub mod count;
 pub mod http;
@@ -24,25 +24,25 @@
 pub use count::Counts;
 pub use http::Http;
 
-/// A write of one key on condition that it has not changed.
+/// A compare-and-swap write of one key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Swap {
-    /// The key to write.
+    /// Key to write.
     pub key: String,
-    /// The new value.
+    /// New value.
     pub value: Vec<u8>,
-    /// Revision that the key must still have; 0 where it must not exist.
+    /// Revision that the key must still have; 0 if it must not exist.
     pub expected: Revision,
-    /// Key to write in the same step, whatever it holds, with an empty value.
+    /// Key to set unconditionally to an empty value in the same transaction.
     pub touch: Option<String>,
-    /// Lease that must still hold its key at the moment of the write.
+    /// Lease that must still hold its key when the write is applied.
     pub fence: Option<Fence>,
 }
 
 /// The platform's key-value service.
 ///
-/// Every call fails with a [`Fault`]; [`Fault::maybe_applied`] tells whether a
-/// write may have taken effect all the same.
+/// A failed call returns a [`Fault`]; [`Fault::maybe_applied`] tells whether the
+/// store may have applied the call despite the failure.
 pub trait Store: Clone + Send + Sync + 'static {
     /// Reads one key.
     fn get(&self, key: &str) -> impl Future<Output = Result<Option<Item>, Fault>> + Send;
@@ -50,12 +50,12 @@
     /// Reads all keys under a prefix.
     fn list(&self, prefix: &str) -> impl Future<Output = Result<Listing, Fault>> + Send;
 
-    /// Reads all keys under a prefix from any replica: cheaper, and possibly
-    /// seconds old.
+    /// Reads all keys under a prefix from any replica; this is cheaper than
+    /// [`Self::list`], but the answer may be seconds old.
     fn list_stale(&self, prefix: &str) -> impl Future<Output = Result<Listing, Fault>> + Send;
 
-    /// Waits until something under a prefix changes after `since`, then reads
-    /// all keys under it. Returns after `wait` where nothing changed.
+    /// Waits until a key under a prefix changes after index `since`, at most for
+    /// `wait`, then reads all keys under the prefix.
     fn watch(
         &self,
         prefix: &str,
@@ -63,21 +63,21 @@
         wait: Duration,
     ) -> impl Future<Output = Result<Listing, Fault>> + Send;
 
-    /// Writes a key on condition, and returns its new revision. Fails with
-    /// [`Fault::Conflict`] where the key has changed, [`Fault::Lapsed`] where
-    /// the fence no longer holds.
+    /// Writes a key by compare-and-swap and returns its new revision. Fails with
+    /// [`Fault::Conflict`] if the key has changed and with [`Fault::Lapsed`] if
+    /// the fence's lease no longer holds its key.
     fn swap(&self, swap: Swap) -> impl Future<Output = Result<Revision, Fault>> + Send;
 
-    /// Starts a lease that ends `ttl` after its last renewal.
+    /// Grants a lease that expires `ttl` after its last renewal.
     fn grant(&self, ttl: Duration) -> impl Future<Output = Result<LeaseId, Fault>> + Send;
 
-    /// Renews a lease. Fails with [`Fault::Lapsed`] where it has ended.
+    /// Renews a lease. Fails with [`Fault::Lapsed`] if it has expired.
     fn keep_alive(&self, lease: &LeaseId) -> impl Future<Output = Result<(), Fault>> + Send;
 
-    /// Ends a lease and frees the keys it holds.
+    /// Revokes a lease and releases the keys it holds.
     fn revoke(&self, lease: &LeaseId) -> impl Future<Output = Result<(), Fault>> + Send;
 
-    /// Takes a key for a lease; true where the lease holds it now.
+    /// Acquires a key under a lease; returns whether the lease now holds it.
     fn acquire(
         &self,
         key: &str,
--- a/transport/store/src/reader.rs
+++ b/transport/store/src/reader.rs
@@ -1,4 +1,4 @@
-//! Carries out what a [`Reader`] decides.
+//! Carries out the actions of a [`Reader`].
 use std::future::Future;
 use std::pin::Pin;
 use std::task::Poll;
@@ -20,12 +20,12 @@
 
 use crate::Store;
 
-/// Calls under way.
+/// Calls in flight.
 #[derive(Default)]
-struct Calls(Vec<Pin<Box<dyn Future<Output = Event> + Send>>>);
+struct PendingCalls(Vec<Pin<Box<dyn Future<Output = Event> + Send>>>);
 
-/// Runs a reader until it is told to stop or the receiver of `updates` is
-/// dropped. `inputs` brings [`Event::Rank`] and [`Event::Stop`].
+/// Runs a reader until it receives [`Event::Stop`] or the receiver of `updates`
+/// is dropped. `inputs` delivers [`Event::Rank`] and [`Event::Stop`].
 pub async fn run(
     store: impl Store,
     mut reader: Reader,
@@ -33,13 +33,13 @@
     updates: Sender<Update>,
 ) {
     let origin = Instant::now();
-    let mut calls = Calls::default();
+    let mut calls = PendingCalls::default();
     let mut event = Event::Tick;
     loop {
         let stopping = event == Event::Stop;
         let actions = reader.handle(origin.elapsed(), event);
         if stopping {
-            return finish(&store, actions).await;
+            return release_lock(&store, actions).await;
         }
         for action in actions {
             match action {
@@ -48,7 +48,7 @@
                         return;
                     }
                 }
-                action => calls.push(call(store.clone(), action)),
+                action => calls.push(run_call(store.clone(), action)),
             }
         }
         let deadline = reader.next_deadline();
@@ -69,12 +69,12 @@
     }
 }
 
-impl Calls {
+impl PendingCalls {
     fn push(&mut self, call: impl Future<Output = Event> + Send + 'static) {
         self.0.push(Box::pin(call));
     }
 
-    /// Waits for the next call that ends.
+    /// Waits for the next call to end and returns its event.
     fn next(&mut self) -> impl Future<Output = Event> + '_ {
         future::poll_fn(|context| {
             let ended = self.0.iter_mut().enumerate().find_map(|(position, call)| {
@@ -94,18 +94,19 @@
     }
 }
 
-/// Gives the seat back.
-async fn finish(store: &impl Store, actions: Vec<Action>) {
+/// Releases the reader lock.
+async fn release_lock(store: &impl Store, actions: Vec<Action>) {
     for action in actions {
         if let Action::Lease(action) = action {
-            renew(store, action).await;
+            run_lease_call(store, action).await;
         }
     }
 }
 
-async fn call(store: impl Store, action: Action) -> Event {
+/// Makes the call of an action and returns its answer as an event.
+async fn run_call(store: impl Store, action: Action) -> Event {
     match action {
-        Action::Lease(action) => renew(&store, action).await,
+        Action::Lease(action) => run_lease_call(&store, action).await,
         Action::Feed(feed::Action::Publish(_)) => Event::Tick,
         Action::Feed(feed::Action::List { id, prefix }) => {
             Event::Feed(id, store.list(&prefix).await)
@@ -119,14 +120,15 @@
     }
 }
 
-async fn renew(store: &impl Store, action: lease::Action) -> Event {
+/// Makes a call for the lease and returns its answer as an event.
+async fn run_lease_call(store: &impl Store, action: lease::Action) -> Event {
     let answer = match action.call {
-        Call::Look { prefix } => Answer::Looked(store.list(&prefix).await),
+        Call::List { prefix } => Answer::Listed(store.list(&prefix).await),
         Call::Grant { ttl } => Answer::Granted(store.grant(ttl).await),
         Call::Acquire { key, lease } => Answer::Acquired(store.acquire(&key, &lease).await),
-        Call::KeepAlive { lease } => Answer::Kept(store.keep_alive(&lease).await),
+        Call::Renew { lease } => Answer::Renewed(store.keep_alive(&lease).await),
         Call::Revoke { lease } => {
-            // A lease that cannot be ended now ends by itself.
+            // If this call fails, the lease expires by itself.
             let _ = store.revoke(&lease).await;
             return Event::Tick;
         }
--- a/transport/store/src/schema.rs
+++ b/transport/store/src/schema.rs
@@ -1,10 +1,10 @@
-//! JSON bodies of the key-value protocol.
+//! JSON bodies of Consul's key-value API.
 use serde::Deserialize;
 use serde::Serialize;
 use serde_with::base64::Base64;
 use serde_with::serde_as;
 
-/// One key, as the store answers it.
+/// A key-value pair in an answer.
 #[serde_as]
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
@@ -23,7 +23,7 @@
     pub kv: Write,
 }
 
-/// The part of an operation that concerns one key.
+/// The key-value part of an [`Operation`].
 #[serde_as]
 #[derive(Debug, Default, Serialize)]
 #[serde(rename_all = "PascalCase")]
@@ -37,16 +37,16 @@
     pub session: Option<String>,
 }
 
-/// What an operation does.
+/// Verb of an operation.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum Verb {
-    /// Writes where the revision matches.
+    /// Writes the key if its revision matches.
     #[default]
     Cas,
-    /// Writes always.
+    /// Writes the key unconditionally.
     Set,
-    /// Fails the transaction where the session does not hold the key.
+    /// Fails the transaction unless the session holds the key.
     CheckSession,
 }
 
@@ -65,14 +65,14 @@
     pub kv: Pair,
 }
 
-/// An operation that was refused.
+/// A failed operation, by its position in the transaction.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub(crate) struct Refused {
     pub op_index: usize,
 }
 
-/// Asks for a session.
+/// Request to create a session.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub(crate) struct Session {
@@ -82,7 +82,7 @@
     pub lock_delay: String,
 }
 
-/// A session that was created.
+/// Answer to the creation of a session.
 #[derive(Debug, Deserialize)]
 pub(crate) struct Created {
     #[serde(rename = "ID")]
--- a/transport/store/tests/reader.rs
+++ b/transport/store/tests/reader.rs
@@ -22,13 +22,13 @@
 use common::with_store;
 
 /// A reader at work.
-struct Reading {
+struct Fixture {
     http: Http,
     updates: Receiver<Update>,
     inputs: Sender<Event>,
 }
 
-impl Reading {
+impl Fixture {
     /// Writes a service, as an operator's change does.
     async fn write(&self, name: &str, expected: u64) -> u64 {
         let address = "192.0.2.1:5000".parse().expect("an address");
@@ -42,13 +42,13 @@
             key: key::service(address),
             value,
             expected,
-            touch: Some(key::mark(key::bucket(address))),
+            touch: Some(key::change_marker(key::bucket(address))),
             fence: None,
         };
         self.http.swap(swap).await.expect("a match")
     }
 
-    async fn expect(&self, name: &str, revision: u64) {
+    async fn expect_update(&self, name: &str, revision: u64) {
         let update = self.updates.recv().await.expect("an update");
         assert_eq!(
             (update.service.name.as_str(), update.revision),
@@ -58,20 +58,20 @@
 }
 
 fn with_reader<F: Future<Output = ()>>(
-    test: impl FnOnce(Reading, standin::platform::Platform) -> F,
+    test: impl FnOnce(Fixture, standin::platform::Platform) -> F,
 ) {
     with_store(|http, platform| async move {
         let (sender, updates) = async_channel::unbounded();
         let (inputs, events) = async_channel::unbounded();
         let mut settings = Settings::new(1);
-        settings.feed.spread = Duration::ZERO;
+        settings.feed.start_jitter = Duration::ZERO;
         settings.feed.wait = Duration::from_millis(50);
-        settings.lease.renew = Duration::from_millis(50);
+        settings.lease.renew_interval = Duration::from_millis(50);
         settings.feed.backoff.base = Duration::from_millis(1);
         settings.lease.backoff.base = Duration::from_millis(1);
         let reader = Reader::new(settings, 0, 1);
         let run = reader::run(http.clone(), reader, events, sender);
-        let reading = Reading {
+        let reading = Fixture {
             http,
             updates,
             inputs,
@@ -88,9 +88,9 @@
 fn a_change_is_read_as_it_is_made() {
     with_reader(|reading, platform| async move {
         let first = reading.write("one", 0).await;
-        reading.expect("one", first).await;
+        reading.expect_update("one", first).await;
         let second = reading.write("two", first).await;
-        reading.expect("two", second).await;
+        reading.expect_update("two", second).await;
         assert!(platform.calls().watches >= 1);
     });
 }
@@ -99,10 +99,10 @@
 fn a_change_that_woke_no_watch_is_read_later() {
     with_reader(|reading, platform| async move {
         let first = reading.write("one", 0).await;
-        reading.expect("one", first).await;
+        reading.expect_update("one", first).await;
         platform.set_faults(|faults| faults.drop_events = 1);
         let second = reading.write("two", first).await;
-        reading.expect("two", second).await;
+        reading.expect_update("two", second).await;
     });
 }
 
@@ -110,15 +110,15 @@
 fn stale_and_repeated_answers_revert_nothing() {
     with_reader(|reading, platform| async move {
         let first = reading.write("one", 0).await;
-        reading.expect("one", first).await;
+        reading.expect_update("one", first).await;
         platform.set_faults(|faults| {
             faults.stale_reads = 5;
             faults.repeat_events = 3;
         });
         let second = reading.write("two", first).await;
-        reading.expect("two", second).await;
+        reading.expect_update("two", second).await;
         let third = reading.write("three", second).await;
-        reading.expect("three", third).await;
+        reading.expect_update("three", third).await;
     });
 }
 
@@ -126,7 +126,7 @@
 fn reading_goes_on_after_outages_and_lapsed_leases() {
     with_reader(|reading, platform| async move {
         let mut revision = reading.write("one", 0).await;
-        reading.expect("one", revision).await;
+        reading.expect_update("one", revision).await;
         for mode in [Mode::Down, Mode::Fail] {
             platform.set_faults(|faults| faults.mode = mode);
             let refused = platform.calls().refused;
@@ -136,7 +136,7 @@
             platform.lapse();
             platform.set_faults(|faults| faults.mode = Mode::Up);
             revision = reading.write("again", revision).await;
-            reading.expect("again", revision).await;
+            reading.expect_update("again", revision).await;
         }
     });
 }
@@ -145,8 +145,8 @@
 fn a_reader_that_stops_gives_its_seat_back() {
     with_reader(|reading, _| async move {
         let first = reading.write("one", 0).await;
-        reading.expect("one", first).await;
-        let seats = key::seats(1);
+        reading.expect_update("one", first).await;
+        let seats = key::reader_lock_prefix(1);
         let held = reading.http.list(&seats).await.expect("an answer");
         assert_eq!(held.items.len(), 1);
         reading.inputs.send(Event::Stop).await.expect("a reader");
