--- a/coordination/config/src/lease.rs
+++ b/coordination/config/src/lease.rs
@@ -295,9 +295,9 @@
             }
             (Err(Fault::Lapsed), _) => self.set_idle(now),
             _ => {
-                let due = now + self.backoff.next_pause();
+                let renewal_due = now + self.backoff.next_pause();
                 self.state = State::Held(Held {
-                    renewal_due: due,
+                    renewal_due,
                     renewal_sent: None,
                     ..held
                 });
--- a/coordination/config/tests/change.rs
+++ b/coordination/config/tests/change.rs
@@ -1,10 +1,6 @@
-//! Changes by operators, through a store that fails.
-mod common;
+//! Tests of operators' changes against a store that fails.
+mod faulty_store;
 
-use common::Failure;
-use common::Store;
-use common::store_with_service;
-use common::update;
 use config::Change;
 use config::Fault;
 use config::Problem;
@@ -13,9 +9,13 @@
 use config::change::Effect;
 use config::change::Outcome;
 use config::change::Request;
+use faulty_store::Failure;
+use faulty_store::Store;
+use faulty_store::store_with_service;
+use faulty_store::update;
 use proptest::prelude::*;
 
-/// The revision of an accepted change and of the one that replaced it.
+/// Returns the revision of an accepted change and of the one that replaced it.
 fn accepted(outcome: &Outcome) -> (u64, Option<u64>) {
     match outcome {
         Outcome::Accepted {
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn an_own_write_is_recognised_after_somebody_wrote_over_it() {
+fn an_own_write_is_recognised_after_another_operator_wrote_over_it() {
     let mut store = store_with_service();
     let lost = [Failure::None, Failure::AnswerLost, Failure::Unreachable];
     let outcome = store.run(update(1, 1, "a"), &lost);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn the_loser_of_a_race_sees_the_winner() {
+fn the_loser_of_a_race_gets_the_winning_revision_and_operation() {
     let mut store = store_with_service();
     let mut loser = Change::new(update(2, 1, "b"), 1);
     let action = loser.start();
@@ -80,8 +80,10 @@
     assert_eq!(accepted(&again), (2, None));
 }
 
+/// More writes follow the lost one than a record's history holds, so the record
+/// no longer shows whether it was applied.
 #[test]
-fn a_write_hidden_by_many_later_ones_is_not_called_unapplied() {
+fn a_write_that_has_left_the_history_is_not_reported_as_not_applied() {
     let mut store = store_with_service();
     let lost = [Failure::None, Failure::AnswerLost, Failure::Unreachable];
     store.run(update(1, 1, "a"), &lost);
@@ -100,7 +102,7 @@
 }
 
 #[test]
-fn a_change_is_refused_at_once_while_the_store_is_down() {
+fn a_change_fails_at_once_while_the_store_is_unreachable() {
     let mut store = store_with_service();
     match store.run(update(1, 1, "a"), &[Failure::Unreachable]) {
         Outcome::Unavailable {
@@ -117,7 +119,7 @@
 }
 
 #[test]
-fn a_dry_run_shows_the_difference_and_writes_nothing() {
+fn a_dry_run_returns_the_differences_and_writes_nothing() {
     let mut store = store_with_service();
     let dry_run = Request {
         dry_run: true,
@@ -137,7 +139,7 @@
 }
 
 #[test]
-fn a_deleted_service_can_be_created_anew_at_a_higher_revision() {
+fn a_deleted_service_can_be_created_again_at_a_higher_revision() {
     let mut store = store_with_service();
     let delete = Request {
         edit: Edit::Delete,
@@ -145,7 +147,7 @@
     };
     assert_eq!(accepted(&store.run(delete, &[])), (2, None));
     let create = Request {
-        edit: Edit::Create(common::service()),
+        edit: Edit::Create(faulty_store::service()),
         ..update(3, 2, "again")
     };
     assert_eq!(accepted(&store.run(create, &[])), (3, None));
@@ -161,10 +163,10 @@
 
 cases::cases! { is_invalid;
     a_service_is_not_created_twice: (
-        Request { edit: Edit::Create(common::service()), ..update(3, 2, "a") },
+        Request { edit: Edit::Create(faulty_store::service()), ..update(3, 2, "a") },
         Problem::Exists,
     ),
-    a_wrong_field_is_refused: (update(4, 2, "a"), Problem::Hunt),
+    an_invalid_field_is_refused: (update(4, 2, "a"), Problem::Hunt),
     an_operation_id_with_spaces_is_refused: (update(1, 2, "a b"), Problem::Operation),
     an_operation_id_is_not_used_for_two_changes: (update(1, 2, "used"), Problem::OperationReused),
     a_retry_without_its_revision_is_refused: (
@@ -179,7 +181,7 @@
     assert_eq!(outcome, Outcome::Invalid(vec![Problem::Missing]));
 }
 
-/// One operator who repeats a change until its outcome is known.
+/// An operator who retries a change while the store is unavailable.
 struct Operator {
     request: Request,
     change: Change,
@@ -212,7 +214,7 @@
         }
     }
 
-    /// Checks what the operator was told against what the store has.
+    /// Checks the reported outcome against the versions in the store.
     fn check(&self, store: &Store) {
         let operation = &self.request.operation;
         let applied: Vec<_> = store
@@ -260,8 +262,11 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(2000))]
 
+    /// Three operators change one service at the same time while calls fail,
+    /// answers are lost, writes are delayed and reads are stale. Each reported
+    /// outcome must agree with the writes that the store applied.
     #[test]
-    fn operators_are_told_the_truth(
+    fn each_reported_outcome_agrees_with_the_store(
         steps in prop::collection::vec((0..4_usize, failure()), 0..60),
         bases in prop::collection::vec(1..3_u64, 3),
     ) {
--- a/coordination/config/tests/common/mod.rs
+++ b/coordination/config/tests/faulty_store/mod.rs
@@ -1,4 +1,4 @@
-//! A store in memory that fails as a test asks.
+//! In-memory store whose calls fail as a test prescribes.
 use config::Change;
 use config::Fault;
 use config::Item;
@@ -11,45 +11,46 @@
 use config::change::Request;
 use wire::Revision;
 
-/// How one call fails.
+/// Failure of one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// Not at all.
+    /// The call succeeds.
     None,
-    /// The store is not reached.
+    /// The store cannot be reached.
     Unreachable,
-    /// The answer is lost; a write was applied.
+    /// The answer is lost after a write was applied.
     AnswerLost,
-    /// The answer is lost; a write was not applied.
+    /// The request is lost, so a write is not applied.
     RequestLost,
-    /// The answer is lost; a write is applied later.
+    /// The answer is lost, and a write is applied later.
     Delayed,
-    /// A read answers what was there one write before.
+    /// A read returns the value before the last write.
     Stale,
 }
 
-/// One key of the store.
+/// Store with a single key.
 #[derive(Debug, Default)]
 pub struct Store {
-    /// All values that the key had, oldest first.
+    /// All versions of the key, oldest first.
     pub versions: Vec<Item>,
+    /// Writes to be applied later.
     delayed: Vec<Item>,
 }
 
 impl Store {
-    /// Revision of the key.
+    /// Returns the revision of the key.
     pub fn revision(&self) -> Revision {
         self.versions.last().map_or(0, |item| item.revision)
     }
 
-    /// Delivers a write that is on the way.
+    /// Applies the last delayed write.
     pub fn apply_delayed(&mut self) {
         if let Some(item) = self.delayed.pop() {
             let _ = self.swap(item);
         }
     }
 
-    /// Carries out one action.
+    /// Makes the call of one action and returns the change's next action.
     pub fn step(&mut self, change: &mut Change, action: Action, failure: Failure) -> Action {
         match action {
             Action::Read { .. } => change.on_read(self.read(failure)),
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Carries out a change to its end, with `failures` first.
+    /// Runs a change to its end; its first calls meet `failures`.
     pub fn run(&mut self, request: Request, failures: &[Failure]) -> Outcome {
         let mut change = Change::new(request, 1);
         let mut action = change.start();
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Operations in the order in which they were applied.
+    /// Returns the operations in the order in which they were applied.
     pub fn operations(&self) -> Vec<String> {
         let records = self.versions.iter().map(|item| {
             let record = Record::from_json(&item.value).expect("a record");
@@ -95,7 +96,7 @@
         records.collect()
     }
 
-    /// Whether the service was once stored so at that revision.
+    /// Returns whether the update's service was stored at its revision.
     pub fn had_version(&self, update: &Update) -> bool {
         self.versions.iter().any(|item| {
             let record = Record::from_json(&item.value).expect("a record");
@@ -130,7 +131,7 @@
         })
     }
 
-    /// Writes where the key still has the item's revision.
+    /// Writes the item if the key still has the item's revision.
     fn swap(&mut self, item: Item) -> Result<Revision, Fault> {
         if item.revision != self.revision() {
             return Err(Fault::Conflict);
@@ -141,7 +142,7 @@
     }
 }
 
-/// A valid service.
+/// Returns a valid service.
 pub fn service() -> Service {
     Service {
         name: "roster".to_owned(),
@@ -149,7 +150,7 @@
     }
 }
 
-/// A change of the hunt width.
+/// Returns a request that sets the number of agents that an open may visit.
 pub fn update(hunt: u8, expected: Revision, operation: &str) -> Request {
     Request {
         address: service().address,
@@ -161,7 +162,7 @@
     }
 }
 
-/// A store that holds the service at revision 1.
+/// Returns a store that holds the service at revision 1.
 pub fn store_with_service() -> Store {
     let mut store = Store::default();
     let create = Request {
--- a/coordination/config/tests/feed.rs
+++ b/coordination/config/tests/feed.rs
@@ -1,4 +1,4 @@
-//! Reading through a store whose answers fail, repeat and go backwards.
+//! Tests of the feed against a store whose answers fail, repeat and are stale.
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,10 +20,10 @@
 const SECOND: Duration = Duration::from_secs(1);
 const SERVICES: u16 = 4;
 
-/// The states of a store, oldest first.
+/// Successive states of a store, oldest first.
 struct Store(Vec<HashMap<String, Item>>);
 
-/// A call of the feed under way.
+/// A call of the feed in flight.
 #[derive(Clone, Debug)]
 struct Call {
     id: CallId,
@@ -31,14 +31,14 @@
     since: Option<Revision>,
 }
 
-/// How a call is answered.
+/// Answer to a call.
 #[derive(Clone, Copy, Debug)]
 enum Reply {
-    /// With the latest state.
+    /// The latest state.
     Latest,
-    /// With the state some writes ago.
+    /// The state before this number of writes.
     Stale(usize),
-    /// With a fault.
+    /// A fault.
     Fault(Fault),
 }
 
@@ -51,12 +51,12 @@
         Self(vec![HashMap::new()])
     }
 
-    /// The revision of the next write; an empty store is at 1.
+    /// Returns the revision of the next write; an empty store is at 1.
     fn next_revision(&self) -> Revision {
         self.0.len() as Revision + 1
     }
 
-    /// Writes a service and the mark of its bucket.
+    /// Writes a service and the change marker of its bucket.
     fn write(&mut self, number: u16) {
         let mut state = self.latest().clone();
         let revision = self.next_revision();
@@ -105,7 +105,7 @@
     }
 }
 
-/// A feed with its store.
+/// A feed and its store.
 struct Fixture {
     store: Store,
     feed: Feed,
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Takes over an update, which must be newer than what is in force.
+    /// Puts an update in force, which must be newer than the one before.
     fn publish(&mut self, update: &Update) {
         let before = self
             .in_force
@@ -161,7 +161,7 @@
         assert_eq!(update.service.name, format!("revision-{}", update.revision));
     }
 
-    /// Goes on to the next deadline.
+    /// Advances the time to the next deadline and runs what is due.
     fn advance(&mut self) {
         if let Some(due) = self.feed.next_deadline() {
             self.now = self.now.max(due);
@@ -170,7 +170,7 @@
         self.apply(actions);
     }
 
-    /// Answers the call under way.
+    /// Answers the call in flight.
     fn reply(&mut self, reply: Reply) {
         self.advance();
         let Some(call) = self.call.take() else {
@@ -181,7 +181,7 @@
         self.apply(actions);
     }
 
-    /// Answers calls truly until the feed waits for a change that has not come.
+    /// Answers calls with the latest state until the feed has caught up.
     fn run_until_caught_up(&mut self) {
         for _ in 0..100 {
             self.advance();
@@ -190,15 +190,19 @@
             }
             self.reply(Reply::Latest);
         }
-        panic!("the feed does not come to rest: {:?}", self.call);
+        panic!(
+            "the feed has not caught up after 100 calls; call in flight: {:?}",
+            self.call
+        );
     }
 
-    /// Whether the feed waits for a change that has not come.
+    /// Returns whether the feed watches for a change after the latest one.
     fn is_caught_up(&self) -> bool {
         let since = self.call.as_ref().and_then(|call| call.since);
         since.is_some_and(|since| since + 1 >= self.store.next_revision())
     }
 
+    /// Asserts that the latest revision of every service is in force.
     fn assert_latest(&self) {
         for number in 0..SERVICES {
             let stored = self.store.latest().get(&key::service(address(number)));
@@ -207,19 +211,20 @@
         }
     }
 
-    /// Time until the next deadline.
+    /// Returns the time until the next deadline.
     fn pause(&self) -> Duration {
         let due = self.feed.next_deadline().expect("a deadline");
         due.saturating_sub(self.now)
     }
 
+    /// Returns the prefix of the call in flight.
     fn prefix(&self) -> &str {
         self.call.as_ref().map_or("", |call| call.prefix.as_str())
     }
 }
 
 #[test]
-fn everything_is_read_once_and_then_only_what_changed() {
+fn all_services_are_listed_once_and_then_only_changed_buckets() {
     let mut fixture = Fixture::new();
     (0..SERVICES).for_each(|number| fixture.store.write(number));
     fixture.run_until_caught_up();
@@ -238,7 +243,7 @@
 }
 
 #[test]
-fn an_index_that_goes_backwards_is_a_gap_and_everything_is_read_again() {
+fn an_index_that_goes_backwards_is_counted_and_leads_to_a_full_list() {
     let mut fixture = Fixture::new();
     (0..SERVICES).for_each(|number| fixture.store.write(number));
     fixture.run_until_caught_up();
@@ -255,7 +260,7 @@
 }
 
 #[test]
-fn a_missed_event_is_made_up_for_when_the_wait_ends() {
+fn a_change_that_ended_no_watch_is_read_when_the_wait_ends() {
     let mut fixture = Fixture::new();
     fixture.run_until_caught_up();
     fixture.store.write(1);
@@ -265,7 +270,7 @@
 }
 
 #[test]
-fn a_repeated_event_is_not_followed_by_a_call_at_once() {
+fn repeated_events_are_followed_by_growing_pauses() {
     let mut fixture = Fixture::new();
     fixture.store.write(1);
     fixture.run_until_caught_up();
@@ -279,7 +284,7 @@
 }
 
 #[test]
-fn a_stale_list_of_a_bucket_is_read_again() {
+fn a_bucket_is_listed_again_after_a_stale_list() {
     let mut fixture = Fixture::new();
     fixture.store.write(1);
     fixture.run_until_caught_up();
@@ -291,8 +296,10 @@
     fixture.assert_latest();
 }
 
+/// After several stale lists of an outdated bucket the feed watches the markers
+/// again and lists the bucket only when that watch ends.
 #[test]
-fn many_stale_lists_of_a_bucket_hide_nothing() {
+fn a_change_is_read_after_many_stale_lists_of_its_bucket() {
     let mut fixture = Fixture::new();
     fixture.store.write(1);
     fixture.run_until_caught_up();
@@ -309,7 +316,7 @@
 }
 
 #[test]
-fn a_bucket_that_cannot_be_read_does_not_hide_another() {
+fn a_bucket_with_a_missing_service_does_not_block_other_buckets() {
     let mut fixture = Fixture::new();
     fixture.store.write(1);
     let state = fixture.store.0.last_mut().expect("a state");
@@ -327,7 +334,7 @@
 }
 
 #[test]
-fn a_mark_without_its_service_does_not_keep_the_feed_from_watching() {
+fn a_marker_without_its_service_does_not_keep_the_feed_from_watching() {
     let mut fixture = Fixture::new();
     fixture.store.write(1);
     let state = fixture.store.0.last_mut().expect("a state");
@@ -336,8 +343,10 @@
     assert!(fixture.feed.counts().lists <= 5);
 }
 
+/// Without a newer marker no watch reports the write, so the next full list has
+/// to find it.
 #[test]
-fn a_service_written_without_its_mark_is_read_in_the_end() {
+fn a_service_written_without_its_marker_is_read_by_the_next_full_list() {
     let mut fixture = Fixture::new();
     fixture.run_until_caught_up();
     fixture.store.write(1);
@@ -351,13 +360,15 @@
     fixture.assert_latest();
 }
 
-fn is_skipped(spoil: fn(&mut Item)) {
+/// A record that cannot be used must not replace the one in force, and the next
+/// valid record must be read.
+fn is_skipped(corrupt: fn(&mut Item)) {
     let mut fixture = Fixture::new();
     fixture.store.write(1);
     fixture.run_until_caught_up();
     fixture.store.write(1);
     let state = fixture.store.0.last_mut().expect("a state");
-    spoil(state.get_mut(&key::service(address(1))).expect("an item"));
+    corrupt(state.get_mut(&key::service(address(1))).expect("an item"));
     fixture.run_until_caught_up();
     assert_eq!(fixture.in_force[&address(1)], 2);
     assert_eq!(fixture.feed.counts().malformed, 1);
@@ -373,15 +384,15 @@
 }
 
 cases::cases! { is_skipped;
-    a_record_that_cannot_be_read_is_left_out: |item| item.value.truncate(9),
-    a_record_with_a_problem_is_left_out:
+    a_record_that_cannot_be_decoded_is_skipped: |item| item.value.truncate(9),
+    a_record_that_fails_validation_is_skipped:
         |item| replace(item, "\"hunt\":3", "\"hunt\":200"),
-    a_record_under_the_key_of_another_service_is_left_out:
+    a_record_under_the_key_of_another_service_is_skipped:
         |item| replace(item, "192.0.2.1:5001", "192.0.2.1:5002"),
 }
 
 #[test]
-fn an_outage_is_met_with_growing_pauses() {
+fn calls_back_off_during_an_outage() {
     let mut fixture = Fixture::new();
     fixture.store.write(1);
     fixture.run_until_caught_up();
@@ -445,8 +456,10 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(2000))]
 
+    /// Writes, stale answers, faults, restarts and waiting times come in random
+    /// order. `Fixture::publish` asserts that no older revision is published.
     #[test]
-    fn nothing_reverts_and_the_latest_comes_into_force(
+    fn no_service_reverts_and_the_latest_revisions_come_into_force(
         steps in prop::collection::vec(step(), 0..80),
     ) {
         let mut fixture = Fixture::new();
@@ -463,7 +476,7 @@
             }
         }
         fixture.run_until_caught_up();
-        // After many stale lists, the next is made when the wait ends.
+        // After several stale lists, the next follows only when the watch ends.
         fixture.now += Settings::default().wait;
         fixture.reply(Reply::Latest);
         fixture.run_until_caught_up();
--- a/coordination/config/tests/follow.rs
+++ b/coordination/config/tests/follow.rs
@@ -1,4 +1,4 @@
-//! Following one key of the store, through its faults.
+//! Tests of following one key of a store that fails.
 use std::time::Duration;
 
 use config::Fault;
@@ -42,7 +42,7 @@
     }))
 }
 
-/// A follower that has read revision 5.
+/// Returns a follower that has read revision 5.
 fn follow_at_5() -> Follow {
     let mut follow = follow();
     assert_eq!(follow.next(), Action::Read);
@@ -51,6 +51,7 @@
     follow
 }
 
+/// Returns the index after which the follower watches, or `None` if it reads.
 fn watched_since(follow: &Follow) -> Option<u64> {
     match follow.next() {
         Action::Watch { since, .. } => Some(since),
@@ -59,7 +60,7 @@
 }
 
 #[test]
-fn a_change_is_published_once() {
+fn a_change_is_returned_once() {
     let mut follow = follow_at_5();
     assert_eq!(watched_since(&follow), Some(5));
     assert_eq!(follow.handle(ms(1), changed(8)).value, Some(item(8)));
@@ -68,14 +69,14 @@
 }
 
 #[test]
-fn a_quiet_watch_moves_on() {
+fn a_watch_without_a_change_advances_the_index() {
     let mut follow = follow_at_5();
     assert_eq!(follow.handle(ms(1), unchanged(40)).value, None);
     assert_eq!(watched_since(&follow), Some(40));
 }
 
 #[test]
-fn an_older_value_never_comes_back() {
+fn an_older_value_is_never_returned() {
     let mut follow = follow_at_5();
     follow.handle(ms(1), changed(9));
     assert_eq!(follow.handle(ms(2), changed(7)).value, None);
@@ -86,7 +87,8 @@
     );
 }
 
-/// What a cut watch may have hidden is read.
+/// A change during an interrupted watch is not reported, so the key must be read
+/// again.
 #[test]
 fn a_failed_watch_is_followed_by_a_read() {
     let mut follow = follow_at_5();
@@ -97,7 +99,7 @@
 }
 
 #[test]
-fn pauses_grow_to_their_limit_and_the_return_is_told_once() {
+fn pauses_grow_to_their_maximum_and_recovery_is_reported_once() {
     let mut follow = follow_at_5();
     let mut longest = Duration::ZERO;
     for _ in 0..20 {
@@ -115,7 +117,7 @@
 }
 
 #[test]
-fn a_value_is_confirmed_only_for_a_while() {
+fn a_value_is_confirmed_only_for_the_confirmation_ttl() {
     let mut follow = follow_at_5();
     assert!(follow.is_confirmed(ms(100)));
     assert!(!follow.is_confirmed(Settings::default().confirmation_ttl));
--- a/coordination/config/tests/lease.rs
+++ b/coordination/config/tests/lease.rs
@@ -1,4 +1,4 @@
-//! Leases whose holders are paused, and stores that fail.
+//! Tests of leases whose holders are paused and whose calls fail.
 use std::time::Duration;
 
 use config::Fault;
@@ -20,17 +20,19 @@
     lease
 }
 
-/// Time after a renewal for which a holder may act.
+/// Returns the time after a renewal for which the holder may use the lease.
 fn usable_time() -> Duration {
     let settings = Settings::default();
     settings.ttl.saturating_sub(settings.margin)
 }
 
+/// Returns the only action of `actions`.
 fn single(actions: Vec<Action>) -> Action {
     assert_eq!(actions.len(), 1, "{actions:?}");
     actions.into_iter().next().expect("one action")
 }
 
+/// Returns a listing of the given keys, which are held by others.
 fn listing_of(keys: &[&str]) -> Listing {
     let item = |key: &&str| Item {
         key: (*key).to_owned(),
@@ -43,15 +45,16 @@
     }
 }
 
-/// A lease that acquired `seat/1` at `now`.
+/// Returns a lease that acquired the key `seat/1` at `now`.
 fn held_lease(now: Duration) -> Lease {
     acquire(lease(), now)
 }
 
+/// Acquires `seat/1` at `now`; `seat/0` is held by another.
 fn acquire(mut lease: Lease, now: Duration) -> Lease {
-    let look = single(lease.tick(now));
+    let list = single(lease.tick(now));
     let listing = Answer::Listed(Ok(listing_of(&["seat/0"])));
-    let grant = single(lease.on_answer(now, look.id, listing));
+    let grant = single(lease.on_answer(now, list.id, listing));
     let granted = Answer::Granted(Ok("id".to_owned()));
     let acquire = single(lease.on_answer(now, grant.id, granted));
     let call = Call::Acquire {
@@ -78,8 +81,10 @@
     assert_eq!(lease.fence(1000 * SECOND), None);
 }
 
+/// The holder is paused while a renewal is in flight. Its lease may have expired
+/// meanwhile, so the late answer must not count as a renewal.
 #[test]
-fn a_renewal_that_was_answered_after_a_pause_does_not_revive_the_lease() {
+fn a_renewal_answered_after_expiry_does_not_revive_the_lease() {
     let mut lease = held_lease(SECOND);
     let renew = single(lease.tick(5 * SECOND));
     assert!(matches!(renew.call, Call::Renew { .. }));
@@ -90,7 +95,7 @@
 }
 
 #[test]
-fn a_renewal_counts_from_when_it_was_sent() {
+fn a_renewal_extends_the_lease_from_when_it_was_sent() {
     let mut lease = held_lease(SECOND);
     let renew = single(lease.tick(5 * SECOND));
     assert_eq!(
@@ -103,17 +108,17 @@
 }
 
 #[test]
-fn a_grant_that_was_answered_after_a_pause_is_ended() {
+fn a_lease_granted_after_its_usable_time_is_revoked() {
     let mut lease = lease();
-    let look = single(lease.tick(SECOND));
-    let grant = single(lease.on_answer(SECOND, look.id, Answer::Listed(Ok(listing_of(&[])))));
+    let list = single(lease.tick(SECOND));
+    let grant = single(lease.on_answer(SECOND, list.id, Answer::Listed(Ok(listing_of(&[])))));
     let granted = Answer::Granted(Ok("id".to_owned()));
     let revoke = single(lease.on_answer(60 * SECOND, grant.id, granted));
     assert!(matches!(revoke.call, Call::Revoke { .. }));
 }
 
 #[test]
-fn a_lapsed_lease_is_not_held() {
+fn a_lease_that_the_store_reports_expired_is_not_held() {
     let mut lease = held_lease(SECOND);
     let renew = single(lease.tick(5 * SECOND));
     lease.on_answer(5 * SECOND, renew.id, Answer::Renewed(Err(Fault::Lapsed)));
@@ -121,7 +126,7 @@
 }
 
 #[test]
-fn an_answer_about_an_earlier_lease_does_not_end_the_present_one() {
+fn an_answer_about_an_earlier_lease_does_not_end_the_current_one() {
     let mut lease = held_lease(SECOND);
     let renew = single(lease.tick(5 * SECOND));
     lease.tick(60 * SECOND);
@@ -147,11 +152,11 @@
 }
 
 #[test]
-fn a_full_zone_is_looked_at_again_later() {
+fn a_search_that_finds_no_free_key_is_repeated_later() {
     let mut lease = lease();
-    let look = single(lease.tick(SECOND));
+    let list = single(lease.tick(SECOND));
     let listing = Answer::Listed(Ok(listing_of(&["seat/0", "seat/1"])));
-    assert_eq!(lease.on_answer(SECOND, look.id, listing), []);
+    assert_eq!(lease.on_answer(SECOND, list.id, listing), []);
     let due = lease.next_deadline().expect("a deadline");
     assert!(due >= SECOND + Settings::default().search_interval / 2);
     assert_eq!(lease.tick(due.saturating_sub(NANO)), []);
@@ -168,8 +173,8 @@
 
 fn acquisition_fails(answer: Answer) {
     let mut lease = lease();
-    let look = single(lease.tick(SECOND));
-    let grant = single(lease.on_answer(SECOND, look.id, Answer::Listed(Ok(listing_of(&[])))));
+    let list = single(lease.tick(SECOND));
+    let grant = single(lease.on_answer(SECOND, list.id, Answer::Listed(Ok(listing_of(&[])))));
     let granted = Answer::Granted(Ok("id".to_owned()));
     let acquire = single(lease.on_answer(SECOND, grant.id, granted));
     let revoke = single(lease.on_answer(SECOND, acquire.id, answer));
@@ -179,13 +184,13 @@
 }
 
 cases::cases! { acquisition_fails;
-    a_key_that_another_holds_is_left_to_it: Answer::Acquired(Ok(false)),
-    a_key_is_not_held_where_the_answer_was_lost:
+    a_key_held_by_another_lease_is_not_acquired: Answer::Acquired(Ok(false)),
+    a_key_is_not_held_if_the_answer_was_lost:
         Answer::Acquired(Err(Fault::Lost { maybe_applied: true })),
 }
 
 #[test]
-fn a_released_key_is_given_back() {
+fn a_released_key_has_its_lease_revoked() {
     let mut lease = held_lease(SECOND);
     let revoke = single(lease.release(2 * SECOND));
     assert!(matches!(revoke.call, Call::Revoke { .. }));
--- a/coordination/config/tests/presence.rs
+++ b/coordination/config/tests/presence.rs
@@ -1,4 +1,4 @@
-//! Staying listed in the store, through its faults.
+//! Tests of keeping a process registered in a store that fails.
 use std::time::Duration;
 
 use config::Fault;
@@ -27,11 +27,12 @@
     }
 }
 
+/// Returns the answer to a list that contains `keys`.
 fn listed(keys: &[&str]) -> Event {
     Event::Listed(Ok(listing(keys)))
 }
 
-/// A process that is listed since the start.
+/// Returns the state of a process that registered at the start.
 fn listed_presence() -> Presence {
     let mut presence = Presence::new(Settings::default(), OWN, 1, ms(0));
     assert_eq!(presence.next(ms(0)), Action::List);
@@ -45,7 +46,7 @@
 }
 
 #[test]
-fn the_list_tells_of_the_others() {
+fn a_list_returns_the_registered_keys() {
     let mut presence = Presence::new(Settings::default(), OWN, 1, ms(0));
     let keys = presence.handle(ms(0), listed(&["entries/a", "entries/b"]));
     assert_eq!(keys, ["entries/a", "entries/b"]);
@@ -61,9 +62,9 @@
     assert!(matches!(presence.next(due), Action::Sleep(_)));
 }
 
-/// The key may vanish while its lease looks intact.
+/// The store may lose the key although the lease can still be renewed.
 #[test]
-fn a_key_that_vanished_is_written_again() {
+fn a_key_that_vanished_is_acquired_again() {
     let mut presence = listed_presence();
     let check = Settings::default().list_interval + ms(10);
     assert_eq!(presence.next(check), Action::List);
@@ -72,15 +73,16 @@
 }
 
 #[test]
-fn a_lease_that_lapsed_is_replaced() {
+fn an_expired_lease_is_replaced() {
     let mut presence = listed_presence();
     presence.handle(ms(5), Event::Renewed(Err(Fault::Lapsed)));
     assert_eq!(presence.next(ms(5)), Action::Grant(Settings::default().ttl));
 }
 
-/// Entries that lapsed during an outage are back soon after it.
+/// During a long outage the lease expires and the backoff grows to its maximum.
+/// The process must nevertheless register again within two seconds of the end.
 #[test]
-fn an_outage_is_over_within_two_seconds_of_its_end() {
+fn a_process_registers_again_within_two_seconds_of_an_outage() {
     let mut presence = listed_presence();
     let mut now = ms(0);
     let end = ms(60_000);
@@ -117,13 +119,17 @@
                 ms(4)
             }
         };
-        assert!(now < end + ms(2_000), "still not listed");
+        assert!(
+            now < end + ms(2_000),
+            "not registered again within 2 s of the end of the outage"
+        );
     }
 }
 
-/// A lost answer of a write is no reason to give the lease up.
+/// The write may have been applied although its answer was lost, so the lease is
+/// kept and the key acquired again under it.
 #[test]
-fn a_lost_answer_is_tried_again_after_a_pause() {
+fn an_acquisition_is_repeated_after_a_lost_answer() {
     let mut presence = Presence::new(Settings::default(), OWN, 1, ms(0));
     presence.handle(ms(0), listed(&[]));
     presence.handle(ms(1), Event::Granted(Ok("lease".to_owned())));
--- a/coordination/config/tests/reader.rs
+++ b/coordination/config/tests/reader.rs
@@ -1,4 +1,4 @@
-//! Several readers of one zone before one store, in simulated time.
+//! Tests of several readers of one zone and one store, in simulated time.
 use std::collections::BTreeMap;
 use std::collections::HashMap;
 use std::time::Duration;
@@ -25,18 +25,18 @@
 const SECOND: Duration = Duration::from_secs(1);
 const ZONE: u16 = 1;
 
-/// A store with leases.
+/// A store that grants leases.
 #[derive(Default)]
 struct Store {
     items: BTreeMap<String, Item>,
-    /// End of each lease.
+    /// Expiry of each lease.
     leases: HashMap<LeaseId, Duration>,
-    /// The lease that holds a key.
+    /// Lease that holds each acquired key.
     holders: HashMap<String, LeaseId>,
     granted: u64,
     revision: Revision,
     down: bool,
-    /// Time until an answer arrives.
+    /// Time until an answer arrives; a call takes effect at once.
     latency: Duration,
     calls: u64,
 }
@@ -69,9 +69,9 @@
         self.holders
             .retain(|_, lease| self.leases.contains_key(lease));
         let held = |key: &String| self.holders.contains_key(key);
-        let seats = key::reader_lock_prefix(ZONE);
+        let prefix = key::reader_lock_prefix(ZONE);
         self.items
-            .retain(|key, _| !key.starts_with(&seats) || held(key));
+            .retain(|key, _| !key.starts_with(&prefix) || held(key));
     }
 
     fn list(&self, prefix: &str) -> Result<Listing, Fault> {
@@ -136,16 +136,16 @@
 /// An entry with its reader.
 struct Entry {
     reader: Reader,
-    /// Events that the reader has not seen, and when they arrive.
+    /// Events for the reader, with their times of arrival.
     events: Vec<(Duration, Event)>,
     paused: bool,
-    /// A long poll that waits: its number, its index and its end.
+    /// Long poll in flight: its call id, index and end.
     watch: Option<(u64, Revision, Duration)>,
-    /// The name and revision in force.
+    /// Service name and revision in force.
     in_force: Option<(String, Revision)>,
 }
 
-/// A zone of entries before a store, in steps of one millisecond.
+/// A zone's entries and the store, simulated in steps of one millisecond.
 struct Zone {
     store: Store,
     entries: Vec<Entry>,
@@ -191,13 +191,16 @@
         {
             entry.events.push((self.now, Event::Tick));
         }
-        let changed = self.store.list(key::MARKER_PREFIX);
+        let markers = self.store.list(key::MARKER_PREFIX);
         if let Some((id, since, end)) = entry.watch
-            && (end <= self.now || changed.as_ref().map_or(true, |marks| marks.index > since))
+            && (end <= self.now
+                || markers
+                    .as_ref()
+                    .map_or(true, |markers| markers.index > since))
         {
             entry.watch = None;
             let arrival = self.now + self.store.latency;
-            entry.events.push((arrival, Event::Feed(id, changed)));
+            entry.events.push((arrival, Event::Feed(id, markers)));
         }
         let arrived = |(arrival, _): &(Duration, Event)| *arrival <= self.now;
         while let Some(position) = entry.events.iter().position(arrived) {
@@ -220,13 +223,14 @@
         in_force.map(|(name, _)| name.as_str())
     }
 
-    /// The entries that read, by number.
+    /// Returns the numbers of the entries that read.
     fn reader_numbers(&self) -> Vec<usize> {
         let reads = |number: &usize| self.entries[*number].reader.is_reading(self.now);
         (0..self.entries.len()).filter(reads).collect()
     }
 }
 
+/// Carries out an action; returns the event with its answer, if that comes now.
 fn carry_out(store: &mut Store, entry: &mut Entry, now: Duration, action: Action) -> Option<Event> {
     match action {
         Action::Lease(action) => {
@@ -254,7 +258,7 @@
 }
 
 #[test]
-fn two_entries_of_a_zone_read_and_learn_of_a_change() {
+fn two_entries_of_a_zone_read_the_store_and_its_changes() {
     let mut zone = Zone::new(6);
     zone.store.write("one");
     zone.advance(10 * SECOND);
@@ -264,12 +268,12 @@
     for number in zone.reader_numbers() {
         assert_eq!(zone.in_force(number), Some("two"));
     }
-    let silent = (0..6).filter(|number| zone.in_force(*number).is_none());
-    assert_eq!(silent.count(), 4);
+    let not_updated = (0..6).filter(|number| zone.in_force(*number).is_none());
+    assert_eq!(not_updated.count(), 4);
 }
 
 #[test]
-fn the_calls_do_not_grow_with_the_fleet() {
+fn the_number_of_calls_does_not_grow_with_the_number_of_entries() {
     let calls = [6, 60].map(|entries| {
         let mut zone = Zone::new(entries);
         zone.advance(60 * SECOND);
@@ -279,7 +283,7 @@
 }
 
 #[test]
-fn a_paused_reader_is_replaced_and_does_not_go_on_reading() {
+fn a_paused_reader_is_replaced_and_does_not_read_on() {
     let mut zone = Zone::new(4);
     zone.store.write("one");
     zone.advance(10 * SECOND);
@@ -299,7 +303,7 @@
 }
 
 #[test]
-fn reading_goes_on_after_an_outage() {
+fn reading_resumes_after_an_outage() {
     let mut zone = Zone::new(4);
     zone.store.write("one");
     zone.advance(10 * SECOND);
@@ -312,12 +316,14 @@
     zone.store.down = false;
     zone.store.write("two");
     zone.advance(5 * SECOND);
-    let told = (0..4).filter(|number| zone.in_force(*number) == Some("two"));
-    assert_eq!(told.count(), 2);
+    let updated = (0..4).filter(|number| zone.in_force(*number) == Some("two"));
+    assert_eq!(updated.count(), 2);
 }
 
+/// Each answer takes 2 s. A lease counts from when a call was sent, but must still
+/// be acquired and renewed in time.
 #[test]
-fn a_slow_store_is_read() {
+fn a_store_with_slow_answers_is_read() {
     let mut zone = Zone::new(4);
     zone.store.latency = 2 * SECOND;
     zone.store.write("one");
@@ -332,7 +338,7 @@
 }
 
 #[test]
-fn a_reader_that_stops_gives_its_seat_back() {
+fn a_reader_that_stops_releases_its_lock() {
     let mut zone = Zone::new(4);
     zone.advance(10 * SECOND);
     let stopping = zone.reader_numbers()[0];
@@ -352,7 +358,7 @@
 }
 
 #[test]
-fn a_lease_that_the_store_ended_early_is_given_up() {
+fn a_lease_that_the_store_ended_early_is_replaced() {
     let mut zone = Zone::new(2);
     zone.advance(10 * SECOND);
     zone.store.leases.clear();
@@ -362,7 +368,7 @@
 }
 
 #[test]
-fn an_entry_that_moves_up_takes_a_free_seat() {
+fn an_entry_that_becomes_a_candidate_acquires_a_free_lock() {
     let mut zone = Zone::new(6);
     zone.advance(10 * SECOND);
     for entry in &mut zone.entries[..4] {
--- a/coordination/config/tests/service.rs
+++ b/coordination/config/tests/service.rs
@@ -1,4 +1,4 @@
-//! Checks and codecs of a service's configuration.
+//! Tests of the validation and the codecs of a service's configuration.
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -20,14 +20,14 @@
 }
 
 #[test]
-fn the_defaults_have_no_problem_but_those_that_only_an_operator_can_mend() {
+fn the_defaults_lack_only_a_name_and_an_operation_id() {
     assert_eq!(service().check(), Ok(()));
     let bare = Service::new(service().address);
     assert_eq!(bare.check(), Err(vec![Problem::Name, Problem::Operation]));
 }
 
 #[test]
-fn every_problem_is_reported_at_once_with_its_remedy() {
+fn all_problems_are_reported_together_with_their_remedies() {
     let wrong = Service {
         address: "0.0.0.0:0".parse().expect("an address"),
         name: "two words".to_owned(),
@@ -62,14 +62,14 @@
 }
 
 #[test]
-fn a_record_of_few_fields_takes_the_defaults() {
+fn fields_missing_from_a_record_get_the_defaults() {
     let json = br#"{"address":"192.0.2.1:5000","name":"roster","operation":"op-1"}"#;
     let record = Record::from_json(json).expect("a record");
     assert_eq!(record, Record::create(service()));
 }
 
 #[test]
-fn a_record_shows_units_and_whole_ids() {
+fn a_record_has_units_in_field_names_and_target_ids_as_strings() {
     let drained = [Drained::Target(u64::MAX), Drained::Zone(2)];
     let record = Record::create(Service {
         drained: drained.into_iter().collect(),
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_difference_names_each_field_but_not_the_operation() {
+fn differences_name_each_changed_field_except_the_operation() {
     let after = Service {
         hunt: 1,
         operation: "op-2".to_owned(),
@@ -134,7 +134,7 @@
 
 proptest! {
     #[test]
-    fn arbitrary_bytes_are_read_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_do_not_panic_the_decoders(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let _ = Service::from_bytes(&bytes);
         let _ = Record::from_json(&bytes);
         let mut framed = vec![1];
@@ -165,7 +165,7 @@
     }
 
     #[test]
-    fn a_key_leads_back_to_its_bucket(ip: [u8; 4], port: u16) {
+    fn a_key_is_parsed_to_its_bucket(ip: [u8; 4], port: u16) {
         let address = SocketAddr::from((ip, port));
         let bucket = key::bucket(address);
         prop_assert_eq!(key::marker_bucket(&key::change_marker(bucket)), Some(bucket));
--- a/transport/store/examples/reading.rs
+++ b/transport/store/examples/reading.rs
@@ -1,7 +1,7 @@
 //! Measures what it costs to read the configuration from the store.
 //!
-//! Serves the stand-in of the store on 127.0.0.1, lets readers of several zones
-//! follow it with their default settings, and prints a table.
+//! Serves the stand-in of the store on 127.0.0.1, runs the readers of several
+//! zones with default settings against it, and prints a table.
 //!
 //! ```text
 //! cargo run --release -p store --example reading -- [SERVICES] [ZONES] [CHANGES]
@@ -34,24 +34,25 @@
 use wire::Revision;
 use wire::ZoneId;
 
-/// Entries of each zone.
+/// Number of entries in each zone.
 const ENTRIES_PER_ZONE: usize = 6;
 
-/// Time over which idle calls are counted.
+/// Time over which calls are counted without changes.
 const IDLE_TIME: Duration = Duration::from_secs(20);
 
-/// Time between looks at whether everything was read.
+/// Time between checks whether all services have been read.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Time of the outage.
+/// Duration of the outage.
 const OUTAGE_TIME: Duration = Duration::from_secs(20);
 
-/// A reader and what it publishes.
+/// An entry's store client and the updates that its reader publishes.
 struct Entry {
     http: Http,
     updates: Receiver<Update>,
 }
 
+/// Numbers of services, zones and changes, from the command line.
 struct Plan {
     services: u16,
     zones: ZoneId,
@@ -81,21 +82,21 @@
         write_service(&operator, number, 0).await?;
     }
     let start = Instant::now();
-    let followers = start_readers(&plan, address, &executor);
-    let readers = wait_for_readers(&followers, &plan).await;
+    let entries = start_readers(&plan, address, &executor);
+    let readers = wait_for_readers(&entries, &plan).await;
     println!("services                       {}", plan.services);
     println!("zones                          {}", plan.zones);
-    println!("entries                        {}", followers.len());
+    println!("entries                        {}", entries.len());
     println!("readers                        {}", readers.len());
     println!(
         "first read of everything, ms   {}",
         start.elapsed().as_millis()
     );
-    let bytes = received_bytes(&followers) / readers.len() as u64;
+    let bytes = received_bytes(&entries) / readers.len() as u64;
     println!("  bytes a reader               {bytes}");
-    measure_idle(&platform, &followers, readers.len()).await;
-    measure_changes(&plan, &operator, &followers, &readers).await?;
-    measure_outage(&platform, &operator, &followers).await
+    measure_idle(&platform, &entries, readers.len()).await;
+    measure_changes(&plan, &operator, &entries, &readers).await?;
+    measure_outage(&platform, &operator, &entries).await
 }
 
 fn start_readers(
@@ -103,7 +104,7 @@
     address: SocketAddr,
     executor: &Arc<Executor<'static>>,
 ) -> Vec<Entry> {
-    let mut followers = Vec::new();
+    let mut entries = Vec::new();
     for zone in 0..plan.zones {
         for rank in 0..ENTRIES_PER_ZONE {
             let http = Http::new(store::http::Settings::new(address));
@@ -117,25 +118,25 @@
                     drop(inputs);
                 })
                 .detach();
-            followers.push(Entry { http, updates });
+            entries.push(Entry { http, updates });
         }
     }
-    followers
+    entries
 }
 
-/// Waits until every seat is taken and its follower has everything, and
-/// returns those followers.
-async fn wait_for_readers<'a>(followers: &'a [Entry], plan: &Plan) -> Vec<&'a Entry> {
-    let seats = usize::from(plan.zones) * usize::from(Settings::new(0).readers);
+/// Waits until as many entries as there are reader locks have received all
+/// services, and returns those entries.
+async fn wait_for_readers<'a>(entries: &'a [Entry], plan: &Plan) -> Vec<&'a Entry> {
+    let reader_locks = usize::from(plan.zones) * usize::from(Settings::new(0).readers);
     let services = usize::from(plan.services);
     loop {
-        let ready = followers
+        let ready = entries
             .iter()
-            .filter(|follower| follower.updates.len() >= services);
+            .filter(|entry| entry.updates.len() >= services);
         let ready: Vec<_> = ready.collect();
-        if ready.len() >= seats {
-            for follower in &ready {
-                while follower.updates.try_recv().is_ok() {}
+        if ready.len() >= reader_locks {
+            for entry in &ready {
+                while entry.updates.try_recv().is_ok() {}
             }
             return ready;
         }
@@ -143,8 +144,8 @@
     }
 }
 
-async fn measure_idle(platform: &Platform, followers: &[Entry], readers: usize) {
-    let (calls, bytes) = (platform.calls(), received_bytes(followers));
+async fn measure_idle(platform: &Platform, entries: &[Entry], readers: usize) {
+    let (calls, bytes) = (platform.calls(), received_bytes(entries));
     Timer::after(IDLE_TIME).await;
     let seconds = IDLE_TIME.as_secs_f64();
     let after = platform.calls();
@@ -162,17 +163,17 @@
         rate(calls.leases, after.leases)
     );
     println!("idle: watches that wait        {}", after.waiting);
-    let bytes = rate(bytes, received_bytes(followers)) / readers as f64;
+    let bytes = rate(bytes, received_bytes(entries)) / readers as f64;
     println!("idle: bytes a second a reader  {bytes:.0}");
 }
 
 async fn measure_changes(
     plan: &Plan,
     operator: &Http,
-    followers: &[Entry],
+    entries: &[Entry],
     readers: &[&Entry],
 ) -> Result<(), Box<dyn Error>> {
-    let before = received_bytes(followers);
+    let before = received_bytes(entries);
     let mut delays = Vec::new();
     for number in 0..plan.changes {
         let number = number % plan.services;
@@ -190,8 +191,7 @@
     println!("change: p50 ms to all readers  {:.1}", at(50));
     println!("change: p99 ms to all readers  {:.1}", at(99));
     println!("change: max ms to all readers  {:.1}", at(100));
-    let bytes =
-        (received_bytes(followers) - before) / u64::from(plan.changes) / readers.len() as u64;
+    let bytes = (received_bytes(entries) - before) / u64::from(plan.changes) / readers.len() as u64;
     println!("change: bytes a reader         {bytes}");
     Ok(())
 }
@@ -199,7 +199,7 @@
 async fn measure_outage(
     platform: &Platform,
     operator: &Http,
-    followers: &[Entry],
+    entries: &[Entry],
 ) -> Result<(), Box<dyn Error>> {
     let before = platform.calls().refused;
     platform.set_faults(|faults| faults.mode = Mode::Down);
@@ -213,17 +213,17 @@
     let item = operator.get(&key::service(address_of(0))).await?;
     let revision = write_service(operator, 0, item.map_or(0, |item| item.revision)).await?;
     let start = Instant::now();
-    // Whoever reads first spreads the change.
+    // The first entry that reads the change would gossip it to the others.
     let mut first = async { futures_lite::future::pending().await }.boxed();
-    for follower in followers {
-        let told = async {
-            while let Ok(update) = follower.updates.recv().await {
+    for entry in entries {
+        let updated = async {
+            while let Ok(update) = entry.updates.recv().await {
                 if update.revision >= revision {
                     break;
                 }
             }
         };
-        first = first.or(told).boxed();
+        first = first.or(updated).boxed();
     }
     first.await;
     println!(
@@ -233,10 +233,10 @@
     Ok(())
 }
 
-fn received_bytes(followers: &[Entry]) -> u64 {
-    followers
+fn received_bytes(entries: &[Entry]) -> u64 {
+    entries
         .iter()
-        .map(|follower| follower.http.counts().received_bytes)
+        .map(|entry| entry.http.counts().received_bytes)
         .sum()
 }
 
--- a/transport/store/tests/http.rs
+++ b/transport/store/tests/http.rs
@@ -1,5 +1,5 @@
-//! The HTTP client against the stand-in of the store.
-mod common;
+//! Tests of the HTTP client against the stand-in of the store.
+mod standin_store;
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use store::Swap;
 use store::http::Settings;
 
-use common::with_store;
+use standin_store::with_store;
 
 const WAIT: Duration = Duration::from_mins(1);
 const TTL: Duration = Duration::from_mins(10);
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_swap_holds_only_on_the_revision_it_expects() {
+fn a_swap_succeeds_only_on_the_revision_it_expects() {
     with_store(|http, _| async move {
         let first = http.swap(swap("a/1", "one", 0)).await.expect("a new key");
         assert_eq!(http.swap(swap("a/1", "two", 0)).await, Err(Fault::Conflict));
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_list_has_the_keys_under_its_prefix_only() {
+fn a_list_contains_only_the_keys_under_its_prefix() {
     with_store(|http, _| async move {
         for key in ["a/1", "a/::1/2", "b/1"] {
             http.swap(swap(key, key, 0)).await.expect("a new key");
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_watch_answers_at_the_next_write_under_its_prefix() {
+fn a_watch_ends_at_the_next_write_under_its_prefix() {
     with_store(|http, platform| async move {
         let first = http.swap(swap("a/1", "one", 0)).await.expect("a new key");
         let watch = http.watch("a/", first, WAIT);
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_watch_of_an_empty_prefix_answers_at_the_first_write() {
+fn a_watch_of_an_empty_prefix_ends_at_the_first_write() {
     with_store(|http, platform| async move {
         let index = http.list("a/").await.expect("an answer").index;
         let watch = http.watch("a/", index, WAIT);
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_lost_answer_says_that_the_write_may_have_been_applied() {
+fn a_write_whose_answer_is_lost_may_have_been_applied() {
     with_store(|http, platform| async move {
         platform.set_faults(|faults| faults.lose_answers = 1);
         let fault = http.swap(swap("a/1", "one", 0)).await.expect_err("lost");
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_store_that_is_not_there_is_unreachable() {
+fn a_refused_connection_is_reported_as_unreachable() {
     smol::block_on(async {
         let listener = smol::net::TcpListener::bind("127.0.0.1:0").await;
         let address = listener.and_then(|listener| listener.local_addr());
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn a_fenced_write_fails_once_the_lease_has_lapsed() {
+fn a_fenced_write_fails_after_its_lease_has_expired() {
     with_store(|http, platform| async move {
         let lease = http.grant(TTL).await.expect("a lease");
         assert_eq!(http.acquire("lock", &lease).await, Ok(true));
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn a_held_key_is_not_given_to_another_lease() {
+fn a_held_key_cannot_be_acquired_under_another_lease() {
     with_store(|http, _| async move {
         let one = http.grant(TTL).await.expect("a lease");
         let two = http.grant(TTL).await.expect("a lease");
--- a/transport/store/tests/reader.rs
+++ b/transport/store/tests/reader.rs
@@ -1,5 +1,5 @@
-//! The reader against the stand-in of the store.
-mod common;
+//! Tests of the reader against the stand-in of the store.
+mod standin_store;
 
 use std::time::Duration;
 
@@ -19,9 +19,9 @@
 use store::Swap;
 use store::reader;
 
-use common::with_store;
+use standin_store::with_store;
 
-/// A reader at work.
+/// A running reader: its store client, updates and inputs.
 struct Fixture {
     http: Http,
     updates: Receiver<Update>,
@@ -48,6 +48,7 @@
         self.http.swap(swap).await.expect("a match")
     }
 
+    /// Waits for the next update and checks its service name and revision.
     async fn expect_update(&self, name: &str, revision: u64) {
         let update = self.updates.recv().await.expect("an update");
         assert_eq!(
@@ -71,7 +72,7 @@
         settings.lease.backoff.base = Duration::from_millis(1);
         let reader = Reader::new(settings, 0, 1);
         let run = reader::run(http.clone(), reader, events, sender);
-        let reading = Fixture {
+        let fixture = Fixture {
             http,
             updates,
             inputs,
@@ -80,53 +81,53 @@
             run.await;
             futures_lite::future::pending::<()>().await;
         };
-        test(reading, platform).or(run).await;
+        test(fixture, platform).or(run).await;
     });
 }
 
 #[test]
-fn a_change_is_read_as_it_is_made() {
-    with_reader(|reading, platform| async move {
-        let first = reading.write("one", 0).await;
-        reading.expect_update("one", first).await;
-        let second = reading.write("two", first).await;
-        reading.expect_update("two", second).await;
+fn a_change_ends_the_watch_and_is_read() {
+    with_reader(|fixture, platform| async move {
+        let first = fixture.write("one", 0).await;
+        fixture.expect_update("one", first).await;
+        let second = fixture.write("two", first).await;
+        fixture.expect_update("two", second).await;
         assert!(platform.calls().watches >= 1);
     });
 }
 
 #[test]
-fn a_change_that_woke_no_watch_is_read_later() {
-    with_reader(|reading, platform| async move {
-        let first = reading.write("one", 0).await;
-        reading.expect_update("one", first).await;
+fn a_change_that_ended_no_watch_is_read_later() {
+    with_reader(|fixture, platform| async move {
+        let first = fixture.write("one", 0).await;
+        fixture.expect_update("one", first).await;
         platform.set_faults(|faults| faults.drop_events = 1);
-        let second = reading.write("two", first).await;
-        reading.expect_update("two", second).await;
+        let second = fixture.write("two", first).await;
+        fixture.expect_update("two", second).await;
     });
 }
 
 #[test]
 fn stale_and_repeated_answers_revert_nothing() {
-    with_reader(|reading, platform| async move {
-        let first = reading.write("one", 0).await;
-        reading.expect_update("one", first).await;
+    with_reader(|fixture, platform| async move {
+        let first = fixture.write("one", 0).await;
+        fixture.expect_update("one", first).await;
         platform.set_faults(|faults| {
             faults.stale_reads = 5;
             faults.repeat_events = 3;
         });
-        let second = reading.write("two", first).await;
-        reading.expect_update("two", second).await;
-        let third = reading.write("three", second).await;
-        reading.expect_update("three", third).await;
+        let second = fixture.write("two", first).await;
+        fixture.expect_update("two", second).await;
+        let third = fixture.write("three", second).await;
+        fixture.expect_update("three", third).await;
     });
 }
 
 #[test]
-fn reading_goes_on_after_outages_and_lapsed_leases() {
-    with_reader(|reading, platform| async move {
-        let mut revision = reading.write("one", 0).await;
-        reading.expect_update("one", revision).await;
+fn reading_resumes_after_outages_and_expired_leases() {
+    with_reader(|fixture, platform| async move {
+        let mut revision = fixture.write("one", 0).await;
+        fixture.expect_update("one", revision).await;
         for mode in [Mode::Down, Mode::Fail] {
             platform.set_faults(|faults| faults.mode = mode);
             let refused = platform.calls().refused;
@@ -135,24 +136,24 @@
             }
             platform.lapse();
             platform.set_faults(|faults| faults.mode = Mode::Up);
-            revision = reading.write("again", revision).await;
-            reading.expect_update("again", revision).await;
+            revision = fixture.write("again", revision).await;
+            fixture.expect_update("again", revision).await;
         }
     });
 }
 
 #[test]
-fn a_reader_that_stops_gives_its_seat_back() {
-    with_reader(|reading, _| async move {
-        let first = reading.write("one", 0).await;
-        reading.expect_update("one", first).await;
-        let seats = key::reader_lock_prefix(1);
-        let held = reading.http.list(&seats).await.expect("an answer");
+fn a_reader_that_stops_releases_its_lock() {
+    with_reader(|fixture, _| async move {
+        let first = fixture.write("one", 0).await;
+        fixture.expect_update("one", first).await;
+        let prefix = key::reader_lock_prefix(1);
+        let held = fixture.http.list(&prefix).await.expect("an answer");
         assert_eq!(held.items.len(), 1);
-        reading.inputs.send(Event::Stop).await.expect("a reader");
-        // The reader drops its side once it has stopped.
-        assert!(reading.updates.recv().await.is_err());
-        let held = reading.http.list(&seats).await.expect("an answer");
+        fixture.inputs.send(Event::Stop).await.expect("a reader");
+        // The reader drops the sender of updates when it has stopped.
+        assert!(fixture.updates.recv().await.is_err());
+        let held = fixture.http.list(&prefix).await.expect("an answer");
         assert_eq!(held.items, []);
     });
 }
--- a/transport/store/tests/common/mod.rs
+++ b/transport/store/tests/standin_store/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the store, served within the test's process.
+//! Stand-in of the store, served within the test's process.
 use std::future::Future;
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,10 +11,10 @@
 use store::Http;
 use store::http::Settings;
 
-/// Longer than any answer takes.
+/// Timeout of calls; long enough never to expire in a test that passes.
 const TIMEOUT: Duration = Duration::from_mins(1);
 
-/// Runs a test with a client of a fresh stand-in.
+/// Runs a test with a client of a new stand-in and the stand-in's controls.
 pub fn with_store<F: Future<Output = ()>>(test: impl FnOnce(Http, Platform) -> F) {
     let executor = Arc::new(Executor::new());
     smol::block_on(executor.run(async {
@@ -28,7 +28,7 @@
         let serve = async {
             platform::serve(listener, platform.clone(), executor.clone())
                 .await
-                .expect("the stand-in goes on accepting");
+                .expect("the stand-in accepts connections");
         };
         test(http, platform.clone()).or(serve).await;
     }));
