--- a/coordination/config/src/change.rs
+++ b/coordination/config/src/change.rs
@@ -76,13 +76,17 @@
     /// Whether a write of this operation may have been applied.
     maybe_applied: bool,
     writes: u8,
+    /// Successful reads since the last failed write.
     reads: u8,
 }
 
 #[derive(Clone, Debug)]
 enum Stage {
+    /// The stored record is being read.
     Reading,
+    /// The write is in flight.
     Writing(Draft),
+    /// The record is being read again after the write failed with this fault.
     ReadingBack(Draft, Fault),
 }
 
@@ -90,7 +94,9 @@
 #[derive(Clone, Debug)]
 struct Draft {
     service: Service,
+    /// Encoded record.
     value: Vec<u8>,
+    /// Revision that the write replaces; 0 for a new service.
     base: Revision,
     differences: Vec<Line>,
 }
@@ -241,6 +247,7 @@
         }
     }
 
+    /// Returns the validated configuration after the requested edit.
     fn apply_edit(&self, before: Option<&Service>) -> Result<Service, Vec<Problem>> {
         let active = before.filter(|service| service.is_active());
         let service = match (&self.request.edit, active) {
@@ -279,6 +286,8 @@
         }
     }
 
+    /// Ends the change with a conflict; its effect is unknown if the stored record
+    /// cannot show every write since `base`.
     fn conflict(&self, base: Revision, current: &Current) -> Action {
         let covered = current
             .record
@@ -298,6 +307,7 @@
         })
     }
 
+    /// Ends the change with the fault of the store and a jittered retry time.
     fn unavailable(&self, fault: Fault) -> Action {
         Action::Done(Outcome::Unavailable {
             fault,
--- a/coordination/config/src/key.rs
+++ b/coordination/config/src/key.rs
@@ -62,8 +62,8 @@
     (bucket < BUCKETS).then_some(bucket)
 }
 
-/// Returns the key of a zone's reader lock. The entry that holds it by a lease
-/// reads the configuration from the store.
+/// Returns the key of a zone's reader lock with this number. The entry that
+/// holds it by a lease reads the configuration from the store.
 #[must_use]
 pub fn reader_lock(zone: ZoneId, number: u8) -> String {
     format!("{}{number}", reader_lock_prefix(zone))
--- a/coordination/config/src/lease.rs
+++ b/coordination/config/src/lease.rs
@@ -94,18 +94,18 @@
 #[derive(Clone, Debug)]
 enum State {
     /// No key is held; the next search for a free key is at `due`.
-    Idle {
-        due: Duration,
-    },
+    Idle { due: Duration },
+    /// The list of held keys is in flight.
     Searching,
-    Granting {
-        key: String,
-        sent: Duration,
-    },
+    /// The grant of a lease for a free key, sent at `sent`, is in flight.
+    Granting { key: String, sent: Duration },
+    /// The acquisition of the key under the lease is in flight.
     Acquiring(Held),
+    /// The lease holds the key.
     Held(Held),
 }
 
+/// A key and its lease, with their deadlines.
 #[derive(Clone, Debug)]
 struct Held {
     fence: Fence,
@@ -250,8 +250,8 @@
         let free: Vec<&String> = self.keys.iter().filter(|key| !is_held(key)).collect();
         let Some(key) = self.random.choice(free) else {
             self.backoff.reset();
-            let pause = self.settings.search_interval / 2;
-            let due = now + pause + jitter(self.random.u64(..), pause);
+            let min_interval = self.settings.search_interval / 2;
+            let due = now + min_interval + jitter(self.random.u64(..), min_interval);
             self.set_idle(due);
             return Vec::new();
         };
--- a/coordination/config/src/presence.rs
+++ b/coordination/config/src/presence.rs
@@ -74,7 +74,8 @@
     settings: Settings,
     key: String,
     lease: Option<LeaseId>,
-    is_listed: bool,
+    /// Whether the lease holds the key, as far as is known.
+    is_registered: bool,
     last_renewal: Duration,
     next_list: Duration,
     paused_until: Duration,
@@ -92,7 +93,7 @@
             settings,
             key: key.into(),
             lease: None,
-            is_listed: false,
+            is_registered: false,
             last_renewal: now,
             next_list: now,
             paused_until: now,
@@ -115,7 +116,7 @@
             _ if now < self.paused_until => Action::Sleep(self.paused_until.saturating_sub(now)),
             _ if now >= self.next_list => Action::List,
             None => Action::Grant(self.settings.ttl),
-            Some(lease) if !self.is_listed => Action::Acquire(lease.clone()),
+            Some(lease) if !self.is_registered => Action::Acquire(lease.clone()),
             Some(lease) if now >= renewal => Action::Renew(lease.clone()),
             Some(_) => Action::Sleep(self.next_list.min(renewal).saturating_sub(now)),
         }
@@ -128,10 +129,12 @@
             Event::Listed(listed) => return self.on_listed(now, listed),
             Event::Granted(granted) => granted.map(|lease| {
                 self.lease = Some(lease);
-                self.is_listed = false;
+                self.is_registered = false;
                 self.last_renewal = now;
             }),
-            Event::Acquired(acquired) => acquired.map(|is_listed| self.is_listed = is_listed),
+            Event::Acquired(acquired) => {
+                acquired.map(|is_registered| self.is_registered = is_registered)
+            }
             Event::Renewed(renewed) => renewed.map(|()| self.last_renewal = now),
         };
         self.on_result(now, result);
@@ -142,7 +145,7 @@
         let result = listed.map(|listing| {
             self.next_list = now + self.settings.list_interval;
             let keys: Vec<String> = listing.items.into_iter().map(|item| item.key).collect();
-            self.is_listed &= keys.contains(&self.key);
+            self.is_registered &= keys.contains(&self.key);
             keys
         });
         match result {
@@ -157,6 +160,7 @@
         }
     }
 
+    /// Updates the lease and the backoff after a call.
     fn on_result(&mut self, now: Duration, result: Result<(), Fault>) {
         match result {
             Ok(()) => self.backoff = None,
--- a/coordination/config/src/reader.rs
+++ b/coordination/config/src/reader.rs
@@ -15,7 +15,7 @@
 //! use config::reader::Settings;
 //!
 //! let mut reader = Reader::new(Settings::new(1), 0, 7);
-//! let actions = reader.handle(Duration::ZERO, Event::Tick);
+//! let actions = reader.on_event(Duration::ZERO, Event::Tick);
 //! // The first entry of its zone searches for a free reader lock.
 //! assert!(matches!(
 //!     &actions[..],
@@ -125,7 +125,7 @@
     }
 
     /// Handles an event and returns the actions to carry out.
-    pub fn handle(&mut self, now: Duration, event: Event) -> Vec<Action> {
+    pub fn on_event(&mut self, now: Duration, event: Event) -> Vec<Action> {
         let (calls, feed_answer) = match event {
             Event::Rank(rank) => {
                 self.lease.set_wanted(rank < self.candidates);
--- a/coordination/config/tests/change.rs
+++ b/coordination/config/tests/change.rs
@@ -60,6 +60,7 @@
     assert_eq!(store.operations(), ["create", "a", "b"]);
 }
 
+/// Both operators start from the same revision; the winner's answer is lost.
 #[test]
 fn the_loser_of_a_race_gets_the_winning_revision_and_operation() {
     let mut store = store_with_service();
--- a/coordination/config/tests/feed.rs
+++ b/coordination/config/tests/feed.rs
@@ -242,6 +242,8 @@
     assert_eq!((counts.relists, counts.lists), (1, 1));
 }
 
+/// A restored store may have a lower index. A watch from the old index would then
+/// miss changes, so everything is listed again, after a pause.
 #[test]
 fn an_index_that_goes_backwards_is_counted_and_leads_to_a_full_list() {
     let mut fixture = Fixture::new();
@@ -269,6 +271,8 @@
     fixture.assert_latest();
 }
 
+/// A store that repeats an event ends each watch at once; without a pause the feed
+/// would poll it in a tight loop.
 #[test]
 fn repeated_events_are_followed_by_growing_pauses() {
     let mut fixture = Fixture::new();
@@ -315,6 +319,7 @@
     fixture.assert_latest();
 }
 
+/// A bucket that stays outdated must not take the turn of the others.
 #[test]
 fn a_bucket_with_a_missing_service_does_not_block_other_buckets() {
     let mut fixture = Fixture::new();
@@ -333,6 +338,8 @@
     }
 }
 
+/// A marker newer than every listed service keeps its bucket outdated; the feed
+/// must not list that bucket without end.
 #[test]
 fn a_marker_without_its_service_does_not_keep_the_feed_from_watching() {
     let mut fixture = Fixture::new();
@@ -350,9 +357,9 @@
     let mut fixture = Fixture::new();
     fixture.run_until_caught_up();
     fixture.store.write(1);
-    let mark = key::change_marker(key::bucket(address(1)));
+    let marker = key::change_marker(key::bucket(address(1)));
     let state = fixture.store.0.last_mut().expect("a state");
-    state.remove(&mark);
+    state.remove(&marker);
     fixture.now += Settings::default().relist_interval;
     for _ in 0..3 {
         fixture.reply(Reply::Latest);
@@ -407,6 +414,7 @@
     assert_eq!(fixture.feed.counts().relists, 1);
 }
 
+/// The answer to a call of the earlier run arrives after the restart.
 #[test]
 fn an_answer_from_before_a_stop_is_ignored() {
     let mut fixture = Fixture::new();
--- a/coordination/config/tests/lease.rs
+++ b/coordination/config/tests/lease.rs
@@ -68,6 +68,7 @@
     lease
 }
 
+/// A holder that continues after a pause must not write under an expired lease.
 #[test]
 fn a_paused_holder_has_no_fence() {
     let lease = held_lease(SECOND);
@@ -107,6 +108,7 @@
     assert!(!lease.holds(last));
 }
 
+/// The process is paused while the grant is in flight.
 #[test]
 fn a_lease_granted_after_its_usable_time_is_revoked() {
     let mut lease = lease();
@@ -125,6 +127,8 @@
     assert!(!lease.holds(5 * SECOND));
 }
 
+/// A renewal is in flight when the lease expires locally and another lease is
+/// acquired; its late answer must not apply to the new lease.
 #[test]
 fn an_answer_about_an_earlier_lease_does_not_end_the_current_one() {
     let mut lease = held_lease(SECOND);
@@ -171,6 +175,7 @@
     assert_eq!(lease.tick(1000 * SECOND), []);
 }
 
+/// Checks that the lease is revoked and another attempt is made later.
 fn acquisition_fails(answer: Answer) {
     let mut lease = lease();
     let list = single(lease.tick(SECOND));
--- a/coordination/config/tests/reader.rs
+++ b/coordination/config/tests/reader.rs
@@ -205,7 +205,7 @@
         let arrived = |(arrival, _): &(Duration, Event)| *arrival <= self.now;
         while let Some(position) = entry.events.iter().position(arrived) {
             let (_, event) = entry.events.remove(position);
-            for action in entry.reader.handle(self.now, event) {
+            for action in entry.reader.on_event(self.now, event) {
                 let answer = carry_out(&mut self.store, entry, self.now, action);
                 let arrival = self.now + self.store.latency;
                 entry.events.extend(answer.map(|event| (arrival, event)));
@@ -282,6 +282,8 @@
     assert_eq!(calls[0], calls[1]);
 }
 
+/// The paused entry keeps its feed's state. When it continues after its lease has
+/// expired, it must stop its watch and leave reading to its replacement.
 #[test]
 fn a_paused_reader_is_replaced_and_does_not_read_on() {
     let mut zone = Zone::new(4);
@@ -302,6 +304,8 @@
     assert_eq!(zone.in_force(paused), Some("one"));
 }
 
+/// During the outage every lease expires, and the candidates must not flood the
+/// store with calls.
 #[test]
 fn reading_resumes_after_an_outage() {
     let mut zone = Zone::new(4);
@@ -342,7 +346,9 @@
     let mut zone = Zone::new(4);
     zone.advance(10 * SECOND);
     let stopping = zone.reader_numbers()[0];
-    let actions = zone.entries[stopping].reader.handle(zone.now, Event::Stop);
+    let actions = zone.entries[stopping]
+        .reader
+        .on_event(zone.now, Event::Stop);
     for action in actions {
         carry_out(
             &mut zone.store,
@@ -357,6 +363,8 @@
     assert!(!zone.reader_numbers().contains(&stopping));
 }
 
+/// The store loses all leases; each reader notices at its next renewal and
+/// acquires a lock again.
 #[test]
 fn a_lease_that_the_store_ended_early_is_replaced() {
     let mut zone = Zone::new(2);
@@ -367,6 +375,7 @@
     assert_eq!(zone.store.holders.len(), 2);
 }
 
+/// The four candidates are paused; the remaining entries then rank first.
 #[test]
 fn an_entry_that_becomes_a_candidate_acquires_a_free_lock() {
     let mut zone = Zone::new(6);
--- a/transport/store/src/reader.rs
+++ b/transport/store/src/reader.rs
@@ -37,7 +37,7 @@
     let mut event = Event::Tick;
     loop {
         let stopping = event == Event::Stop;
-        let actions = reader.handle(origin.elapsed(), event);
+        let actions = reader.on_event(origin.elapsed(), event);
         if stopping {
             return release_lock(&store, actions).await;
         }
--- a/transport/store/tests/http.rs
+++ b/transport/store/tests/http.rs
@@ -102,6 +102,8 @@
     });
 }
 
+/// Checks that a failed read is counted, may not have been applied, and succeeds
+/// when the store is back.
 fn reads_fail((mode, timeout): (Mode, Duration)) {
     with_store(|http, platform| async move {
         let failing = http.with_timeout(timeout);
@@ -131,6 +133,8 @@
     });
 }
 
+/// A write under an expired lease must fail, also after another lease has
+/// acquired the key.
 #[test]
 fn a_fenced_write_fails_after_its_lease_has_expired() {
     with_store(|http, platform| async move {
--- a/transport/store/tests/reader.rs
+++ b/transport/store/tests/reader.rs
@@ -96,6 +96,8 @@
     });
 }
 
+/// The store drops the event that would end the watch, so the change is found only
+/// when the watch times out.
 #[test]
 fn a_change_that_ended_no_watch_is_read_later() {
     with_reader(|fixture, platform| async move {
