--- a/coordination/config/tests/feed.rs
+++ b/coordination/config/tests/feed.rs
@@ -242,8 +242,8 @@
     assert_eq!((counts.relists, counts.lists), (1, 1));
 }
 
-/// A restored store may have a lower index. A watch from the old index would then
-/// miss changes, so everything is listed again, after a pause.
+/// An index lower than the one watched from means that changes may have been
+/// missed, so everything is listed again, after a pause.
 #[test]
 fn an_index_that_goes_backwards_is_counted_and_leads_to_a_full_list() {
     let mut fixture = Fixture::new();
@@ -319,7 +319,7 @@
     fixture.assert_latest();
 }
 
-/// A bucket that stays outdated must not take the turn of the others.
+/// A bucket that stays outdated must not keep the others from being listed.
 #[test]
 fn a_bucket_with_a_missing_service_does_not_block_other_buckets() {
     let mut fixture = Fixture::new();
--- a/coordination/config/tests/reader.rs
+++ b/coordination/config/tests/reader.rs
@@ -282,8 +282,8 @@
     assert_eq!(calls[0], calls[1]);
 }
 
-/// The paused entry keeps its feed's state. When it continues after its lease has
-/// expired, it must stop its watch and leave reading to its replacement.
+/// The paused entry keeps the state of its feed. When it continues after its lease
+/// has expired, it must not watch on but leave reading to its replacement.
 #[test]
 fn a_paused_reader_is_replaced_and_does_not_read_on() {
     let mut zone = Zone::new(4);
