--- a/coordination/config/src/change/outcome.rs
+++ b/coordination/config/src/change/outcome.rs
@@ -12,12 +12,12 @@
 /// The next call to make for the service's key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Read the key and pass the answer to [`Change::on_read`].
+    /// Read the key and pass the answer to [`Change::on_read`](super::Change::on_read).
     Read {
         /// The key.
         key: String,
     },
-    /// Compare-and-swap the key and pass the answer to [`Change::on_written`].
+    /// Compare-and-swap the key and pass the answer to [`Change::on_written`](super::Change::on_written).
     Write {
         /// The key.
         key: String,
--- a/coordination/config/src/service.rs
+++ b/coordination/config/src/service.rs
@@ -137,7 +137,7 @@
     Zone(ZoneId),
 }
 
-/// Default values of the fields of [`Service`](super::Service).
+/// Default values of the fields of [`Service`].
 mod default {
     use std::time::Duration;
 
