--- a/coordination/config/tests/service.rs
+++ b/coordination/config/tests/service.rs
@@ -134,7 +134,7 @@
 
 proptest! {
     #[test]
-    fn arbitrary_bytes_do_not_panic_the_decoders(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_panic_no_decoder(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let _ = Service::from_bytes(&bytes);
         let _ = Record::from_json(&bytes);
         let mut framed = vec![1];
--- a/transport/store/tests/http.rs
+++ b/transport/store/tests/http.rs
@@ -102,8 +102,8 @@
     });
 }
 
-/// Checks that a failed read is counted, may not have been applied, and succeeds
-/// when the store is back.
+/// Checks that a failed read is counted and reported as not applied, and that a
+/// read succeeds once the store answers again.
 fn reads_fail((mode, timeout): (Mode, Duration)) {
     with_store(|http, platform| async move {
         let failing = http.with_timeout(timeout);
