--- a/coordination/config/src/change/outcome.rs
+++ b/coordination/config/src/change/outcome.rs
@@ -17,7 +17,8 @@
         /// The key.
         key: String,
     },
-    /// Compare-and-swap the key and pass the answer to [`Change::on_written`](super::Change::on_written).
+    /// Compare-and-swap the key and pass the answer to
+    /// [`Change::on_written`](super::Change::on_written).
     Write {
         /// The key.
         key: String,
