--- a/coordination/config/tests/change.rs
+++ b/coordination/config/tests/change.rs
@@ -1,10 +1,6 @@
-//! Changes by operators, through a store that fails.
-mod common;
+//! Tests of operators' changes against a store that fails.
+mod faulty_store;
 
-use common::Failure;
-use common::Store;
-use common::store_with_service;
-use common::update;
 use config::Change;
 use config::Fault;
 use config::Problem;
@@ -13,9 +9,13 @@
 use config::change::Effect;
 use config::change::Outcome;
 use config::change::Request;
+use faulty_store::Failure;
+use faulty_store::Store;
+use faulty_store::store_with_service;
+use faulty_store::update;
 use proptest::prelude::*;
 
-/// The revision of an accepted change and of the one that replaced it.
+/// Returns the revision of an accepted change and of the one that replaced it.
 fn accepted(outcome: &Outcome) -> (u64, Option<u64>) {
     match outcome {
         Outcome::Accepted {
@@ -37,15 +37,15 @@
 #[test]
 fn an_own_write_is_recognised_after_its_answer_was_lost() {
     let mut store = store_with_service();
-    let outcome = store.run(update(1, 1, "a"), &[Failure::None, Failure::LostAfter]);
+    let outcome = store.run(update(1, 1, "a"), &[Failure::None, Failure::AnswerLost]);
     assert_eq!(accepted(&outcome), (2, None));
     assert_eq!(store.operations(), ["create", "a"]);
 }
 
 #[test]
-fn an_own_write_is_recognised_after_somebody_wrote_over_it() {
+fn an_own_write_is_recognised_after_another_operator_wrote_over_it() {
     let mut store = store_with_service();
-    let lost = [Failure::None, Failure::LostAfter, Failure::Unreachable];
+    let lost = [Failure::None, Failure::AnswerLost, Failure::Unreachable];
     let outcome = store.run(update(1, 1, "a"), &lost);
     assert!(matches!(
         outcome,
@@ -60,13 +60,14 @@
     assert_eq!(store.operations(), ["create", "a", "b"]);
 }
 
+/// Both operators start from the same revision; the winner's answer is lost.
 #[test]
-fn the_loser_of_a_race_sees_the_winner() {
+fn the_loser_of_a_race_gets_the_winning_revision_and_operation() {
     let mut store = store_with_service();
     let mut loser = Change::new(update(2, 1, "b"), 1);
     let action = loser.start();
     let write = store.step(&mut loser, action, Failure::None);
-    let lost = [Failure::None, Failure::LostAfter];
+    let lost = [Failure::None, Failure::AnswerLost];
     assert_eq!(accepted(&store.run(update(1, 1, "a"), &lost)), (2, None));
     let read = store.step(&mut loser, write, Failure::None);
     let end = store.step(&mut loser, read, Failure::None);
@@ -80,10 +81,12 @@
     assert_eq!(accepted(&again), (2, None));
 }
 
+/// More writes follow the lost one than a record's history holds, so the record
+/// no longer shows whether it was applied.
 #[test]
-fn a_write_hidden_by_many_later_ones_is_not_called_unapplied() {
+fn a_write_that_has_left_the_history_is_not_reported_as_not_applied() {
     let mut store = store_with_service();
-    let lost = [Failure::None, Failure::LostAfter, Failure::Unreachable];
+    let lost = [Failure::None, Failure::AnswerLost, Failure::Unreachable];
     store.run(update(1, 1, "a"), &lost);
     for number in 2..12 {
         store.run(update(2, number, &format!("later-{number}")), &[]);
@@ -100,7 +103,7 @@
 }
 
 #[test]
-fn a_change_is_refused_at_once_while_the_store_is_down() {
+fn a_change_fails_at_once_while_the_store_is_unreachable() {
     let mut store = store_with_service();
     match store.run(update(1, 1, "a"), &[Failure::Unreachable]) {
         Outcome::Unavailable {
@@ -117,7 +120,7 @@
 }
 
 #[test]
-fn a_dry_run_shows_the_difference_and_writes_nothing() {
+fn a_dry_run_returns_the_differences_and_writes_nothing() {
     let mut store = store_with_service();
     let dry_run = Request {
         dry_run: true,
@@ -137,7 +140,7 @@
 }
 
 #[test]
-fn a_deleted_service_can_be_created_anew_at_a_higher_revision() {
+fn a_deleted_service_can_be_created_again_at_a_higher_revision() {
     let mut store = store_with_service();
     let delete = Request {
         edit: Edit::Delete,
@@ -145,7 +148,7 @@
     };
     assert_eq!(accepted(&store.run(delete, &[])), (2, None));
     let create = Request {
-        edit: Edit::Create(common::service()),
+        edit: Edit::Create(faulty_store::service()),
         ..update(3, 2, "again")
     };
     assert_eq!(accepted(&store.run(create, &[])), (3, None));
@@ -161,10 +164,10 @@
 
 cases::cases! { is_invalid;
     a_service_is_not_created_twice: (
-        Request { edit: Edit::Create(common::service()), ..update(3, 2, "a") },
+        Request { edit: Edit::Create(faulty_store::service()), ..update(3, 2, "a") },
         Problem::Exists,
     ),
-    a_wrong_field_is_refused: (update(4, 2, "a"), Problem::Hunt),
+    an_invalid_field_is_refused: (update(4, 2, "a"), Problem::Hunt),
     an_operation_id_with_spaces_is_refused: (update(1, 2, "a b"), Problem::Operation),
     an_operation_id_is_not_used_for_two_changes: (update(1, 2, "used"), Problem::OperationReused),
     a_retry_without_its_revision_is_refused: (
@@ -179,15 +182,15 @@
     assert_eq!(outcome, Outcome::Invalid(vec![Problem::Missing]));
 }
 
-/// One operator who repeats a change until its outcome is known.
+/// An operator who retries a change while the store is unavailable.
 struct Operator {
     request: Request,
     change: Change,
     action: Action,
-    tries: u8,
+    retries: u8,
 }
 
-const MAX_TRIES: u8 = 4;
+const MAX_RETRIES: u8 = 4;
 
 impl Operator {
     fn new(request: Request) -> Self {
@@ -196,27 +199,27 @@
             action: change.start(),
             change,
             request,
-            tries: 0,
+            retries: 0,
         }
     }
 
     fn step(&mut self, store: &mut Store, failure: Failure) {
         self.action = store.step(&mut self.change, self.action.clone(), failure);
         if let Action::Done(Outcome::Unavailable { effect, .. }) = &self.action
-            && self.tries < MAX_TRIES
+            && self.retries < MAX_RETRIES
         {
-            self.tries += 1;
+            self.retries += 1;
             self.request.retry |= *effect == Effect::Unknown;
             self.change = Change::new(self.request.clone(), 1);
             self.action = self.change.start();
         }
     }
 
-    /// Checks what the operator was told against what the store has.
+    /// Checks the reported outcome against the versions in the store.
     fn check(&self, store: &Store) {
         let operation = &self.request.operation;
         let applied: Vec<_> = store
-            .written
+            .versions
             .iter()
             .zip(store.operations())
             .filter(|(_, written)| written == operation)
@@ -228,7 +231,7 @@
             }) => {
                 assert_eq!(applied, [*revision], "{operation}");
                 assert!(latest.revision >= *revision, "{operation}");
-                assert!(store.has(latest), "{operation}");
+                assert!(store.had_version(latest), "{operation}");
             }
             Action::Done(
                 Outcome::Conflict {
@@ -250,9 +253,9 @@
     prop_oneof![
         4 => Just(Failure::None),
         1 => Just(Failure::Unreachable),
-        2 => Just(Failure::LostAfter),
-        1 => Just(Failure::LostBefore),
-        2 => Just(Failure::LostOnTheWay),
+        2 => Just(Failure::AnswerLost),
+        1 => Just(Failure::RequestLost),
+        2 => Just(Failure::Delayed),
         2 => Just(Failure::Stale),
     ]
 }
@@ -260,8 +263,11 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(2000))]
 
+    /// Three operators change one service at the same time while calls fail,
+    /// answers are lost, writes are delayed and reads are stale. Each reported
+    /// outcome must agree with the writes that the store applied.
     #[test]
-    fn operators_are_told_the_truth(
+    fn each_reported_outcome_agrees_with_the_store(
         steps in prop::collection::vec((0..4_usize, failure()), 0..60),
         bases in prop::collection::vec(1..3_u64, 3),
     ) {
@@ -275,11 +281,11 @@
         for (who, failure) in steps {
             match operators.get_mut(who) {
                 Some(operator) => operator.step(&mut store, failure),
-                None => store.deliver(),
+                None => store.apply_delayed(),
             }
         }
         for _ in 0..60 {
-            store.deliver();
+            store.apply_delayed();
         }
         for operator in &operators {
             operator.check(&store);
--- a/coordination/config/tests/feed.rs
+++ b/coordination/config/tests/feed.rs
@@ -1,4 +1,4 @@
-//! Reading through a store whose answers fail, repeat and go backwards.
+//! Tests of the feed against a store whose answers fail, repeat and are stale.
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,10 +20,10 @@
 const SECOND: Duration = Duration::from_secs(1);
 const SERVICES: u16 = 4;
 
-/// The states of a store, oldest first.
+/// Successive states of a store, oldest first.
 struct Store(Vec<HashMap<String, Item>>);
 
-/// A call of the feed under way.
+/// A call of the feed in flight.
 #[derive(Clone, Debug)]
 struct Call {
     id: CallId,
@@ -31,14 +31,14 @@
     since: Option<Revision>,
 }
 
-/// How a call is answered.
+/// Answer to a call.
 #[derive(Clone, Copy, Debug)]
 enum Reply {
-    /// With the latest state.
+    /// The latest state.
     Latest,
-    /// With the state some writes ago.
+    /// The state before this number of writes.
     Stale(usize),
-    /// With a fault.
+    /// A fault.
     Fault(Fault),
 }
 
@@ -51,12 +51,12 @@
         Self(vec![HashMap::new()])
     }
 
-    /// The revision of the next write; an empty store is at 1.
+    /// Returns the revision of the next write; an empty store is at 1.
     fn next_revision(&self) -> Revision {
         self.0.len() as Revision + 1
     }
 
-    /// Writes a service and the mark of its bucket.
+    /// Writes a service and the change marker of its bucket.
     fn write(&mut self, number: u16) {
         let mut state = self.latest().clone();
         let revision = self.next_revision();
@@ -69,7 +69,7 @@
         let value = Record::create(service).to_json().expect("a record");
         for (key, value) in [
             (key::service(address(number)), value),
-            (key::mark(bucket), Vec::new()),
+            (key::change_marker(bucket), Vec::new()),
         ] {
             let item = Item {
                 key: key.clone(),
@@ -105,7 +105,7 @@
     }
 }
 
-/// A feed with its store.
+/// A feed and its store.
 struct Fixture {
     store: Store,
     feed: Feed,
@@ -127,7 +127,7 @@
         }
     }
 
-    fn act(&mut self, actions: Vec<Action>) {
+    fn apply(&mut self, actions: Vec<Action>) {
         for action in actions {
             let call = match action {
                 Action::Publish(update) => {
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Takes over an update, which must be newer than what is in force.
+    /// Puts an update in force, which must be newer than the one before.
     fn publish(&mut self, update: &Update) {
         let before = self
             .in_force
@@ -161,16 +161,16 @@
         assert_eq!(update.service.name, format!("revision-{}", update.revision));
     }
 
-    /// Goes on to the next deadline.
+    /// Advances the time to the next deadline and runs what is due.
     fn advance(&mut self) {
         if let Some(due) = self.feed.next_deadline() {
             self.now = self.now.max(due);
         }
         let actions = self.feed.tick(self.now);
-        self.act(actions);
+        self.apply(actions);
     }
 
-    /// Answers the call under way.
+    /// Answers the call in flight.
     fn reply(&mut self, reply: Reply) {
         self.advance();
         let Some(call) = self.call.take() else {
@@ -178,27 +178,31 @@
         };
         let answer = self.store.answer(&call, reply);
         let actions = self.feed.on_answer(self.now, call.id, answer);
-        self.act(actions);
+        self.apply(actions);
     }
 
-    /// Answers calls truly until the feed waits for a change that has not come.
-    fn settle(&mut self) {
+    /// Answers calls with the latest state until the feed has caught up.
+    fn run_until_caught_up(&mut self) {
         for _ in 0..100 {
             self.advance();
-            if self.waits() {
+            if self.is_caught_up() {
                 return;
             }
             self.reply(Reply::Latest);
         }
-        panic!("the feed does not come to rest: {:?}", self.call);
+        panic!(
+            "the feed has not caught up after 100 calls; call in flight: {:?}",
+            self.call
+        );
     }
 
-    /// Whether the feed waits for a change that has not come.
-    fn waits(&self) -> bool {
+    /// Returns whether the feed watches for a change after the latest one.
+    fn is_caught_up(&self) -> bool {
         let since = self.call.as_ref().and_then(|call| call.since);
         since.is_some_and(|since| since + 1 >= self.store.next_revision())
     }
 
+    /// Asserts that the latest revision of every service is in force.
     fn assert_latest(&self) {
         for number in 0..SERVICES {
             let stored = self.store.latest().get(&key::service(address(number)));
@@ -207,65 +211,73 @@
         }
     }
 
-    /// Time until the next deadline.
+    /// Returns the time until the next deadline.
     fn pause(&self) -> Duration {
         let due = self.feed.next_deadline().expect("a deadline");
         due.saturating_sub(self.now)
     }
 
+    /// Returns the prefix of the call in flight.
     fn prefix(&self) -> &str {
         self.call.as_ref().map_or("", |call| call.prefix.as_str())
     }
 }
 
 #[test]
-fn everything_is_read_once_and_then_only_what_changed() {
+fn all_services_are_listed_once_and_then_only_changed_buckets() {
     let mut fixture = Fixture::new();
     (0..SERVICES).for_each(|number| fixture.store.write(number));
-    fixture.settle();
+    fixture.run_until_caught_up();
     fixture.assert_latest();
     assert_eq!(fixture.feed.counts().published, u64::from(SERVICES));
     fixture.store.write(2);
     fixture.reply(Reply::Latest);
-    assert_eq!(fixture.prefix(), key::services(key::bucket(address(2))));
-    fixture.settle();
+    assert_eq!(
+        fixture.prefix(),
+        key::bucket_prefix(key::bucket(address(2)))
+    );
+    fixture.run_until_caught_up();
     fixture.assert_latest();
     let counts = fixture.feed.counts();
     assert_eq!((counts.relists, counts.lists), (1, 1));
 }
 
+/// An index lower than the one watched from means that changes may have been
+/// missed, so everything is listed again, after a pause.
 #[test]
-fn an_index_that_goes_backwards_is_a_gap_and_everything_is_read_again() {
+fn an_index_that_goes_backwards_is_counted_and_leads_to_a_full_list() {
     let mut fixture = Fixture::new();
     (0..SERVICES).for_each(|number| fixture.store.write(number));
-    fixture.settle();
+    fixture.run_until_caught_up();
     fixture.store.write(0);
     fixture.reply(Reply::Stale(2));
-    assert_eq!(fixture.feed.counts().gaps, 1);
+    assert_eq!(fixture.feed.counts().index_resets, 1);
     let pause = fixture.pause();
     assert!(!pause.is_zero());
     fixture.advance();
-    assert_eq!(fixture.prefix(), key::MARKS);
-    fixture.settle();
+    assert_eq!(fixture.prefix(), key::MARKER_PREFIX);
+    fixture.run_until_caught_up();
     fixture.assert_latest();
     assert_eq!(fixture.feed.counts().relists, 2);
 }
 
 #[test]
-fn a_missed_event_is_made_up_for_when_the_wait_ends() {
+fn a_change_that_ended_no_watch_is_read_when_the_wait_ends() {
     let mut fixture = Fixture::new();
-    fixture.settle();
+    fixture.run_until_caught_up();
     fixture.store.write(1);
     fixture.now += Settings::default().wait;
-    fixture.settle();
+    fixture.run_until_caught_up();
     fixture.assert_latest();
 }
 
+/// A store that repeats an event ends each watch at once; without a pause the feed
+/// would poll it in a tight loop.
 #[test]
-fn a_repeated_event_is_not_followed_by_a_call_at_once() {
+fn repeated_events_are_followed_by_growing_pauses() {
     let mut fixture = Fixture::new();
     fixture.store.write(1);
-    fixture.settle();
+    fixture.run_until_caught_up();
     let mut pause = Duration::ZERO;
     for _ in 0..8 {
         fixture.reply(Reply::Latest);
@@ -276,42 +288,45 @@
 }
 
 #[test]
-fn a_stale_list_of_a_bucket_is_read_again() {
+fn a_bucket_is_listed_again_after_a_stale_list() {
     let mut fixture = Fixture::new();
     fixture.store.write(1);
-    fixture.settle();
+    fixture.run_until_caught_up();
     fixture.store.write(1);
     fixture.reply(Reply::Latest);
     fixture.reply(Reply::Stale(1));
     assert_eq!(fixture.in_force[&address(1)], 2);
-    fixture.settle();
+    fixture.run_until_caught_up();
     fixture.assert_latest();
 }
 
+/// After several stale lists of an outdated bucket the feed watches the markers
+/// again and lists the bucket only when that watch ends.
 #[test]
-fn many_stale_lists_of_a_bucket_hide_nothing() {
+fn a_change_is_read_after_many_stale_lists_of_its_bucket() {
     let mut fixture = Fixture::new();
     fixture.store.write(1);
-    fixture.settle();
+    fixture.run_until_caught_up();
     fixture.store.write(1);
     fixture.reply(Reply::Latest);
     for _ in 0..20 {
         fixture.reply(Reply::Stale(1));
     }
-    fixture.settle();
+    fixture.run_until_caught_up();
     fixture.now += Settings::default().wait;
     fixture.reply(Reply::Latest);
-    fixture.settle();
+    fixture.run_until_caught_up();
     fixture.assert_latest();
 }
 
+/// A bucket that stays outdated must not keep the others from being listed.
 #[test]
-fn a_bucket_that_cannot_be_read_does_not_hide_another() {
+fn a_bucket_with_a_missing_service_does_not_block_other_buckets() {
     let mut fixture = Fixture::new();
     fixture.store.write(1);
     let state = fixture.store.0.last_mut().expect("a state");
     state.remove(&key::service(address(1)));
-    fixture.settle();
+    fixture.run_until_caught_up();
     for number in [0, 2, 3] {
         fixture.store.write(number);
     }
@@ -323,43 +338,49 @@
     }
 }
 
+/// A marker newer than every listed service keeps its bucket outdated; the feed
+/// must not list that bucket without end.
 #[test]
-fn a_mark_without_its_service_does_not_keep_the_feed_from_watching() {
+fn a_marker_without_its_service_does_not_keep_the_feed_from_watching() {
     let mut fixture = Fixture::new();
     fixture.store.write(1);
     let state = fixture.store.0.last_mut().expect("a state");
     state.remove(&key::service(address(1)));
-    fixture.settle();
+    fixture.run_until_caught_up();
     assert!(fixture.feed.counts().lists <= 5);
 }
 
+/// Without a newer marker no watch reports the write, so the next full list has
+/// to find it.
 #[test]
-fn a_service_written_without_its_mark_is_read_in_the_end() {
+fn a_service_written_without_its_marker_is_read_by_the_next_full_list() {
     let mut fixture = Fixture::new();
-    fixture.settle();
+    fixture.run_until_caught_up();
     fixture.store.write(1);
-    let mark = key::mark(key::bucket(address(1)));
+    let marker = key::change_marker(key::bucket(address(1)));
     let state = fixture.store.0.last_mut().expect("a state");
-    state.remove(&mark);
-    fixture.now += Settings::default().relist;
+    state.remove(&marker);
+    fixture.now += Settings::default().relist_interval;
     for _ in 0..3 {
         fixture.reply(Reply::Latest);
     }
     fixture.assert_latest();
 }
 
-fn is_left_out(spoil: fn(&mut Item)) {
+/// A record that cannot be used must not replace the one in force, and the next
+/// valid record must be read.
+fn is_skipped(corrupt: fn(&mut Item)) {
     let mut fixture = Fixture::new();
     fixture.store.write(1);
-    fixture.settle();
+    fixture.run_until_caught_up();
     fixture.store.write(1);
     let state = fixture.store.0.last_mut().expect("a state");
-    spoil(state.get_mut(&key::service(address(1))).expect("an item"));
-    fixture.settle();
+    corrupt(state.get_mut(&key::service(address(1))).expect("an item"));
+    fixture.run_until_caught_up();
     assert_eq!(fixture.in_force[&address(1)], 2);
     assert_eq!(fixture.feed.counts().malformed, 1);
     fixture.store.write(1);
-    fixture.settle();
+    fixture.run_until_caught_up();
     fixture.assert_latest();
 }
 
@@ -369,30 +390,31 @@
     item.value = text.replace(from, to).into_bytes();
 }
 
-cases::cases! { is_left_out;
-    a_record_that_cannot_be_read_is_left_out: |item| item.value.truncate(9),
-    a_record_with_a_problem_is_left_out:
+cases::cases! { is_skipped;
+    a_record_that_cannot_be_decoded_is_skipped: |item| item.value.truncate(9),
+    a_record_that_fails_validation_is_skipped:
         |item| replace(item, "\"hunt\":3", "\"hunt\":200"),
-    a_record_under_the_key_of_another_service_is_left_out:
+    a_record_under_the_key_of_another_service_is_skipped:
         |item| replace(item, "192.0.2.1:5001", "192.0.2.1:5002"),
 }
 
 #[test]
-fn an_outage_is_met_with_growing_pauses() {
+fn calls_back_off_during_an_outage() {
     let mut fixture = Fixture::new();
     fixture.store.write(1);
-    fixture.settle();
+    fixture.run_until_caught_up();
     let start = fixture.now;
     for _ in 0..100 {
         fixture.reply(Reply::Fault(Fault::Unreachable));
     }
     assert!(fixture.now > start + 200 * SECOND, "{:?}", fixture.now);
     fixture.store.write(1);
-    fixture.settle();
+    fixture.run_until_caught_up();
     fixture.assert_latest();
     assert_eq!(fixture.feed.counts().relists, 1);
 }
 
+/// The answer to a call of the earlier run arrives after the restart.
 #[test]
 fn an_answer_from_before_a_stop_is_ignored() {
     let mut fixture = Fixture::new();
@@ -405,7 +427,7 @@
     let answer = fixture.store.answer(&call, Reply::Latest);
     assert_eq!(fixture.feed.on_answer(fixture.now, call.id, answer), []);
     assert_eq!(fixture.feed.next_deadline(), None);
-    fixture.settle();
+    fixture.run_until_caught_up();
     fixture.assert_latest();
 }
 
@@ -427,7 +449,7 @@
     Write(u16),
     Reply(Reply),
     Restart,
-    Pass(u64),
+    PassTime(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -435,15 +457,17 @@
         3 => (0..SERVICES).prop_map(Step::Write),
         6 => reply().prop_map(Step::Reply),
         1 => Just(Step::Restart),
-        1 => (0..2000_u64).prop_map(Step::Pass),
+        1 => (0..2000_u64).prop_map(Step::PassTime),
     ]
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(2000))]
 
+    /// Writes, stale answers, faults, restarts and waiting times come in random
+    /// order. `Fixture::publish` asserts that no older revision is published.
     #[test]
-    fn nothing_reverts_and_the_latest_comes_into_force(
+    fn no_service_reverts_and_the_latest_revisions_come_into_force(
         steps in prop::collection::vec(step(), 0..80),
     ) {
         let mut fixture = Fixture::new();
@@ -451,7 +475,7 @@
             match step {
                 Step::Write(number) => fixture.store.write(number),
                 Step::Reply(reply) => fixture.reply(reply),
-                Step::Pass(seconds) => fixture.now += Duration::from_secs(seconds),
+                Step::PassTime(seconds) => fixture.now += Duration::from_secs(seconds),
                 Step::Restart => {
                     fixture.feed.stop();
                     fixture.call = None;
@@ -459,11 +483,11 @@
                 }
             }
         }
-        fixture.settle();
-        // After many stale lists, the next is made when the wait ends.
+        fixture.run_until_caught_up();
+        // After several stale lists, the next follows only when the watch ends.
         fixture.now += Settings::default().wait;
         fixture.reply(Reply::Latest);
-        fixture.settle();
+        fixture.run_until_caught_up();
         fixture.assert_latest();
     }
 }
