--- a/coordination/member/src/action.rs
+++ b/coordination/member/src/action.rs
@@ -1,16 +1,17 @@
-//! What a state machine asks of the process around it.
+//! Actions that a state machine requests from its process.
 use std::net::SocketAddr;
 
 use crate::Message;
 
-/// A request of [`crate::Registry`] or [`crate::Announcer`] to its process.
+/// Action that [`crate::Registry`] or [`crate::Announcer`] requests from its
+/// process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send the message as one datagram.
+    /// Sends the message as one datagram.
     Send {
         /// UDP address of the receiver.
         to: SocketAddr,
-        /// The message.
+        /// Message to send.
         message: Message,
     },
 }
--- a/coordination/member/src/announcer.rs
+++ b/coordination/member/src/announcer.rs
@@ -1,4 +1,5 @@
-//! The agent's side: announces a backend server and follows its service.
+//! Agent side of membership: announces a backend server and keeps the view of
+//! its service.
 mod watchers;
 
 use std::net::SocketAddr;
@@ -28,59 +29,61 @@
 use crate::message::Subject;
 use watchers::Watchers;
 
-/// Heartbeats that announce a departure before the agent is silent.
-const FAREWELLS: u32 = 8;
+/// Heartbeats that announce a departure before the agent stops sending.
+const DEPARTURE_HEARTBEATS: u32 = 8;
 
-/// Time between two of these heartbeats.
-const FAREWELL_INTERVAL: Duration = Duration::from_millis(200);
+/// Time between two departure heartbeats.
+const DEPARTURE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Heartbeats that an agent sends in quick succession after its start, while most
-/// of its watchers have not answered: after a failure they start with it.
-const COLD_HEARTBEATS: u32 = 12;
+/// Heartbeats that an agent sends in quick succession after its start while
+/// most of its watchers have not answered. After a failure that also stopped
+/// the watchers, they start together with the agent.
+const STARTUP_HEARTBEATS: u32 = 12;
 
-/// Time between two of these heartbeats. Some round trips within a region.
-const COLD_INTERVAL: Duration = Duration::from_millis(150);
+/// Time between two startup heartbeats: a few round trips within a region.
+const STARTUP_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Time without an acknowledgement after which the announcement is made a
-/// newer one, since the older may have been dropped.
+/// Time without an acknowledgement after which the version of the announcement
+/// is raised, since the entries may have removed the older version.
 const REANNOUNCE_AFTER: Duration = Duration::from_mins(1);
 
-/// Largest share by which the time between two heartbeats is shortened.
+/// Largest fraction by which a heartbeat interval is randomly shortened.
 const JITTER: f64 = 0.1;
 
-/// What an agent may change of its announcement.
+/// Changeable part of an announcement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// Learned capacity in requests a second, in coarse steps; at least 1.
+    /// Learned capacity in requests per second, in coarse steps; at least 1.
     pub weight: u32,
-    /// Whether the backend server takes new flows.
+    /// State of the backend server, which says whether it takes new flows.
     pub state: State,
 }
 
-/// Announces one backend server and keeps the view of its service.
+/// State machine that announces one backend server and keeps the view of its
+/// service.
 #[derive(Debug)]
 pub struct Announcer {
     settings: Settings,
     target: Target,
     rng: Rng,
     sequence: Sequence,
-    announced: Sequence,
-    acknowledged: Duration,
+    announced_sequence: Sequence,
+    last_acknowledged: Duration,
     next_heartbeat: Duration,
     watchers: Watchers,
     view: View,
     changed: bool,
-    farewells: Option<u32>,
-    /// Heartbeats in quick succession that are left.
-    cold: u32,
+    departure_heartbeats: Option<u32>,
+    /// Startup heartbeats left to send.
+    startup_heartbeats: u32,
     successor: Option<Incarnation>,
     link: Link,
     assembler: Assembler,
 }
 
 impl Announcer {
-    /// Starts to announce `target` to some of the entries, of which `seeds` are
-    /// known.
+    /// Creates an announcer of `target` that sends heartbeats to some of the
+    /// entries in `seeds`.
     #[must_use]
     pub fn new(
         settings: Settings,
@@ -91,7 +94,7 @@
     ) -> Self {
         let mut view = View::new(target.service);
         let mut rng = Rng::with_seed(seed);
-        // A new view takes any target.
+        // An empty view accepts any target.
         view.merge_target(target.clone()).ok();
         Self {
             watchers: Watchers::new(settings.clone(), seeds, now, &mut rng),
@@ -100,75 +103,76 @@
             target,
             rng,
             sequence: 0,
-            announced: 1,
-            acknowledged: now,
+            announced_sequence: 1,
+            last_acknowledged: now,
             next_heartbeat: now,
             view,
             changed: true,
-            farewells: None,
-            cold: COLD_HEARTBEATS,
+            departure_heartbeats: None,
+            startup_heartbeats: STARTUP_HEARTBEATS,
             successor: None,
             assembler: Assembler::default(),
         }
     }
 
-    /// Takes further entries that may be announced to, at once where none has
-    /// answered yet.
+    /// Adds entries that may become watchers. The next heartbeat is due at once
+    /// where no watcher has answered yet.
     pub fn know(&mut self, now: Duration, entries: &[SocketAddr]) {
-        if self.watchers.know(now, entries, &mut self.rng) {
+        if self.watchers.add_seeds(now, entries, &mut self.rng) {
             self.next_heartbeat = now;
         }
     }
 
-    /// Announces a change of the backend server with the next tick.
+    /// Announces a change of the backend server at the next tick.
     pub fn announce(&mut self, now: Duration, change: Change) {
         let is_same = (self.target.weight, self.target.state) == (change.weight, change.state);
-        if self.farewells.is_some() || is_same {
+        if self.departure_heartbeats.is_some() || is_same {
             return;
         }
         self.target.weight = change.weight.max(1);
         self.target.state = change.state;
-        self.renew(now);
+        self.bump_version(now);
     }
 
-    /// Announces that the backend server has left, until its watchers know or
-    /// a few heartbeats have gone out.
+    /// Announces that the backend server has left, until most watchers have
+    /// acknowledged it or the last departure heartbeat has been sent.
     pub fn leave(&mut self, now: Duration) {
         let weight = self.target.weight;
         let state = State::Left;
         self.announce(now, Change { weight, state });
-        if self.farewells.is_none() {
-            self.farewells = Some(FAREWELLS);
+        if self.departure_heartbeats.is_none() {
+            self.departure_heartbeats = Some(DEPARTURE_HEARTBEATS);
             self.next_heartbeat = now;
         }
     }
 
-    /// The newer incarnation that announces the same backend server, if there
-    /// is one. This process is then no longer heard, and must end or start anew
-    /// with a larger incarnation.
+    /// Returns the newer incarnation that announces the same backend server, if
+    /// there is one. The entries then ignore this process, which must exit or
+    /// start again with a larger incarnation.
     #[must_use]
     pub const fn successor(&self) -> Option<Incarnation> {
         self.successor
     }
 
-    /// Takes a larger incarnation than any known of the same backend server. For
-    /// a process that is the only one beside it, and whose clock went back.
+    /// Raises the incarnation above the newest one known for the same backend
+    /// server. Only for a process that is the only one beside this backend
+    /// server and whose clock went back.
     pub fn outrank(&mut self, now: Duration) {
         if let Some(successor) = self.successor.take() {
             self.target.incarnation = successor + 1;
-            self.renew(now);
+            self.bump_version(now);
         }
     }
 
-    /// True once nothing is left to announce after [`Self::leave`].
+    /// Returns whether nothing is left to announce after [`Self::leave`].
     #[must_use]
     pub fn finished(&self) -> bool {
-        let most_know = self.watchers.most_acknowledged(self.announced);
-        self.farewells
-            .is_some_and(|left| left == 0 || (left < FAREWELLS && most_know))
+        let most_know = self.watchers.most_acknowledged(self.announced_sequence);
+        self.departure_heartbeats
+            .is_some_and(|left| left == 0 || (left < DEPARTURE_HEARTBEATS && most_know))
     }
 
-    /// Takes a message that `from` sent.
+    /// Processes a message from `from`.
     pub fn handle(
         &mut self,
         now: Duration,
@@ -179,15 +183,17 @@
         self.link.receive(now, &message);
         let service = self.target.service;
         match message {
-            Message::Ack(ack) => self.ack(now, from, ack, actions),
-            Message::Probe => self.beat(&[from], actions),
-            Message::Members(members) if members.address == service => self.members(members),
-            Message::Roll(roll) if roll.address == service => self.roll(&roll),
+            Message::Ack(ack) => self.receive_ack(now, from, ack, actions),
+            Message::Probe => self.send_heartbeat(&[from], actions),
+            Message::Members(members) if members.address == service => {
+                self.receive_members(members)
+            }
+            Message::Roll(roll) if roll.address == service => self.receive_roll(&roll),
             Message::Offer(offer) if offer.address == service => {
-                self.offer(now, from, offer, actions);
+                self.receive_offer(now, from, offer, actions);
             }
             Message::Fragment(fragment) if fragment.offer.address == service => {
-                if let Some(config) = self.assembler.take(now, fragment) {
+                if let Some(config) = self.assembler.add_fragment(now, fragment) {
                     self.changed |= self.view.merge_config(config).is_ok();
                 }
             }
@@ -195,16 +201,16 @@
         }
     }
 
-    /// Does what is due.
+    /// Sends a due heartbeat and requests overdue fragments again.
     pub fn tick(&mut self, now: Duration, actions: &mut Vec<Action>) {
         if now < self.next_heartbeat {
             return;
         }
-        let interval = match self.farewells {
-            Some(_) => FAREWELL_INTERVAL,
-            None if self.cold > 0 && !self.watchers.most_answered() => {
-                self.cold -= 1;
-                COLD_INTERVAL
+        let interval = match self.departure_heartbeats {
+            Some(_) => DEPARTURE_INTERVAL,
+            None if self.startup_heartbeats > 0 && !self.watchers.most_answered() => {
+                self.startup_heartbeats -= 1;
+                STARTUP_INTERVAL
             }
             None => self.settings.heartbeat,
         };
@@ -212,41 +218,42 @@
         if self.finished() {
             return;
         }
-        self.farewells = self.farewells.map(|left| left - 1);
-        self.watchers.check(now, &mut self.rng);
+        self.departure_heartbeats = self.departure_heartbeats.map(|left| left - 1);
+        self.watchers.check_answers(now, &mut self.rng);
         let receivers = self.watchers.receivers();
-        self.beat(&receivers, actions);
-        for request in self.assembler.overdue(now) {
+        self.send_heartbeat(&receivers, actions);
+        for request in self.assembler.retry_overdue(now) {
             self.link
                 .send(request.to, Message::Fetch(request.fetch), actions);
         }
     }
 
-    /// When to call [`Self::tick`] next.
+    /// Returns the time at which to call [`Self::tick`] next.
     #[must_use]
     pub const fn next_deadline(&self) -> Duration {
         self.next_heartbeat
     }
 
-    /// The announcement as it stands.
+    /// Returns the current announcement.
     #[must_use]
     pub const fn target(&self) -> &Target {
         &self.target
     }
 
-    /// The entries that watch the agent.
+    /// Returns the addresses of the entries that watch the agent.
     #[must_use]
     pub fn watchers(&self) -> Vec<SocketAddr> {
         self.watchers.addresses()
     }
 
-    /// What is known of the agent's own service.
+    /// Returns the view of the agent's own service.
     #[must_use]
     pub const fn view(&self) -> &View {
         &self.view
     }
 
-    /// True where the view is the one that a watcher had when it last answered.
+    /// Returns whether the view equals the one that some watcher had when it
+    /// last answered.
     #[must_use]
     pub fn is_current(&self) -> bool {
         let digest = Some(self.view.digest());
@@ -254,12 +261,12 @@
         watchers.any(|watcher| self.watchers.acknowledged_digest(watcher) == digest)
     }
 
-    /// True where the view changed since the last call.
+    /// Returns whether the view has changed since the last call.
     pub fn changed(&mut self) -> bool {
         std::mem::take(&mut self.changed)
     }
 
-    /// Counters and sizes.
+    /// Returns counters and sizes.
     #[must_use]
     pub fn status(&self) -> Status {
         Status {
@@ -269,8 +276,8 @@
         }
     }
 
-    /// Sends a heartbeat.
-    fn beat(&mut self, receivers: &[SocketAddr], actions: &mut Vec<Action>) {
+    /// Sends a heartbeat to each receiver.
+    fn send_heartbeat(&mut self, receivers: &[SocketAddr], actions: &mut Vec<Action>) {
         self.sequence += 1;
         let watchers = self.watchers.addresses();
         let digest = self.view.digest();
@@ -278,7 +285,8 @@
         let mut differing: Vec<SocketAddr> = receivers.iter().filter(differing).copied().collect();
         self.rng.shuffle(&mut differing);
         for to in receivers {
-            // One of the entries whose view differs sends the difference.
+            // The digests of the parts make one entry whose view differs send
+            // the difference.
             let parts = match differing.first() {
                 Some(first) if first == to => self.view.parts(),
                 _ => Vec::new(),
@@ -295,52 +303,65 @@
         }
     }
 
-    /// Makes the announcement a newer one, and sends it with the next tick.
-    fn renew(&mut self, now: Duration) {
+    /// Raises the version of the announcement and sends it at the next tick.
+    fn bump_version(&mut self, now: Duration) {
         self.target.version += 1;
-        self.announced = self.sequence + 1;
+        self.announced_sequence = self.sequence + 1;
         self.changed |= self.view.merge_target(self.target.clone()).is_ok();
         self.next_heartbeat = now;
     }
 
-    fn ack(&mut self, now: Duration, from: SocketAddr, ack: Ack, actions: &mut Vec<Action>) {
+    fn receive_ack(
+        &mut self,
+        now: Duration,
+        from: SocketAddr,
+        ack: Ack,
+        actions: &mut Vec<Action>,
+    ) {
         if ack.incarnation != self.target.incarnation || ack.sequence > self.sequence {
             return self.link.refuse(Refusal::Unexpected);
         }
-        // Who was not heard for long may have been forgotten.
-        let unheard = now.saturating_sub(self.acknowledged);
-        self.acknowledged = now;
+        // The entries may have removed a target that they did not hear for
+        // long.
+        let unheard = now.saturating_sub(self.last_acknowledged);
+        self.last_acknowledged = now;
         if unheard > REANNOUNCE_AFTER {
-            self.renew(now);
+            self.bump_version(now);
         }
         let moved = self.watchers.acknowledge(now, from, ack);
         if !moved.is_empty() {
-            self.beat(&moved, actions);
+            self.send_heartbeat(&moved, actions);
         }
     }
 
-    fn members(&mut self, members: Members) {
+    fn receive_members(&mut self, members: Members) {
         if let Some(config) = members.config {
             self.changed |= self.view.merge_config(config).is_ok();
         }
         for member in members.members {
-            self.member(member);
+            self.merge_member(member);
         }
     }
 
-    /// Fetches a large configuration that is newer than the one held.
-    fn offer(&mut self, now: Duration, from: SocketAddr, offer: Offer, actions: &mut Vec<Action>) {
+    /// Fetches a large configuration that is newer than the held one.
+    fn receive_offer(
+        &mut self,
+        now: Duration,
+        from: SocketAddr,
+        offer: Offer,
+        actions: &mut Vec<Action>,
+    ) {
         let held = self.view.config.as_ref();
         if held.is_some_and(|held| held.revision >= offer.revision) {
             return;
         }
-        if let Some(request) = self.assembler.begin(now, from, offer) {
+        if let Some(request) = self.assembler.start(now, from, offer) {
             self.link
                 .send(request.to, Message::Fetch(request.fetch), actions);
         }
     }
 
-    fn member(&mut self, member: Member) {
+    fn merge_member(&mut self, member: Member) {
         let (id, stamp) = (member.target.id, member.target.stamp());
         if member.target.service != self.target.service {
             return;
@@ -349,7 +370,7 @@
             self.successor = Some(stamp.incarnation);
             return;
         }
-        // This agent knows best what it announces.
+        // The agent's own announcement is authoritative.
         if id != self.target.id {
             self.changed |= self.view.merge_target(member.target).is_ok();
         }
@@ -359,8 +380,8 @@
         }
     }
 
-    /// Forgets the departed and silent targets that the entry has dropped.
-    fn roll(&mut self, roll: &Roll) {
+    /// Removes the departed and silent targets that the entry no longer lists.
+    fn receive_roll(&mut self, roll: &Roll) {
         let part = self.view.part(roll.part.into()).iter();
         let dropped: Vec<u64> = part
             .filter(|member| member.target.state == State::Left || member.health != Health::Up)
--- a/coordination/member/src/announcer/watchers.rs
+++ b/coordination/member/src/announcer/watchers.rs
@@ -1,4 +1,5 @@
-//! The entries that watch an agent, and what replaces those that do not answer.
+//! Entries that watch an agent, and the replacement of those that do not
+//! answer.
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,37 +11,39 @@
 use crate::message::Ack;
 use crate::message::Sequence;
 
-/// Entries that an agent remembers, beside its seeds.
+/// Largest number of entries that an agent remembers beside its seeds.
 const MAX_CONTACTS: usize = 16;
 
-/// Entries that are asked at a time where no watcher answers.
-const ASKED_CONTACTS: usize = 3;
+/// Largest number of further entries that receive heartbeats while no watcher
+/// answers.
+const MAX_FALLBACKS: usize = 3;
 
-/// Silences after which an entry that did not answer is tried again.
-const FORGIVE_SILENCES: u32 = 10;
+/// Multiple of the silence setting after which an unresponsive entry is tried
+/// again.
+const RETRY_SILENCES: u32 = 10;
 
-/// The watchers of an agent.
+/// Watchers of an agent, and the entries that may replace them.
 #[derive(Debug)]
 pub struct Watchers {
     seeds: Vec<SocketAddr>,
     contacts: Vec<SocketAddr>,
     current: Vec<Watcher>,
-    asked: Vec<SocketAddr>,
-    mute: BTreeMap<SocketAddr, Duration>,
+    fallbacks: Vec<SocketAddr>,
+    unresponsive: BTreeMap<SocketAddr, Duration>,
     suggestion: Option<Suggestion>,
     settings: Settings,
-    changed: Option<Duration>,
+    last_change: Option<Duration>,
 }
 
 #[derive(Debug)]
 struct Watcher {
     address: SocketAddr,
-    answered: Duration,
+    last_answer: Duration,
     sequence: Sequence,
     digest: Option<Digest>,
 }
 
-/// The watchers that an entry would choose.
+/// Watchers that an entry suggested in an acknowledgement.
 #[derive(Debug)]
 struct Suggestion {
     from: SocketAddr,
@@ -48,8 +51,8 @@
 }
 
 impl Watchers {
-    /// Begins with some of the seeds as watchers, so that no announcement goes
-    /// unwatched.
+    /// Starts with some of the seeds as watchers, so that every announcement is
+    /// watched from the start.
     #[must_use]
     pub fn new(settings: Settings, seeds: Vec<SocketAddr>, now: Duration, rng: &mut Rng) -> Self {
         let mut first = seeds.clone();
@@ -59,20 +62,20 @@
             seeds,
             contacts: Vec::new(),
             current: Vec::new(),
-            asked: Vec::new(),
-            mute: BTreeMap::new(),
+            fallbacks: Vec::new(),
+            unresponsive: BTreeMap::new(),
             suggestion: None,
             settings,
-            changed: None,
+            last_change: None,
         };
-        watchers.adopt(now, &first);
-        // The first answer may change the watchers at once.
-        watchers.changed = None;
+        watchers.set_watchers(now, &first);
+        // The first acknowledgement may change the watchers at once.
+        watchers.last_change = None;
         watchers
     }
 
-    /// Takes further seeds; true where no watcher has answered yet.
-    pub fn know(&mut self, now: Duration, entries: &[SocketAddr], rng: &mut Rng) -> bool {
+    /// Adds seeds; returns whether no watcher has answered yet.
+    pub fn add_seeds(&mut self, now: Duration, entries: &[SocketAddr], rng: &mut Rng) -> bool {
         for entry in entries {
             if !self.seeds.contains(entry) {
                 self.seeds.push(*entry);
@@ -82,34 +85,35 @@
             let mut first = self.seeds.clone();
             rng.shuffle(&mut first);
             first.truncate(self.settings.watchers);
-            self.adopt(now, &first);
+            self.set_watchers(now, &first);
         }
         !self.current.iter().any(|held| held.digest.is_some())
     }
 
-    /// The watchers.
+    /// Returns the addresses of the watchers.
     #[must_use]
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.current.iter().map(|held| held.address).collect()
     }
 
-    /// Where the next heartbeat goes.
+    /// Returns the receivers of the next heartbeat.
     #[must_use]
     pub fn receivers(&self) -> Vec<SocketAddr> {
         let mut receivers = self.addresses();
-        let asked = self.asked.iter().copied();
+        let asked = self.fallbacks.iter().copied();
         receivers.extend(asked.filter(|asked| !self.is_current(*asked)));
         receivers
     }
 
-    /// Digest of the view that a watcher acknowledged last.
+    /// Returns the view digest in the last acknowledgement of a watcher.
     #[must_use]
     pub fn acknowledged_digest(&self, watcher: SocketAddr) -> Option<Digest> {
         let mut current = self.current.iter();
         current.find(|held| held.address == watcher)?.digest
     }
 
-    /// True where most watchers have acknowledged this heartbeat or a later one.
+    /// Returns whether most watchers have acknowledged this heartbeat or a
+    /// later one.
     #[must_use]
     pub fn most_acknowledged(&self, sequence: Sequence) -> bool {
         let current = self.current.iter();
@@ -117,50 +121,51 @@
         2 * count > self.current.len()
     }
 
-    /// True where most watchers have answered at least once.
+    /// Returns whether most watchers have answered at least once.
     #[must_use]
     pub fn most_answered(&self) -> bool {
         let answered = self.current.iter().filter(|held| held.digest.is_some());
         2 * answered.count() > self.current.len()
     }
 
-    /// Notes who does not answer, and chooses other entries to ask.
-    pub fn check(&mut self, now: Duration, rng: &mut Rng) {
+    /// Marks the watchers that do not answer as unresponsive. Where no watcher
+    /// answers, chooses other entries that receive heartbeats too.
+    pub fn check_answers(&mut self, now: Duration, rng: &mut Rng) {
         let silence = self.settings.silence;
-        let forgive = silence * FORGIVE_SILENCES;
-        self.mute
+        let forgive = silence * RETRY_SILENCES;
+        self.unresponsive
             .retain(|_, since| now.saturating_sub(*since) < forgive);
         let mut is_answered = false;
         for held in &self.current {
-            if now.saturating_sub(held.answered) > silence {
-                self.mute.entry(held.address).or_insert(now);
+            if now.saturating_sub(held.last_answer) > silence {
+                self.unresponsive.entry(held.address).or_insert(now);
             } else {
                 is_answered |= held.digest.is_some();
             }
         }
-        self.asked.clear();
+        self.fallbacks.clear();
         if is_answered {
             return;
         }
         let mut others: Vec<SocketAddr> = self.seeds.clone();
         others.extend(self.contacts.iter().filter(|one| !self.seeds.contains(one)));
         rng.shuffle(&mut others);
-        others.sort_by_key(|other| self.mute.contains_key(other));
-        others.truncate(ASKED_CONTACTS);
-        self.asked = others;
+        others.sort_by_key(|other| self.unresponsive.contains_key(other));
+        others.truncate(MAX_FALLBACKS);
+        self.fallbacks = others;
     }
 
-    /// Takes an acknowledgement. Where the watchers change, returns whom to
-    /// tell: the new ones and the former ones.
+    /// Processes an acknowledgement. Where it changes the watchers, returns the
+    /// new and the former ones, which all need a heartbeat.
     pub fn acknowledge(&mut self, now: Duration, from: SocketAddr, ack: Ack) -> Vec<SocketAddr> {
         let count = self.settings.watchers;
-        self.mute.remove(&from);
+        self.unresponsive.remove(&from);
         if let Some(held) = self.current.iter_mut().find(|held| held.address == from) {
-            held.answered = now;
+            held.last_answer = now;
             held.sequence = held.sequence.max(ack.sequence);
             held.digest = Some(ack.digest);
         }
-        self.remember(&ack.watchers);
+        self.add_contacts(&ack.watchers);
         let wanted = self.wanted(from, ack.watchers, count);
         if self.is_same(&wanted) {
             self.suggestion = None;
@@ -172,10 +177,11 @@
             || self
                 .addresses()
                 .iter()
-                .any(|held| self.mute.contains_key(held));
-        // Entries whose views differ must not make the agent change to and fro.
+                .any(|held| self.unresponsive.contains_key(held));
+        // Entries whose views differ must not make the agent switch back and
+        // forth.
         let is_early = self
-            .changed
+            .last_change
             .is_some_and(|changed| now < changed + self.settings.heartbeat);
         if is_early || !(is_agreed || needs_change) {
             self.suggestion = Some(Suggestion {
@@ -184,17 +190,17 @@
             });
             return Vec::new();
         }
-        self.adopt(now, &wanted)
+        self.set_watchers(now, &wanted)
     }
 
-    /// The suggested watchers, without those that do not answer.
+    /// Returns the suggested watchers without the unresponsive ones.
     fn wanted(
         &self,
         from: SocketAddr,
         mut suggested: Vec<SocketAddr>,
         count: usize,
     ) -> Vec<SocketAddr> {
-        suggested.retain(|one| !self.mute.contains_key(one));
+        suggested.retain(|one| !self.unresponsive.contains_key(one));
         if suggested.len() < count && !suggested.contains(&from) {
             suggested.push(from);
         }
@@ -202,7 +208,7 @@
         suggested
     }
 
-    fn adopt(&mut self, now: Duration, wanted: &[SocketAddr]) -> Vec<SocketAddr> {
+    fn set_watchers(&mut self, now: Duration, wanted: &[SocketAddr]) -> Vec<SocketAddr> {
         let mut receivers = wanted.to_vec();
         let mut kept = Vec::new();
         for held in std::mem::take(&mut self.current) {
@@ -216,19 +222,19 @@
             if !kept.iter().any(|held| held.address == address) {
                 kept.push(Watcher {
                     address,
-                    answered: now,
+                    last_answer: now,
                     sequence: 0,
                     digest: None,
                 });
             }
         }
         self.current = kept;
-        self.changed = Some(now);
-        self.asked.clear();
+        self.last_change = Some(now);
+        self.fallbacks.clear();
         receivers
     }
 
-    fn remember(&mut self, entries: &[SocketAddr]) {
+    fn add_contacts(&mut self, entries: &[SocketAddr]) {
         for entry in entries {
             self.contacts.retain(|held| held != entry);
             self.contacts.insert(0, *entry);
--- a/coordination/member/src/budget.rs
+++ b/coordination/member/src/budget.rs
@@ -1,51 +1,51 @@
-//! Paces what is sent to a number of bytes a second.
+//! Rate limit in bytes per second.
 use std::time::Duration;
 
-/// Seconds of the rate that may be saved up.
-const BURST: u64 = 2;
+/// Capacity of the bucket, in seconds of its rate.
+const BURST_SECONDS: u64 = 2;
 
-const MICROS: u64 = 1_000_000;
+const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// A token bucket in bytes. Urgent messages may overdraw it; bulk waits.
+/// Token bucket in bytes. Urgent messages may overdraw it; bulk messages wait.
 #[derive(Debug)]
 pub struct Budget {
     rate: u64,
     tokens: i64,
-    refilled: Duration,
+    last_refill: Duration,
 }
 
 impl Budget {
-    /// Allows `rate` bytes a second.
+    /// Creates a full bucket that refills at `rate` bytes per second.
     #[must_use]
     pub fn new(rate: u32, now: Duration) -> Self {
         let rate = u64::from(rate);
         Self {
             rate,
-            tokens: signed(rate * BURST),
-            refilled: now,
+            tokens: signed(rate * BURST_SECONDS),
+            last_refill: now,
         }
     }
 
-    /// Adds what has become available since the last call.
+    /// Adds the tokens earned since the last call.
     pub fn refill(&mut self, now: Duration) {
         let elapsed = now
-            .saturating_sub(self.refilled)
-            .min(Duration::from_secs(BURST));
+            .saturating_sub(self.last_refill)
+            .min(Duration::from_secs(BURST_SECONDS));
         let micros = u64::try_from(elapsed.as_micros()).unwrap_or(u64::MAX);
-        let earned = micros * self.rate / MICROS;
+        let earned = micros * self.rate / MICROS_PER_SECOND;
         if earned == 0 {
             return;
         }
-        self.refilled = now;
-        self.tokens = (self.tokens + signed(earned)).min(signed(self.rate * BURST));
+        self.last_refill = now;
+        self.tokens = (self.tokens + signed(earned)).min(signed(self.rate * BURST_SECONDS));
     }
 
-    /// Takes the bytes of a message that is sent in any case.
+    /// Withdraws the bytes of a message, below zero if need be.
     pub fn charge(&mut self, bytes: u64) {
         self.tokens -= signed(bytes);
     }
 
-    /// True while bulk may be sent.
+    /// Returns whether bulk messages may be sent.
     #[must_use]
     pub const fn allows_bulk(&self) -> bool {
         self.tokens > 0
--- a/coordination/member/src/directory.rs
+++ b/coordination/member/src/directory.rs
@@ -1,8 +1,8 @@
-//! Everything an entry knows: services, targets, entries and what is said of
+//! Directory of an entry: services, targets, entries, and the statements about
 //! them.
 //!
 //! Each record is versioned. Merging is idempotent and does not depend on the
-//! order of arrival, so that directories which exchanged their records agree.
+//! order of arrival, so directories that have exchanged their records agree.
 mod expiry;
 mod verdict;
 
@@ -24,7 +24,6 @@
 use crate::Record;
 use crate::Refusal;
 use crate::View;
-use crate::choice::Candidate;
 use crate::digest;
 use crate::digest::Digest;
 use crate::record::Key;
@@ -34,45 +33,46 @@
 use crate::record::report_key;
 use crate::record::service_key;
 use crate::record::suspicion_key;
+use crate::rendezvous::Candidate;
 use crate::statements::Statements;
 use crate::tree::Tree;
 use crate::zones::Zones;
-use expiry::Dropped;
+use expiry::Tombstone;
 use expiry::entry_stamp;
-use verdict::Contest;
+use verdict::AnswerWindow;
 
-/// Changes of targets that are remembered for agents.
-const MAX_RECENT: usize = 512;
+/// Largest number of recent changes that are kept to be sent to agents.
+const MAX_RECENT_CHANGES: usize = 512;
 
-/// Versioned records and the verdicts that follow from them.
+/// Versioned records and the verdicts derived from them.
 #[derive(Debug, Default)]
 pub struct Directory {
     views: Vec<View>,
     services: BTreeMap<ServiceAddress, ServiceIndex>,
-    hosts: BTreeMap<Key, Host>,
+    entry_states: BTreeMap<Key, EntryState>,
     statements: Statements,
     zones: Zones,
     slots: BTreeMap<Key, Slot>,
     tree: Tree,
-    dirty: BTreeSet<ServiceAddress>,
-    changes: BTreeSet<ServiceAddress>,
+    dirty_services: BTreeSet<ServiceAddress>,
+    changed_services: BTreeSet<ServiceAddress>,
     recent: VecDeque<Change>,
-    contests: BTreeMap<SubjectId, Contest>,
-    silent_since: BTreeMap<Key, Duration>,
-    dropped: BTreeMap<Key, Dropped>,
-    stale_hosts: bool,
+    answer_windows: BTreeMap<SubjectId, AnswerWindow>,
+    gone_since: BTreeMap<Key, Duration>,
+    tombstones: BTreeMap<Key, Tombstone>,
+    entries_dirty: bool,
     generation: u64,
     now: Duration,
 }
 
-/// An entry and whether it is held to be running.
+/// Entry and whether it counts as running.
 #[derive(Debug)]
-struct Host {
+struct EntryState {
     entry: Entry,
     live: bool,
 }
 
-/// A target or an entry.
+/// Properties that targets and entries have in common.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Process {
     /// UDP address.
@@ -81,21 +81,21 @@
     pub zone: ZoneId,
     /// Its incarnation.
     pub incarnation: Incarnation,
-    /// True once it announced its departure.
+    /// True once it has announced its departure.
     pub has_left: bool,
 }
 
-/// Where a record is held, and the digest of its version.
+/// Location of a record, and the digest of its version.
 #[derive(Debug)]
 struct Slot {
     place: Place,
     digest: Digest,
 }
 
-/// Position of a view among all views.
+/// Index of a view among all views.
 type ServiceIndex = u32;
 
-/// The place of a record, small since there is one for each target.
+/// Location of a record; small, since there is one for each target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Place {
     Service(ServiceIndex),
@@ -117,7 +117,7 @@
     observer: SocketAddr,
 }
 
-/// A change of a target, or of the configuration where there is none.
+/// Change of a target, or of the configuration where `target` is `None`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Change {
     service: ServiceAddress,
@@ -125,24 +125,24 @@
 }
 
 impl Directory {
-    /// Tells the time of the events that follow.
-    pub const fn advance(&mut self, now: Duration) {
+    /// Sets the time of the events that follow.
+    pub const fn set_now(&mut self, now: Duration) {
         self.now = now;
     }
 
-    /// Takes a record where it is newer than the one held.
+    /// Merges a record if it is newer than the held one.
     ///
     /// # Errors
     ///
-    /// The reason why it was not taken.
+    /// Returns the reason for which the record was refused.
     pub fn merge(&mut self, record: Record) -> Result<(), Refusal> {
         let key = record.key();
-        let digest = digest::item(&record);
+        let digest = digest::of(&record);
         let place = match record {
             Record::Service(service) => {
                 let address = service.address;
                 self.view_mut(address).merge_config(service)?;
-                self.note(address, None);
+                self.add_change(address, None);
                 Place::Service(self.index(address))
             }
             Record::Target(target) => self.merge_target(target)?,
@@ -151,26 +151,26 @@
             Record::Report(report) => self.merge_report(report)?,
             Record::Removal(removal) => return self.merge_removal(&removal),
         };
-        self.put_slot(key, place, digest);
+        self.set_slot(key, place, digest);
         Ok(())
     }
 
     fn merge_target(&mut self, target: Target) -> Result<Place, Refusal> {
         let (id, address, incarnation) = (target.id, target.service, target.incarnation);
-        self.check_dropped(id, target.stamp())?;
+        self.check_tombstone(id, target.stamp())?;
         let held = self.incarnation(id);
         self.view_mut(address).merge_target(target)?;
         if held.is_some_and(|held| held < incarnation) {
             self.forget_statements(id);
         }
-        self.note(address, Some(id));
-        self.dirty.insert(address);
+        self.add_change(address, Some(id));
+        self.dirty_services.insert(address);
         Ok(Place::Target(self.index(address)))
     }
 
     fn merge_entry(&mut self, key: Key, entry: Entry) -> Result<Place, Refusal> {
-        self.check_dropped(key, entry_stamp(&entry))?;
-        match self.hosts.get(&key).map(|host| &host.entry) {
+        self.check_tombstone(key, entry_stamp(&entry))?;
+        match self.entry_states.get(&key).map(|host| &host.entry) {
             Some(held) if held.incarnation > entry.incarnation => {
                 return Err(Refusal::OldIncarnation);
             }
@@ -179,9 +179,9 @@
             _ => {}
         }
         let live = !entry.left;
-        self.hosts.insert(key, Host { entry, live });
+        self.entry_states.insert(key, EntryState { entry, live });
         self.generation += 1;
-        self.stale_hosts = true;
+        self.entries_dirty = true;
         Ok(Place::Entry)
     }
 
@@ -195,7 +195,7 @@
         for replaced in self.statements.merge(suspicion)? {
             self.clear_slot(suspicion_key(replaced.subject, replaced.observer));
         }
-        self.stale_subject(subject);
+        self.mark_dirty(subject);
         Ok(Place::Suspicion(Box::new(SuspicionPlace {
             subject,
             observer,
@@ -210,11 +210,11 @@
         Ok(Place::Report(Box::new(ReportPlace { zone, observer })))
     }
 
-    /// The record under a key.
+    /// Returns the record under a key, or its removal where it was removed.
     #[must_use]
     pub fn record(&self, key: Key) -> Option<Record> {
         let Some(slot) = self.slots.get(&key) else {
-            return self.dropped_record(key);
+            return self.removal_record(key);
         };
         Some(match &slot.place {
             Place::Service(index) => Record::Service(self.view_at(*index)?.config.clone()?),
@@ -233,13 +233,13 @@
         })
     }
 
-    /// Keys and digests of the records in a range of keys.
+    /// Returns the keys and digests of the records in a range of keys.
     pub fn range(&self, first: Key, last: Key) -> impl Iterator<Item = (Key, Digest)> {
         let slots = self.slots.range(first..=last);
         slots.map(|(key, slot)| (*key, slot.digest))
     }
 
-    /// Keys of everything about a service.
+    /// Returns the keys of the configuration and the targets of a service.
     #[must_use]
     pub fn service_keys(&self, address: ServiceAddress) -> Vec<Key> {
         let Some(view) = self.view(&address) else {
@@ -250,19 +250,19 @@
         keys
     }
 
-    /// The digests of all records.
+    /// Returns the digest tree of all records.
     #[must_use]
     pub const fn tree(&self) -> &Tree {
         &self.tree
     }
 
-    /// The incarnation of a target or entry.
+    /// Returns the incarnation of a target or entry.
     #[must_use]
     pub fn incarnation(&self, subject: SubjectId) -> Option<Incarnation> {
         self.process(subject).map(|process| process.incarnation)
     }
 
-    /// What targets and entries have in common.
+    /// Returns the properties that targets and entries have in common.
     #[must_use]
     pub fn process(&self, subject: SubjectId) -> Option<Process> {
         match self.slots.get(&subject)?.place {
@@ -282,13 +282,13 @@
         }
     }
 
-    /// Number of records.
+    /// Returns the number of records.
     #[must_use]
     pub fn len(&self) -> usize {
         self.slots.len()
     }
 
-    /// At most `count` keys, the first of which is larger than `last`.
+    /// Returns the first `count` keys that are larger than `last`.
     #[must_use]
     pub fn keys_after(&self, last: Key, count: usize) -> Vec<Key> {
         let after = (Bound::Excluded(last), Bound::Unbounded);
@@ -296,7 +296,7 @@
         keys.take(count).collect()
     }
 
-    /// The target with this id.
+    /// Returns the target with this id.
     #[must_use]
     pub fn target(&self, id: TargetId) -> Option<&Target> {
         let Place::Target(index) = self.slots.get(&id)?.place else {
@@ -306,33 +306,34 @@
         Some(&member.target)
     }
 
-    /// The entry under this key.
+    /// Returns the entry under this key.
     #[must_use]
     pub fn entry(&self, key: Key) -> Option<&Entry> {
-        self.hosts.get(&key).map(|host| &host.entry)
+        self.entry_states.get(&key).map(|host| &host.entry)
     }
 
-    /// What watchers say.
+    /// Returns the statements of watchers about processes.
     #[must_use]
     pub const fn statements(&self) -> &Statements {
         &self.statements
     }
 
-    /// What observers say of zones.
+    /// Returns the reports of observers on zones, and the lost zones.
     #[must_use]
     pub const fn zones(&self) -> &Zones {
         &self.zones
     }
 
-    /// Counts the changes of the set of running entries.
+    /// Returns a counter that rises whenever the entries or their liveness
+    /// change.
     #[must_use]
     pub const fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// The entries held to be running.
+    /// Returns the running entries.
     pub fn live_entries(&self) -> impl Iterator<Item = Candidate> {
-        let live = self.hosts.iter().filter(|(_, host)| host.live);
+        let live = self.entry_states.iter().filter(|(_, host)| host.live);
         live.map(|(key, host)| Candidate {
             key: *key,
             address: host.entry.address,
@@ -340,8 +341,8 @@
         })
     }
 
-    /// The targets of a service that changed lately, and `None` for its
-    /// configuration.
+    /// Returns the targets of a service that changed recently, and `None` for
+    /// its configuration.
     pub fn recent(&self, service: ServiceAddress) -> BTreeSet<Option<TargetId>> {
         let changes = self.recent.iter();
         changes
@@ -350,26 +351,28 @@
             .collect()
     }
 
-    /// The services whose view changed since the last call.
+    /// Returns the services whose view changed since the last call.
     pub fn take_changes(&mut self) -> Vec<ServiceAddress> {
-        std::mem::take(&mut self.changes).into_iter().collect()
+        std::mem::take(&mut self.changed_services)
+            .into_iter()
+            .collect()
     }
 
-    /// The view of a service.
+    /// Returns the view of a service.
     #[must_use]
     pub fn view(&self, address: &ServiceAddress) -> Option<&View> {
         self.view_at(*self.services.get(address)?)
     }
 
-    /// All views.
+    /// Returns all views.
     pub fn views(&self) -> impl Iterator<Item = &View> {
         let indices = self.services.values();
         indices.filter_map(|index| self.view_at(*index))
     }
 
-    /// All entries, departed and silent ones included.
+    /// Returns all entries, including departed and silent ones.
     pub fn entries(&self) -> impl Iterator<Item = &Entry> {
-        self.hosts.values().map(|host| &host.entry)
+        self.entry_states.values().map(|host| &host.entry)
     }
 
     fn view_at(&self, index: ServiceIndex) -> Option<&View> {
@@ -381,7 +384,7 @@
         &mut self.views[index as usize]
     }
 
-    /// Position of the view of a service, which begins to exist if need be.
+    /// Returns the index of the view of a service, which is created if missing.
     fn index(&mut self, address: ServiceAddress) -> ServiceIndex {
         let views = &mut self.views;
         *self.services.entry(address).or_insert_with(|| {
@@ -390,9 +393,9 @@
         })
     }
 
-    fn note(&mut self, service: ServiceAddress, target: Option<TargetId>) {
-        self.changes.insert(service);
-        self.recent.truncate(MAX_RECENT - 1);
+    fn add_change(&mut self, service: ServiceAddress, target: Option<TargetId>) {
+        self.changed_services.insert(service);
+        self.recent.truncate(MAX_RECENT_CHANGES - 1);
         self.recent.push_front(Change { service, target });
     }
 
@@ -400,10 +403,10 @@
         for statement in self.statements.remove(subject) {
             self.clear_slot(suspicion_key(subject, statement.observer));
         }
-        self.stale_subject(subject);
+        self.mark_dirty(subject);
     }
 
-    fn put_slot(&mut self, key: Key, place: Place, digest: Digest) {
+    fn set_slot(&mut self, key: Key, place: Place, digest: Digest) {
         let old = self.slots.insert(key, Slot { place, digest });
         self.tree
             .replace(key, old.map_or(0, |old| old.digest), digest);
--- a/coordination/member/src/directory/expiry.rs
+++ b/coordination/member/src/directory/expiry.rs
@@ -1,4 +1,5 @@
-//! Drops what has been silent or departed for long, and does not take it back.
+//! Removal of records that have been silent or departed for long, and
+//! tombstones that keep them from returning.
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -14,66 +15,68 @@
 use crate::record::Key;
 use crate::record::Removal;
 
-/// Dropped records that are remembered.
-const MAX_DROPPED: usize = 50_000;
+/// Largest number of tombstones.
+const MAX_TOMBSTONES: usize = 50_000;
 
-/// A record that was dropped.
+/// Tombstone of a removed record.
 #[derive(Debug)]
-pub struct Dropped {
+pub struct Tombstone {
     stamp: Stamp,
-    at: Duration,
+    removed_at: Duration,
 }
 
 impl Directory {
-    /// Drops what has been silent or departed for longer than `retention`;
-    /// what others are to drop too, whenever they learned of it.
+    /// Removes records that have been silent or departed for longer than
+    /// `retention`. Returns the removals for gossip, since other entries may
+    /// have learned of the silence at other times.
     pub fn expire(&mut self, now: Duration, retention: Duration) -> Vec<Record> {
-        let hosts = self.hosts.iter().filter(|(_, host)| {
+        let hosts = self.entry_states.iter().filter(|(_, host)| {
             !host.live && (host.entry.left || !self.zones.is_lost(host.entry.zone))
         });
         let gone: BTreeSet<Key> = hosts.map(|(key, _)| *key).collect();
         for key in &gone {
-            self.silent_since.entry(*key).or_insert(now);
+            self.gone_since.entry(*key).or_insert(now);
         }
-        self.silent_since
-            .retain(|key, _| gone.contains(key) || !self.hosts.contains_key(key));
-        let old = self.silent_since.iter();
+        self.gone_since
+            .retain(|key, _| gone.contains(key) || !self.entry_states.contains_key(key));
+        let old = self.gone_since.iter();
         let expired: Vec<Key> = old
             .filter(|(_, since)| now.saturating_sub(**since) > retention)
             .map(|(key, _)| *key)
             .collect();
         for key in &expired {
-            self.drop_record(now, *key);
+            self.remove_record(now, *key);
         }
-        self.dropped
-            .retain(|_, dropped| now.saturating_sub(dropped.at) <= retention);
+        self.tombstones
+            .retain(|_, dropped| now.saturating_sub(dropped.removed_at) <= retention);
         let dropped = expired.into_iter();
-        dropped.filter_map(|key| self.dropped_record(key)).collect()
+        dropped.filter_map(|key| self.removal_record(key)).collect()
     }
 
-    /// Begins all silences anew, after a pause of this process.
-    pub fn restart_silences(&mut self, now: Duration) {
-        for since in self.silent_since.values_mut() {
+    /// Restarts all silences at `now`, after a pause of this process.
+    pub fn reset_silence(&mut self, now: Duration) {
+        for since in self.gone_since.values_mut() {
             *since = now;
         }
     }
 
-    /// Drops what another entry dropped, unless it is heard here.
+    /// Removes a record that another entry removed, unless it counts as running
+    /// here.
     pub(super) fn merge_removal(&mut self, removal: &Removal) -> Result<(), Refusal> {
         let key = removal.subject;
         match self.stamp(key) {
             Some(held) if held > removal.stamp || !self.is_gone(key) => Err(Refusal::Stale),
             Some(_) => {
-                self.drop_record(self.now, key);
+                self.remove_record(self.now, key);
                 Ok(())
             }
             None => Err(Refusal::UnknownSubject),
         }
     }
 
-    /// The statement that a record was dropped.
-    pub(super) fn dropped_record(&self, key: Key) -> Option<Record> {
-        let stamp = self.dropped.get(&key)?.stamp;
+    /// Returns the removal of a record that has a tombstone.
+    pub(super) fn removal_record(&self, key: Key) -> Option<Record> {
+        let stamp = self.tombstones.get(&key)?.stamp;
         Some(Record::Removal(Removal {
             subject: key,
             stamp,
@@ -85,9 +88,9 @@
         target.or_else(|| self.entry(key).map(entry_stamp))
     }
 
-    /// True for a target or entry that has left or is held to be silent.
+    /// Returns whether a target or entry has left or counts as silent.
     fn is_gone(&self, key: Key) -> bool {
-        if let Some(host) = self.hosts.get(&key) {
+        if let Some(host) = self.entry_states.get(&key) {
             return !host.live;
         }
         let target = self.target(key);
@@ -97,35 +100,41 @@
             .is_some_and(|member| member.target.state == State::Left || member.health != Health::Up)
     }
 
-    fn drop_record(&mut self, now: Duration, key: Key) {
-        self.silent_since.remove(&key);
+    fn remove_record(&mut self, now: Duration, key: Key) {
+        self.gone_since.remove(&key);
         let Some(stamp) = self.stamp(key) else {
             return;
         };
         if let Some(address) = self.target(key).map(|target| target.service) {
             self.view_mut(address).remove(key);
-            self.changes.insert(address);
+            self.changed_services.insert(address);
         }
-        self.hosts.remove(&key);
+        self.entry_states.remove(&key);
         self.generation += 1;
         self.forget_statements(key);
         self.clear_slot(key);
-        if self.dropped.len() < MAX_DROPPED {
+        if self.tombstones.len() < MAX_TOMBSTONES {
             let at = now;
-            self.dropped.insert(key, Dropped { stamp, at });
+            self.tombstones.insert(
+                key,
+                Tombstone {
+                    stamp,
+                    removed_at: at,
+                },
+            );
         }
     }
 
-    /// Refuses what was dropped.
-    pub(super) fn check_dropped(&self, key: Key, stamp: Stamp) -> Result<(), Refusal> {
-        match self.dropped.get(&key) {
+    /// Refuses a record that is not newer than its tombstone.
+    pub(super) fn check_tombstone(&self, key: Key, stamp: Stamp) -> Result<(), Refusal> {
+        match self.tombstones.get(&key) {
             Some(dropped) if dropped.stamp >= stamp => Err(Refusal::Departed),
             _ => Ok(()),
         }
     }
 }
 
-/// Position of a statement in the history of an entry.
+/// Returns the version stamp of an entry, as removals carry it.
 pub fn entry_stamp(entry: &Entry) -> Stamp {
     Stamp {
         incarnation: entry.incarnation,
--- a/coordination/member/src/directory/verdict.rs
+++ b/coordination/member/src/directory/verdict.rs
@@ -1,4 +1,5 @@
-//! Verdicts on processes, entries and services from what is stated of them.
+//! Verdicts on processes and services, derived from statements and zone
+//! reports.
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,7 +9,7 @@
 use wire::target::State;
 
 use super::Directory;
-use super::Host;
+use super::EntryState;
 use super::Place;
 use crate::Health;
 use crate::message::Sequence;
@@ -17,44 +18,44 @@
 use crate::record::entry_key;
 use crate::zones::Scope;
 
-/// A process that is suspected, and whose other watchers may still answer.
+/// Time in which the other watchers of a suspected process may still answer.
 #[derive(Debug)]
-pub struct Contest {
+pub struct AnswerWindow {
     suspected: Sequence,
     since: Duration,
     may_answer: bool,
 }
 
 impl Directory {
-    /// Judges again whatever the records merged since the last call touch.
-    pub fn judge(&mut self, now: Duration, scope: &Scope) {
-        let hosts = &self.hosts;
-        let changed = self.zones.judge(now, scope, |report| {
+    /// Updates the verdicts affected by the records merged since the last call.
+    pub fn update_verdicts(&mut self, now: Duration, scope: &Scope) {
+        let hosts = &self.entry_states;
+        let changed = self.zones.update_lost(now, scope, |report| {
             let host = hosts.get(&entry_key(report.observer));
             host.is_some_and(|host| host.live && host.entry.incarnation == report.incarnation)
         });
-        self.review_contests(now, scope.answer);
+        self.update_answer_windows(now, scope.answer_wait);
         for zone in &changed {
-            self.dirty_zone(*zone);
+            self.mark_zone_dirty(*zone);
         }
-        if self.stale_hosts || !changed.is_empty() {
-            self.judge_hosts();
+        if self.entries_dirty || !changed.is_empty() {
+            self.update_live_entries();
         }
-        for address in std::mem::take(&mut self.dirty) {
-            self.judge_service(now, address);
+        for address in std::mem::take(&mut self.dirty_services) {
+            self.update_service_health(now, address);
         }
     }
 
-    /// Notes since when processes are suspected, and for how long their other
-    /// watchers may answer.
-    fn review_contests(&mut self, now: Duration, answer: Duration) {
+    /// Updates since when each process is suspected, and whether its other
+    /// watchers may still answer.
+    fn update_answer_windows(&mut self, now: Duration, answer: Duration) {
         let mut contests = BTreeMap::new();
         let mut turned = Vec::new();
         for subject in self.statements.subjects() {
-            let Some(suspected) = self.statements.suspected(subject) else {
+            let Some(suspected) = self.statements.suspected_after(subject) else {
                 continue;
             };
-            let held = self.contests.get(&subject);
+            let held = self.answer_windows.get(&subject);
             let since = held
                 .filter(|held| held.suspected == suspected)
                 .map_or(now, |held| held.since);
@@ -64,41 +65,41 @@
             }
             contests.insert(
                 subject,
-                Contest {
+                AnswerWindow {
                     suspected,
                     since,
                     may_answer,
                 },
             );
         }
-        self.contests = contests;
+        self.answer_windows = contests;
         for subject in turned {
-            self.stale_subject(subject);
+            self.mark_dirty(subject);
         }
     }
 
     fn may_answer(&self, subject: SubjectId) -> bool {
-        let contest = self.contests.get(&subject);
+        let contest = self.answer_windows.get(&subject);
         contest.is_none_or(|contest| contest.may_answer)
     }
 
-    fn judge_hosts(&mut self) {
-        self.stale_hosts = false;
+    fn update_live_entries(&mut self) {
+        self.entries_dirty = false;
         let mut turned = Vec::new();
-        for (key, host) in &self.hosts {
+        for (key, host) in &self.entry_states {
             let live = !host.entry.left
                 && !self.zones.is_lost(host.entry.zone)
                 && !self
                     .statements
                     .is_silent(*key, self.may_answer(*key), |watcher| {
-                        is_live(&self.hosts, watcher)
+                        is_live(&self.entry_states, watcher)
                     });
             if live != host.live {
                 turned.push(*key);
             }
         }
         for key in &turned {
-            if let Some(host) = self.hosts.get_mut(key) {
+            if let Some(host) = self.entry_states.get_mut(key) {
                 host.live = !host.live;
             }
         }
@@ -106,21 +107,21 @@
             return;
         }
         self.generation += 1;
-        // The majority among running watchers may have changed.
+        // The majority among the running watchers may have changed.
         let subjects: Vec<SubjectId> = self.statements.subjects().collect();
         for subject in subjects {
-            self.stale_subject(subject);
+            self.mark_dirty(subject);
         }
     }
 
-    fn judge_service(&mut self, now: Duration, address: ServiceAddress) {
+    fn update_service_health(&mut self, now: Duration, address: ServiceAddress) {
         let Some(index) = self.services.get(&address).copied() else {
             return;
         };
         let view = &mut self.views[index as usize];
-        let (statements, zones, hosts) = (&self.statements, &self.zones, &self.hosts);
-        let contests = &self.contests;
-        let turned = view.judge(|target| {
+        let (statements, zones, hosts) = (&self.statements, &self.zones, &self.entry_states);
+        let contests = &self.answer_windows;
+        let turned = view.update_health(|target| {
             target.state != State::Left
                 && (zones.is_lost(target.zone)
                     || statements.is_silent(
@@ -134,38 +135,38 @@
             let gone = member.target.state == State::Left
                 || (member.health != Health::Up && !zones.is_lost(member.target.zone));
             if gone {
-                self.silent_since.entry(id).or_insert(now);
+                self.gone_since.entry(id).or_insert(now);
             } else {
-                self.silent_since.remove(&id);
+                self.gone_since.remove(&id);
             }
         }
         for target in turned {
-            self.note(address, Some(target));
+            self.add_change(address, Some(target));
         }
     }
 
-    /// Has the verdict on a process renewed.
-    pub(super) fn stale_subject(&mut self, subject: SubjectId) {
+    /// Marks the verdict on a process to be updated.
+    pub(super) fn mark_dirty(&mut self, subject: SubjectId) {
         match self.slots.get(&subject).map(|slot| &slot.place) {
             Some(Place::Target(index)) => {
                 let address = self.view_at(*index).map(|view| view.address);
-                self.dirty.extend(address);
+                self.dirty_services.extend(address);
             }
-            Some(Place::Entry) => self.stale_hosts = true,
+            Some(Place::Entry) => self.entries_dirty = true,
             _ => {}
         }
     }
 
-    fn dirty_zone(&mut self, zone: ZoneId) {
+    fn mark_zone_dirty(&mut self, zone: ZoneId) {
         let views = self.views.iter();
         let touched = views.filter(|view| {
             let mut members = view.targets.values();
             members.any(|member| member.target.zone == zone)
         });
-        self.dirty.extend(touched.map(|view| view.address));
+        self.dirty_services.extend(touched.map(|view| view.address));
     }
 }
 
-fn is_live(hosts: &BTreeMap<Key, Host>, address: SocketAddr) -> bool {
+fn is_live(hosts: &BTreeMap<Key, EntryState>, address: SocketAddr) -> bool {
     hosts.get(&entry_key(address)).is_some_and(|host| host.live)
 }
--- a/coordination/member/src/fragment.rs
+++ b/coordination/member/src/fragment.rs
@@ -1,5 +1,5 @@
-//! Configurations that are too large for a datagram: offered by revision,
-//! fetched by who lacks them, and sent in fragments.
+//! Transfer of configurations that are too large for one datagram: offered by
+//! revision, fetched by processes that lack them, and sent in fragments.
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,16 +18,16 @@
 /// Largest number of fragments of one body.
 const MAX_FRAGMENTS: usize = 512;
 
-/// Configurations that are fetched at a time.
+/// Largest number of configurations that are fetched at a time.
 const MAX_ASSEMBLIES: usize = 16;
 
-/// Time without a fragment after which the missing ones are fetched again.
-const RETRY: Duration = Duration::from_millis(500);
+/// Time without a fragment after which the missing ones are requested again.
+const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Times that fragments are fetched again without any that arrived.
+/// Largest number of consecutive retries without a fragment.
 const MAX_RETRIES: u32 = 20;
 
-/// Names a configuration that the sender holds and does not push.
+/// Configuration that the sender holds and does not push.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Offer {
     /// Address of the service.
@@ -36,44 +36,45 @@
     pub revision: Revision,
 }
 
-/// Asks for the fragments of a configuration.
+/// Request for the fragments of a configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fetch {
-    /// What was offered.
+    /// Offered configuration.
     pub offer: Offer,
-    /// Positions of the fragments that the receiver holds already.
+    /// Indices of the fragments that the requester already holds.
     pub held: Vec<u16>,
 }
 
-/// Part of the configuration of a service.
+/// Fragment of the configuration of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fragment {
-    /// The configuration.
+    /// Configuration that the fragment belongs to.
     pub offer: Offer,
-    /// Position of this part, from 0.
+    /// Index of the fragment, from 0.
     pub index: u16,
-    /// Number of parts.
+    /// Number of fragments of the body.
     pub count: u16,
-    /// This part of the body.
+    /// Bytes of the body in this fragment.
     pub bytes: Bytes,
 }
 
-/// A fetch and whom to send it to.
+/// Fetch and its receiver.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// UDP address of the one that offered.
+    /// UDP address of the process that offered the configuration.
     pub to: SocketAddr,
-    /// What to ask for.
+    /// Fetch to send.
     pub fetch: Fetch,
 }
 
-/// True where a configuration is offered, and not part of a record.
+/// Returns whether a configuration is offered instead of sent as part of a
+/// record.
 #[must_use]
 pub const fn is_large(service: &Service) -> bool {
     service.body.len() > MAX_INLINE_BYTES
 }
 
-/// Names a configuration.
+/// Returns the offer of a configuration.
 #[must_use]
 pub const fn offer(service: &Service) -> Offer {
     Offer {
@@ -82,8 +83,8 @@
     }
 }
 
-/// Splits a configuration into the fragments that a fetch asks for; the body
-/// must not exceed 450 KB.
+/// Returns the fragments that a fetch asks for. The body must not exceed 450
+/// KB.
 #[must_use]
 pub fn split(service: &Service, fetch: &Fetch) -> Vec<Fragment> {
     let offer = offer(service);
@@ -112,7 +113,7 @@
     revision: Revision,
     from: SocketAddr,
     parts: BTreeMap<u16, Bytes>,
-    progress: Duration,
+    last_progress: Duration,
     retries: u32,
 }
 
@@ -130,8 +131,10 @@
 }
 
 impl Assembler {
-    /// Begins to fetch what `from` offers, where it is not being fetched.
-    pub fn begin(&mut self, now: Duration, from: SocketAddr, offer: Offer) -> Option<Request> {
+    /// Starts to fetch an offered configuration. Returns the request, or `None`
+    /// where the same or a newer revision is being fetched, or too many
+    /// services are.
+    pub fn start(&mut self, now: Duration, from: SocketAddr, offer: Offer) -> Option<Request> {
         let Offer { address, revision } = offer;
         let held = self.assemblies.get(&address);
         let is_begun = held.is_some_and(|held| held.revision >= revision);
@@ -143,7 +146,7 @@
             revision,
             from,
             parts: BTreeMap::new(),
-            progress: now,
+            last_progress: now,
             retries: 0,
         };
         let request = assembly.request(address);
@@ -151,15 +154,15 @@
         Some(request)
     }
 
-    /// Takes a part that was asked for; the configuration once it is complete.
-    pub fn take(&mut self, now: Duration, fragment: Fragment) -> Option<Service> {
+    /// Adds a fragment; returns the configuration once it is complete.
+    pub fn add_fragment(&mut self, now: Duration, fragment: Fragment) -> Option<Service> {
         let Offer { address, revision } = fragment.offer;
         let count = usize::from(fragment.count);
         let assembly = self.assemblies.get_mut(&address)?;
         if count > MAX_FRAGMENTS || fragment.index >= fragment.count {
             return None;
         }
-        // The sender may have gone on to a newer revision.
+        // The sender may have moved on to a newer revision.
         match assembly.revision {
             wanted if wanted > revision => return None,
             wanted if wanted < revision => {
@@ -168,7 +171,7 @@
             }
             _ => {}
         }
-        assembly.progress = now;
+        assembly.last_progress = now;
         assembly.retries = 0;
         assembly.parts.insert(fragment.index, fragment.bytes);
         if assembly.parts.len() < count {
@@ -182,12 +185,13 @@
         })
     }
 
-    /// Asks again for what did not arrive, a bounded number of times.
-    pub fn overdue(&mut self, now: Duration) -> Vec<Request> {
+    /// Returns the requests that are due again; ends a fetch after its last
+    /// retry.
+    pub fn retry_overdue(&mut self, now: Duration) -> Vec<Request> {
         let mut requests = Vec::new();
         for (address, assembly) in &mut self.assemblies {
-            if now >= assembly.progress + RETRY {
-                assembly.progress = now;
+            if now >= assembly.last_progress + RETRY_INTERVAL {
+                assembly.last_progress = now;
                 assembly.retries += 1;
                 requests.push(assembly.request(*address));
             }
--- a/coordination/member/src/lib.rs
+++ b/coordination/member/src/lib.rs
@@ -1,13 +1,13 @@
-//! Membership: how agents announce their backend servers and how entries hold
-//! the directory of them, detect failures and spread records.
+//! Membership: how agents announce their backend servers, and how entries keep
+//! the directory of targets, detect failures and gossip records.
 //!
 //! * [`Announcer`] runs in an agent. It sends heartbeats to its watchers among
 //!   the entries and keeps the [`View`] of its own service.
 //! * [`Registry`] runs in an entry. It holds the [`View`] of every service.
-//! * [`Message`] is what they exchange, in datagrams.
+//! * [`Message`] is one datagram of the protocol between them.
 //!
-//! Both are state machines without sockets, clocks or threads: events and the
-//! time since an arbitrary origin go in, [`Action`]s come out.
+//! Both are state machines without sockets, clocks or threads. Events and the
+//! time since an arbitrary origin are their inputs, [`Action`]s their outputs.
 pub mod action;
 pub mod announcer;
 pub mod message;
@@ -20,13 +20,13 @@
 pub mod view;
 
 mod budget;
-mod choice;
 mod digest;
 mod directory;
 mod fragment;
-mod hot;
 mod link;
 mod peers;
+mod rendezvous;
+mod rumors;
 mod statements;
 mod watches;
 mod zone;
--- a/coordination/member/src/link.rs
+++ b/coordination/member/src/link.rs
@@ -1,4 +1,4 @@
-//! Sends and receives, counted and paced.
+//! Sending and receiving, with counters and rate limits.
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -8,33 +8,34 @@
 use crate::Status;
 use crate::budget::Budget;
 
-/// Counts and paces the messages of a process.
+/// Counters and rate limits of the messages of a process.
 #[derive(Debug)]
 pub struct Link {
     sent: Budget,
     received: Budget,
     /// Counters.
     pub status: Status,
-    /// When a message last arrived.
-    pub heard: Duration,
+    /// Time at which a message last arrived.
+    pub last_received: Duration,
 }
 
 impl Link {
-    /// Allows `rate` bytes a second each way.
+    /// Creates a link with a budget of `rate` bytes per second in each
+    /// direction.
     #[must_use]
     pub fn new(rate: u32, now: Duration) -> Self {
         Self {
             sent: Budget::new(rate, now),
             received: Budget::new(rate, now),
             status: Status::default(),
-            heard: now,
+            last_received: now,
         }
     }
 
-    /// Counts a message that arrived.
+    /// Counts a received message.
     pub fn receive(&mut self, now: Duration, message: &Message) {
         let bytes = message.datagram_bytes();
-        self.heard = now;
+        self.last_received = now;
         self.received.refill(now);
         self.received.charge(bytes);
         self.sent.refill(now);
@@ -42,13 +43,13 @@
         self.status.received_bytes += bytes;
     }
 
-    /// Adds what has become available.
+    /// Refills the budgets.
     pub fn refill(&mut self, now: Duration) {
         self.received.refill(now);
         self.sent.refill(now);
     }
 
-    /// Sends a message in any case.
+    /// Sends a message regardless of the budget.
     pub fn send(&mut self, to: SocketAddr, message: Message, actions: &mut Vec<Action>) {
         let bytes = message.datagram_bytes();
         self.sent.charge(bytes);
@@ -57,7 +58,7 @@
         actions.push(Action::Send { to, message });
     }
 
-    /// Sends a message if there is budget left; true where it was sent.
+    /// Sends a message if the budget allows it; returns whether it was sent.
     pub fn send_bulk(
         &mut self,
         to: SocketAddr,
@@ -72,15 +73,15 @@
         true
     }
 
-    /// True while bulk may be sent.
+    /// Returns whether bulk messages may be sent.
     #[must_use]
     pub const fn may_send(&self) -> bool {
         self.sent.allows_bulk()
     }
 
-    /// True while bulk may be asked for.
+    /// Returns whether bulk messages may be requested.
     #[must_use]
-    pub const fn may_ask(&self) -> bool {
+    pub const fn may_request(&self) -> bool {
         self.received.allows_bulk()
     }
 
--- a/coordination/member/src/message.rs
+++ b/coordination/member/src/message.rs
@@ -1,4 +1,4 @@
-//! The messages of the membership protocol.
+//! Messages of the membership protocol.
 use std::net::SocketAddr;
 
 use bytes::Bytes;
@@ -28,82 +28,82 @@
 /// Bytes of a datagram beside the message: IP, UDP, seal and frame.
 pub const OVERHEAD_BYTES: usize = 50;
 
-/// Room that a message needs beside its packed items, in bytes.
+/// Bytes of a message that are kept free for fields beside its packed items.
 const PACK_HEADER_BYTES: usize = 64;
 
 /// Number of a heartbeat within an incarnation.
 pub type Sequence = u64;
 
-/// One datagram of the membership protocol.
+/// Datagram of the membership protocol.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Shows that a process runs.
+    /// Heartbeat of a process.
     Heartbeat(Heartbeat),
-    /// Answers a heartbeat.
+    /// Acknowledgement of a heartbeat.
     Ack(Ack),
-    /// Asks a silent process for a heartbeat.
+    /// Request for a heartbeat from a silent process.
     Probe,
-    /// Part of the view of a service, for an agent.
+    /// Part of the view of a service, sent to an agent.
     Members(Members),
-    /// Names all targets in some part of a view, for an agent.
+    /// List of all targets in one part of a view, sent to an agent.
     Roll(Roll),
-    /// Records of the sender, for an entry.
+    /// Records of the sender, sent to an entry.
     Push(Push),
-    /// Names a configuration that is too large to be pushed.
+    /// Offer of a configuration that is too large to be pushed.
     Offer(Offer),
-    /// Asks for the fragments of such a configuration.
+    /// Request for the fragments of an offered configuration.
     Fetch(Fetch),
-    /// Part of such a configuration.
+    /// Fragment of an offered configuration.
     Fragment(Fragment),
-    /// Digests of the sender below a node of the digest tree.
+    /// Digests of the children of a node in the sender's digest tree.
     Compare(Compare),
-    /// The records that the sender holds in a range of keys.
+    /// List of the sender's records in a range of keys.
     Leaf(Leaf),
-    /// Asks for the records with these keys.
+    /// Request for the records with these keys.
     Pull(Vec<Key>),
-    /// Asks for everything about a service.
+    /// Request for all records of a service.
     Need(ServiceAddress),
 }
 
-/// Shows that a process runs.
+/// Heartbeat of a process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The process.
+    /// Process that the heartbeat is about.
     pub subject: Subject,
-    /// Rises with each heartbeat of an incarnation.
+    /// Number of the heartbeat; rises within an incarnation.
     pub sequence: Sequence,
     /// UDP addresses of the entries that watch the process.
     pub watchers: Vec<SocketAddr>,
-    /// True where the receiver, which is no watcher, is to observe whether the
-    /// zone of the process can be reached.
+    /// True where the receiver is not a watcher, but observes whether the zone
+    /// of the process is reachable.
     pub observe: bool,
-    /// Digest of the view that an agent holds of its service.
+    /// Digest of the view that an agent has of its service.
     pub digest: Digest,
-    /// Digests of the parts of that view, where the receiver's differs for
-    /// longer; empty otherwise.
+    /// Digests of the parts of that view, for one receiver whose last
+    /// acknowledged digest differs; empty otherwise.
     pub parts: Vec<Digest>,
 }
 
-/// The process that a heartbeat is about.
+/// Process that a heartbeat is about.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Subject {
-    /// An agent and its backend server.
+    /// Agent and its backend server.
     Target(Target),
-    /// An entry.
+    /// Entry.
     Entry(Entry),
 }
 
-/// Answers a heartbeat.
+/// Acknowledgement of a heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ack {
-    /// Incarnation of the heartbeat.
+    /// Incarnation in the heartbeat.
     pub incarnation: Incarnation,
     /// Number of the heartbeat.
     pub sequence: Sequence,
-    /// Entries that should watch the process, best first: as many as watch,
-    /// and some to replace those that do not answer.
+    /// Entries that should watch the process, best first: as many as there are
+    /// watchers, and spare ones to replace those that do not answer.
     pub watchers: Vec<SocketAddr>,
-    /// Digest of the view that the entry holds of the agent's service.
+    /// Digest of the view that the entry has of the agent's service.
     pub digest: Digest,
 }
 
@@ -112,53 +112,53 @@
 pub struct Members {
     /// Address of the service.
     pub address: ServiceAddress,
-    /// Configuration of the service, where it is part of this message.
+    /// Configuration of the service, where this message carries it.
     pub config: Option<Service>,
     /// Some of its targets.
     pub members: Vec<Member>,
 }
 
-/// Names all targets in some part of a view.
+/// List of all targets in one part of a view.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Roll {
     /// Address of the service.
     pub address: ServiceAddress,
     /// Number of the part.
     pub part: u8,
-    /// Its targets.
+    /// Ids of the targets in the part.
     pub targets: Vec<TargetId>,
 }
 
 /// Records of the sender.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Push {
-    /// True where they are news, to be passed on at once.
+    /// True where the receiver is to gossip the records further.
     pub hot: bool,
     /// The records.
     pub records: Vec<Record>,
 }
 
-/// Digests below a node of the digest tree.
+/// Digests of the children of a node in the digest tree.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Compare {
-    /// The node.
+    /// Node of the tree.
     pub node: Node,
     /// Digests of its children.
     pub digests: Vec<Digest>,
 }
 
-/// The records that the sender holds in a range of keys.
+/// List of the sender's records in a range of keys.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Leaf {
     /// First key of the range.
     pub first: Key,
     /// Last key of the range.
     pub last: Key,
-    /// The records, by key.
+    /// Records, in the order of their keys.
     pub items: Vec<Item>,
 }
 
-/// A record, by its key and digest.
+/// Key and digest of a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Item {
     /// Key of the record.
@@ -167,12 +167,14 @@
     pub digest: u32,
 }
 
-/// Why a message could not be encoded or read.
+/// Reason why a message could not be encoded or decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display, Error)]
 pub enum Error {
-    /// the message cannot be read; upgrade the older process
+    /// message cannot be encoded or decoded; upgrade the older of the two
+    /// processes
     Malformed,
-    /// the message is larger than a datagram may be; send its items in several
+    /// message is larger than a datagram may be; split its items over several
+    /// messages
     TooLarge,
 }
 
@@ -190,12 +192,12 @@
         }
     }
 
-    /// Reads a message.
+    /// Decodes a message.
     ///
     /// # Errors
     ///
-    /// [`Error::TooLarge`] or [`Error::Malformed`]; the message is then to be
-    /// dropped and counted.
+    /// [`Error::TooLarge`] or [`Error::Malformed`]; the caller drops the
+    /// message and counts it.
     pub fn decode(bytes: &[u8]) -> Result<Self, Error> {
         if bytes.len() > MAX_MESSAGE_BYTES {
             return Err(Error::TooLarge);
@@ -203,7 +205,7 @@
         postcard::from_bytes(bytes).map_err(|_| Error::Malformed)
     }
 
-    /// Bytes of the datagram that carries the message.
+    /// Returns the size of the datagram that carries the message, in bytes.
     #[must_use]
     pub fn datagram_bytes(&self) -> u64 {
         let message = self.encode().map_or(0, |bytes| bytes.len());
--- a/coordination/member/src/peers.rs
+++ b/coordination/member/src/peers.rs
@@ -1,25 +1,25 @@
-//! Chooses the entries that gossip goes to.
+//! Choice of the entries that receive gossip.
 use std::net::SocketAddr;
 
 use fastrand::Rng;
 use wire::ZoneId;
 
-use crate::choice::Candidate;
+use crate::rendezvous::Candidate;
 use crate::zone::region;
 
-/// One in this many messages beyond the zone leaves the region.
-const FAR_ONE_IN: usize = 4;
+/// One in this many messages that leave the zone goes to another region.
+const CROSS_REGION_ONE_IN: usize = 4;
 
-/// The running entries other than this one, by distance.
+/// Running entries other than this one, by distance.
 #[derive(Debug, Default)]
 pub struct Peers {
     zone: Vec<SocketAddr>,
     region: Vec<SocketAddr>,
-    far: Vec<SocketAddr>,
+    other_regions: Vec<SocketAddr>,
 }
 
 impl Peers {
-    /// Sorts the entries by their distance from `zone`.
+    /// Groups the entries by their distance from `zone`.
     #[must_use]
     pub fn new(own: SocketAddr, zone: ZoneId, entries: impl Iterator<Item = Candidate>) -> Self {
         let mut peers = Self::default();
@@ -27,24 +27,24 @@
             let list = match entry.zone {
                 same if same == zone => &mut peers.zone,
                 near if region(near) == region(zone) => &mut peers.region,
-                _ => &mut peers.far,
+                _ => &mut peers.other_regions,
             };
             list.push(entry.address);
         }
         peers
     }
 
-    /// Number of peers.
+    /// Returns the number of peers.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.zone.len() + self.region.len() + self.far.len()
+        self.zone.len() + self.region.len() + self.other_regions.len()
     }
 
-    /// Chooses `count` different peers where there are as many: one beyond the
-    /// zone, the others within it.
+    /// Returns up to `count` different peers: one outside the zone, the others
+    /// within it where there are enough.
     #[must_use]
     pub fn choose(&self, count: usize, rng: &mut Rng) -> Vec<SocketAddr> {
-        let mut chosen: Vec<SocketAddr> = self.beyond(rng).into_iter().collect();
+        let mut chosen: Vec<SocketAddr> = self.choose_outside_zone(rng).into_iter().collect();
         let mut attempts = 0;
         let limit = count.min(self.len());
         while chosen.len() < limit && attempts < count * 8 {
@@ -53,7 +53,7 @@
             let next = if own_zone {
                 pick(&self.zone, rng)
             } else {
-                self.any(rng)
+                self.choose_any(rng)
             };
             chosen.extend(next.filter(|next| !chosen.contains(next)));
         }
@@ -61,30 +61,32 @@
         chosen
     }
 
-    /// Chooses one peer, in the own zone as often as beyond it.
+    /// Returns one peer, with equal probability from within the zone or outside
+    /// it.
     #[must_use]
-    pub fn one(&self, rng: &mut Rng) -> Option<SocketAddr> {
+    pub fn choose_one(&self, rng: &mut Rng) -> Option<SocketAddr> {
         if rng.bool() {
-            pick(&self.zone, rng).or_else(|| self.beyond(rng))
+            pick(&self.zone, rng).or_else(|| self.choose_outside_zone(rng))
         } else {
-            self.beyond(rng).or_else(|| pick(&self.zone, rng))
+            self.choose_outside_zone(rng)
+                .or_else(|| pick(&self.zone, rng))
         }
     }
 
-    fn beyond(&self, rng: &mut Rng) -> Option<SocketAddr> {
-        match rng.usize(..FAR_ONE_IN) {
-            0 => pick(&self.far, rng).or_else(|| pick(&self.region, rng)),
-            _ => pick(&self.region, rng).or_else(|| pick(&self.far, rng)),
+    fn choose_outside_zone(&self, rng: &mut Rng) -> Option<SocketAddr> {
+        match rng.usize(..CROSS_REGION_ONE_IN) {
+            0 => pick(&self.other_regions, rng).or_else(|| pick(&self.region, rng)),
+            _ => pick(&self.region, rng).or_else(|| pick(&self.other_regions, rng)),
         }
     }
 
-    fn any(&self, rng: &mut Rng) -> Option<SocketAddr> {
+    fn choose_any(&self, rng: &mut Rng) -> Option<SocketAddr> {
         match rng.usize(..self.len().max(1)) {
             at if at < self.zone.len() => self.zone.get(at).copied(),
             at if at < self.zone.len() + self.region.len() => {
                 self.region.get(at - self.zone.len()).copied()
             }
-            _ => pick(&self.far, rng),
+            _ => pick(&self.other_regions, rng),
         }
     }
 }
--- a/coordination/member/src/record.rs
+++ b/coordination/member/src/record.rs
@@ -1,5 +1,4 @@
-//! The records that the directory is made of, and how versions of one record
-//! are ordered.
+//! Records of the directory, and the order of the versions of one record.
 use std::net::SocketAddr;
 
 use bytes::Bytes;
@@ -15,10 +14,10 @@
 use crate::digest;
 use crate::message::Sequence;
 
-/// Names a record among all records of a directory.
+/// Key of a record, unique within a directory.
 pub type Key = u64;
 
-/// Names a watched process: the id of a target, or the key of an entry.
+/// Id of a watched process: the id of a target, or the key of an entry.
 pub type SubjectId = TargetId;
 
 /// Configuration of one service. The larger revision wins.
@@ -26,13 +25,13 @@
 pub struct Service {
     /// Address that callers send to.
     pub address: ServiceAddress,
-    /// Revision of the platform's store.
+    /// Revision of the configuration in the platform's store.
     pub revision: Revision,
-    /// The configuration, opaque to this crate. Deletion is a body too.
+    /// Configuration, opaque to this crate. A deletion is a body too.
     pub body: Bytes,
 }
 
-/// One entry process.
+/// Entry process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     /// UDP address for frames.
@@ -41,28 +40,29 @@
     pub zone: ZoneId,
     /// Start time of the process; orders its statements.
     pub incarnation: Incarnation,
-    /// True once the process has announced that it stops.
+    /// True once the process has announced its departure.
     pub left: bool,
 }
 
-/// What one watcher says of one process.
+/// Statement of one watcher about one process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Suspicion {
     /// The process.
     pub subject: SubjectId,
-    /// The incarnation that the statement is about; it says nothing of others.
+    /// Incarnation that the statement is about; it does not apply to others.
     pub incarnation: Incarnation,
     /// UDP address of the watcher.
     pub observer: SocketAddr,
-    /// Last heartbeat that the watcher knows of.
+    /// Number of the last heartbeat that the watcher knows of.
     pub sequence: Sequence,
     /// True where the watcher suspects the process; false where it hears it.
     pub silent: bool,
-    /// The watchers that the process named in that heartbeat.
+    /// Watchers that the process named in that heartbeat.
     pub watchers: Vec<SocketAddr>,
 }
 
-/// How much one observer hears of one zone.
+/// Numbers of silent and watched processes in one zone, as one observer sees
+/// them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
     /// The zone.
@@ -73,42 +73,42 @@
     pub from: ZoneId,
     /// Incarnation of the observer.
     pub incarnation: Incarnation,
-    /// Counts the reports of the observer on this zone.
+    /// Number of the observer's report on this zone.
     pub version: u32,
-    /// Watched processes in the zone that are silent.
+    /// Number of watched processes in the zone that are silent.
     pub silent: u16,
-    /// Watched processes in the zone.
+    /// Number of watched processes in the zone.
     pub watched: u16,
 }
 
-/// One item of the directory.
+/// Record of the directory.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
     /// Configuration of a service.
     Service(Service),
-    /// A backend server.
+    /// Backend server.
     Target(Target),
-    /// An entry process.
+    /// Entry process.
     Entry(Entry),
-    /// What a watcher says of a process.
+    /// Statement of a watcher about a process.
     Suspicion(Suspicion),
-    /// What an observer says of a zone.
+    /// Report of an observer on a zone.
     Report(Report),
-    /// That a process was silent or departed for long, and is forgotten.
+    /// Removal of a process that was silent or departed for long.
     Removal(Removal),
 }
 
-/// Forgets a target or entry that was silent or departed for long.
+/// Removal of a target or entry that was silent or departed for long.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Removal {
-    /// Key of the record that is forgotten.
+    /// Key of the removed record.
     pub subject: SubjectId,
-    /// Its position in the history of the process; a newer one stays.
+    /// Version of the removed record; a newer one stays.
     pub stamp: wire::target::Stamp,
 }
 
 impl Entry {
-    /// Orders the statements of one entry.
+    /// Returns the position of this record among those of one entry.
     #[must_use]
     pub const fn stamp(&self) -> Stamp {
         Stamp {
@@ -120,8 +120,8 @@
 }
 
 impl Suspicion {
-    /// Orders the statements of one watcher on one process. Silence after a
-    /// heartbeat is later than that heartbeat.
+    /// Returns the position of this statement among those of one watcher about
+    /// one process. Silence after a heartbeat is later than that heartbeat.
     #[must_use]
     pub const fn stamp(&self) -> Stamp {
         Stamp {
@@ -133,7 +133,8 @@
 }
 
 impl Report {
-    /// Orders the reports of one observer on one zone.
+    /// Returns the position of this report among those of one observer on one
+    /// zone.
     #[must_use]
     pub const fn stamp(&self) -> Stamp {
         Stamp {
@@ -144,7 +145,7 @@
     }
 }
 
-/// Position of a statement in the history of its record.
+/// Position of a version in the history of its record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Stamp {
     incarnation: Incarnation,
@@ -152,9 +153,10 @@
     last: bool,
 }
 
-/// Kinds of keys, so that records of different kinds do not share one.
+/// Input of a key's hash; its variants keep records of different kinds from
+/// sharing a key.
 #[derive(Serialize)]
-enum Name {
+enum KeyInput {
     Service(ServiceAddress),
     Entry(SocketAddr),
     Suspicion(SubjectId, SocketAddr),
@@ -162,7 +164,7 @@
 }
 
 impl Record {
-    /// The key under which the record is held.
+    /// Returns the key under which the record is held.
     #[must_use]
     pub fn key(&self) -> Key {
         match self {
@@ -176,26 +178,26 @@
     }
 }
 
-/// Key of the configuration of a service.
+/// Returns the key of the configuration of a service.
 #[must_use]
 pub fn service_key(address: ServiceAddress) -> Key {
-    digest::item(&Name::Service(address))
+    digest::of(&KeyInput::Service(address))
 }
 
-/// Key of an entry.
+/// Returns the key of an entry.
 #[must_use]
 pub fn entry_key(address: SocketAddr) -> Key {
-    digest::item(&Name::Entry(address))
+    digest::of(&KeyInput::Entry(address))
 }
 
-/// Key of the statement of a watcher on a process.
+/// Returns the key of the statement of a watcher about a process.
 #[must_use]
 pub fn suspicion_key(subject: SubjectId, observer: SocketAddr) -> Key {
-    digest::item(&Name::Suspicion(subject, observer))
+    digest::of(&KeyInput::Suspicion(subject, observer))
 }
 
-/// Key of the report of an observer on a zone.
+/// Returns the key of the report of an observer on a zone.
 #[must_use]
 pub fn report_key(zone: ZoneId, observer: SocketAddr) -> Key {
-    digest::item(&Name::Report(zone, observer))
+    digest::of(&KeyInput::Report(zone, observer))
 }
--- a/coordination/member/src/registry.rs
+++ b/coordination/member/src/registry.rs
@@ -1,9 +1,9 @@
-//! The entry's side: the directory, failure detection and gossip.
+//! Entry side of membership: the directory, failure detection and gossip.
+mod anti_entropy;
 mod audit;
 mod failure;
+mod gossip;
 mod heartbeat;
-mod repair;
-mod spread;
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -25,24 +25,24 @@
 use crate::Settings;
 use crate::Status;
 use crate::View;
-use crate::choice::Candidate;
 use crate::directory::Directory;
 use crate::fragment::Assembler;
-use crate::hot::Hot;
 use crate::link::Link;
 use crate::message::Sequence;
 use crate::peers::Peers;
 use crate::record::Key;
 use crate::record::SubjectId;
 use crate::record::entry_key;
+use crate::rendezvous::Candidate;
+use crate::rumors::Rumors;
 use crate::watches::Watches;
 use crate::zone::region;
 use crate::zones::Scope;
 
-/// Time between two searches for records to be dropped.
+/// Time between two searches for expired records.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Who an entry is, from its settings.
+/// Identity of an entry, from its settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Identity {
     /// UDP address for frames, from which this process also sends.
@@ -53,7 +53,7 @@
     pub incarnation: Incarnation,
 }
 
-/// The directory of an entry and the protocol that keeps it.
+/// Directory of an entry and the protocol that maintains it.
 ///
 /// ```
 /// use std::time::Duration;
@@ -80,30 +80,30 @@
     rng: Rng,
     directory: Directory,
     watches: Watches,
-    hot: Hot,
+    rumors: Rumors,
     link: Link,
     assembler: Assembler,
     fleet: Fleet,
-    pulse: Pulse,
+    own_heartbeat: OwnHeartbeat,
     seeds: Vec<SocketAddr>,
     needs: BTreeMap<ServiceAddress, Need>,
-    reported: BTreeMap<ZoneId, Duration>,
-    audited: Key,
-    asked: BTreeSet<Key>,
+    last_reports: BTreeMap<ZoneId, Duration>,
+    last_audited: Key,
+    requested_keys: BTreeSet<Key>,
     is_behind: bool,
     /// Peers that were asked for a service.
     asked_peers: BTreeSet<SocketAddr>,
-    is_told: bool,
+    has_peer_answered: bool,
     is_doubtful: bool,
     next_round: Duration,
     last_push: Duration,
     next_push: Option<Duration>,
     next_compare: Duration,
-    next_ask: Duration,
+    next_request_reset: Duration,
     next_expiry: Duration,
 }
 
-/// What follows from the set of running entries, until it changes.
+/// Values derived from the set of running entries, until that set changes.
 #[derive(Debug, Default)]
 struct Fleet {
     generation: Option<u64>,
@@ -113,16 +113,16 @@
     choices: BTreeMap<SubjectId, Vec<SocketAddr>>,
 }
 
-/// The heartbeats of this entry.
+/// Heartbeats that this entry sends about itself.
 #[derive(Debug, Default)]
-struct Pulse {
+struct OwnHeartbeat {
     sequence: Sequence,
     next: Duration,
     watchers: Vec<SocketAddr>,
     observers: Vec<SocketAddr>,
 }
 
-/// A service that peers are asked for.
+/// Request to peers for a service.
 #[derive(Debug)]
 struct Need {
     tries: u32,
@@ -130,7 +130,7 @@
 }
 
 impl Registry {
-    /// Starts with an empty directory that holds only this entry.
+    /// Creates a directory that holds only this entry.
     #[must_use]
     pub fn new(settings: Settings, identity: Identity, seed: u64, now: Duration) -> Self {
         let mut registry = Self {
@@ -138,28 +138,28 @@
             rng: Rng::with_seed(seed),
             directory: Directory::default(),
             watches: Watches::default(),
-            hot: Hot::default(),
+            rumors: Rumors::default(),
             link: Link::new(settings.send_rate, now),
             assembler: Assembler::default(),
             fleet: Fleet::default(),
-            pulse: Pulse {
+            own_heartbeat: OwnHeartbeat {
                 next: now,
-                ..Pulse::default()
+                ..OwnHeartbeat::default()
             },
             seeds: Vec::new(),
             needs: BTreeMap::new(),
-            reported: BTreeMap::new(),
-            audited: 0,
-            asked: BTreeSet::new(),
+            last_reports: BTreeMap::new(),
+            last_audited: 0,
+            requested_keys: BTreeSet::new(),
             is_behind: false,
             asked_peers: BTreeSet::new(),
-            is_told: false,
+            has_peer_answered: false,
             is_doubtful: false,
             next_round: now,
             last_push: Duration::ZERO,
             next_push: None,
             next_compare: now,
-            next_ask: now,
+            next_request_reset: now,
             next_expiry: now + EXPIRY_INTERVAL,
             settings,
             identity,
@@ -168,7 +168,7 @@
         registry
     }
 
-    /// Names entries to learn from; more are learned through them.
+    /// Sets the seeds to learn from; further entries are learned through them.
     pub fn join(&mut self, now: Duration, peers: &[SocketAddr]) {
         let others = peers.iter().copied();
         self.seeds = others
@@ -178,7 +178,7 @@
         self.next_compare = now;
     }
 
-    /// Announces that this entry stops; its process may exit once the actions
+    /// Announces that this entry stops. Its process may exit once the actions
     /// are done.
     pub fn leave(&mut self, _now: Duration, actions: &mut Vec<Action>) {
         self.publish(&self.own_record(true));
@@ -187,19 +187,19 @@
         }
     }
 
-    /// Takes a configuration record, as read from the platform's store; true
-    /// where it is newer than the one held.
+    /// Merges a service configuration read from the platform's store; returns
+    /// whether it is newer than the held one.
     pub fn put(&mut self, _now: Duration, service: Service) -> bool {
         self.publish(&Record::Service(service))
     }
 
-    /// Asks peers for a service that is not held yet. The rest of the directory
-    /// follows by itself, paced.
+    /// Requests a service that is not held yet from peers. The rest of the
+    /// directory follows by anti-entropy, within the budget.
     pub fn need(&mut self, now: Duration, address: ServiceAddress) {
         let is_held = self
             .service(&address)
             .is_some_and(|view| view.config.is_some());
-        if is_held || self.needs.len() >= repair::MAX_NEEDS {
+        if is_held || self.needs.len() >= anti_entropy::MAX_NEEDS {
             return;
         }
         self.needs.entry(address).or_insert(Need {
@@ -209,7 +209,7 @@
         self.next_round = self.next_round.min(now);
     }
 
-    /// Takes a message that `from` sent.
+    /// Processes a message from `from`.
     pub fn handle(
         &mut self,
         now: Duration,
@@ -218,28 +218,29 @@
         actions: &mut Vec<Action>,
     ) {
         self.link.receive(now, &message);
-        self.directory.advance(now);
+        self.directory.set_now(now);
         match message {
-            Message::Heartbeat(heartbeat) => self.heartbeat(now, from, heartbeat, actions),
-            Message::Probe => self.beat(&[from], actions),
+            Message::Heartbeat(heartbeat) => self.receive_heartbeat(now, from, heartbeat, actions),
+            Message::Probe => self.send_heartbeat(&[from], actions),
             Message::Push(push) => {
-                self.is_told |= !push.hot && self.asked_peers.contains(&from);
-                self.push(now, from, push, actions);
+                self.has_peer_answered |= !push.hot && self.asked_peers.contains(&from);
+                self.receive_push(now, from, push, actions);
             }
-            Message::Offer(offer) => self.offer(now, from, offer, actions),
-            Message::Fetch(fetch) => self.fetch(from, &fetch, actions),
-            Message::Fragment(fragment) => self.fragment(now, fragment),
-            Message::Compare(compare) => self.compare(from, &compare, actions),
-            Message::Leaf(leaf) => self.leaf(from, &leaf, actions),
-            Message::Pull(keys) => self.pull(from, &keys, actions),
-            Message::Need(address) => self.needed(from, address, actions),
-            // That an acknowledgement arrived is all that it tells an entry.
+            Message::Offer(offer) => self.receive_offer(now, from, offer, actions),
+            Message::Fetch(fetch) => self.send_fragments(from, &fetch, actions),
+            Message::Fragment(fragment) => self.receive_fragment(now, fragment),
+            Message::Compare(compare) => self.receive_compare(from, &compare, actions),
+            Message::Leaf(leaf) => self.receive_leaf(from, &leaf, actions),
+            Message::Pull(keys) => self.send_requested(from, &keys, actions),
+            Message::Need(address) => self.send_service_records(from, address, actions),
+            // An entry uses an acknowledgement only as a sign that it can still
+            // receive.
             Message::Ack(_) => {}
             Message::Members(_) | Message::Roll(_) => self.link.refuse(Refusal::Unexpected),
         }
     }
 
-    /// Does what is due.
+    /// Does the periodic work that is due.
     pub fn tick(&mut self, now: Duration, actions: &mut Vec<Action>) {
         self.gossip_if_due(now, actions);
         if now < self.next_round {
@@ -247,72 +248,73 @@
         }
         if now > self.next_round + self.settings.pause() {
             self.link.status.self_doubts += 1;
-            self.watches.restart(now, |_| true);
-            self.directory.restart_silences(now);
+            self.watches.reset_silence(now, |_| true);
+            self.directory.reset_silence(now);
         }
-        self.directory.advance(now);
+        self.directory.set_now(now);
         self.next_round = now + self.settings.round;
         self.link.refill(now);
         self.refresh_fleet();
-        self.beat_if_due(now, actions);
+        self.send_heartbeat_if_due(now, actions);
         self.audit(now, actions);
-        self.detect(now, actions);
-        self.judge(now);
+        self.detect_failures(now, actions);
+        self.update_verdicts(now);
         self.fetch_overdue(now, actions);
-        self.forget_asked(now);
+        self.reset_requested(now);
         self.compare_if_due(now, actions);
-        self.ask_needs(now, actions);
+        self.request_needed_services(now, actions);
         if now >= self.next_expiry {
             self.next_expiry = now + EXPIRY_INTERVAL;
             self.expire(now);
         }
     }
 
-    /// When to call [`Self::tick`] next.
+    /// Returns the time at which to call [`Self::tick`] next.
     #[must_use]
     pub fn next_deadline(&self) -> Duration {
         let push = self.next_push.unwrap_or(self.next_round);
         push.min(self.next_round)
     }
 
-    /// The view of a service.
+    /// Returns the view of a service.
     #[must_use]
     pub fn service(&self, address: &ServiceAddress) -> Option<&View> {
         self.directory.view(address)
     }
 
-    /// The views of all services.
+    /// Returns the views of all services.
     pub fn services(&self) -> impl Iterator<Item = &View> {
         self.directory.views()
     }
 
-    /// The services whose view changed since the last call.
+    /// Returns the services whose view changed since the last call.
     pub fn changes(&mut self) -> Vec<ServiceAddress> {
         self.directory.take_changes()
     }
 
-    /// All entries known, this one, silent and departed ones included.
+    /// Returns all known entries, including this one, silent and departed ones.
     pub fn entries(&self) -> impl Iterator<Item = &Entry> {
         self.directory.entries()
     }
 
-    /// The entries held to be running, this one included.
+    /// Returns the addresses of the running entries, including this one.
     pub fn live_entries(&self) -> impl Iterator<Item = SocketAddr> {
         let live = self.directory.live_entries();
         live.map(|entry| entry.address)
     }
 
-    /// The newer incarnation of an entry at this address, if there is one. This
-    /// process is then no longer heard, and must end or start anew with a larger
-    /// incarnation.
+    /// Returns the newer incarnation of an entry at this address, if there is
+    /// one. The other entries then ignore this process, which must exit or
+    /// start again with a larger incarnation.
     #[must_use]
     pub fn successor(&self) -> Option<Incarnation> {
         let held = self.directory.incarnation(self.key);
         held.filter(|held| *held > self.identity.incarnation)
     }
 
-    /// Takes a larger incarnation than any known at this address. For a process
-    /// that is the only one at its address, and whose clock went back.
+    /// Raises the incarnation above the newest one known at this address. Only
+    /// for a process that is the only one at its address and whose clock went
+    /// back.
     pub fn outrank(&mut self) {
         if let Some(successor) = self.successor() {
             self.identity.incarnation = successor + 1;
@@ -320,19 +322,20 @@
         }
     }
 
-    /// True once an entry that was asked for a service has told what it knows.
+    /// Returns whether an entry that was asked for a service has sent records.
     #[must_use]
     pub const fn is_told(&self) -> bool {
-        self.is_told
+        self.has_peer_answered
     }
 
-    /// Digest of all records; equal in directories that agree.
+    /// Returns the digest of all records, which is equal in directories that
+    /// agree.
     #[must_use]
     pub fn digest(&self) -> u64 {
         self.directory.tree().root()
     }
 
-    /// Counters and sizes.
+    /// Returns counters and sizes.
     #[must_use]
     pub fn status(&self) -> Status {
         let members = self.services().flat_map(|view| view.targets.values());
@@ -343,7 +346,7 @@
             entries: self.entries().count(),
             watched: self.watches.len(),
             is_doubtful: self.is_doubtful,
-            hot: self.hot.len(),
+            hot: self.rumors.len(),
             lost_zones: self.directory.zones().lost().count(),
             ..self.link.status.clone()
         }
@@ -358,11 +361,11 @@
         })
     }
 
-    /// Merges a record and passes it on where it is news.
+    /// Merges a record and gossips it if it was new; returns whether it was.
     fn publish(&mut self, record: &Record) -> bool {
         match self.directory.merge(record.clone()) {
             Ok(()) => {
-                self.heat(record);
+                self.start_gossip(record);
                 true
             }
             Err(reason) => {
@@ -372,25 +375,25 @@
         }
     }
 
-    /// Begins to pass a record on.
-    fn heat(&mut self, record: &Record) {
-        self.hot.heat(record, self.fleet.candidates.len());
+    /// Starts to gossip a record.
+    fn start_gossip(&mut self, record: &Record) {
+        self.rumors.insert(record, self.fleet.candidates.len());
         let earliest = self.last_push + self.settings.pace;
         self.next_push.get_or_insert(earliest);
     }
 
-    fn judge(&mut self, now: Duration) {
+    fn update_verdicts(&mut self, now: Duration) {
         let lost: BTreeSet<ZoneId> = self.directory.zones().lost().collect();
         let scope = Scope {
             region: region(self.identity.zone),
             zones: self.fleet.zones.clone(),
-            settle: self.settings.settle * 2,
-            answer: self.settings.silence * 2,
+            settle_wait: self.settings.settle * 2,
+            answer_wait: self.settings.silence * 2,
         };
-        self.directory.judge(now, &scope);
+        self.directory.update_verdicts(now, &scope);
         let zones = self.directory.zones();
         let is_back = |zone| lost.contains(&zone) && !zones.is_lost(zone);
-        self.watches.restart(now, |watch| is_back(watch.zone));
+        self.watches.reset_silence(now, |watch| is_back(watch.zone));
     }
 
     fn refresh_fleet(&mut self) {
@@ -417,7 +420,7 @@
 
     fn expire(&mut self, now: Duration) {
         for dropped in self.directory.expire(now, self.settings.retention) {
-            self.heat(&dropped);
+            self.start_gossip(&dropped);
         }
         let directory = &self.directory;
         self.watches
--- a/coordination/member/src/registry/repair.rs
+++ b/coordination/member/src/registry/anti_entropy.rs
@@ -1,5 +1,5 @@
 //! Anti-entropy: two entries compare digests, descend only where they differ,
-//! and exchange the records of those leaves.
+//! and exchange the records of the differing leaves.
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use crate::Action;
 use crate::Message;
 use crate::Refusal;
-use crate::digest::half;
+use crate::digest::lower_half;
 use crate::message::Compare;
 use crate::message::Item;
 use crate::message::Leaf;
@@ -19,32 +19,32 @@
 use crate::tree::LEAF_LEVEL;
 use crate::tree::Node;
 
-/// Services that may be asked for at a time.
+/// Largest number of services that are requested at a time.
 pub const MAX_NEEDS: usize = 1_024;
 
-/// Times that peers are asked for a service.
-const MAX_TRIES: u32 = 8;
+/// Largest number of requests to peers for one service.
+const MAX_NEED_TRIES: u32 = 8;
 
-/// Peers that are asked for a service at a time.
+/// Number of peers that a service is requested from at a time.
 const ASKED_PEERS: usize = 2;
 
-/// Differing branches that one comparison follows.
+/// Largest number of differing branches that one comparison follows.
 const MAX_BRANCHES: usize = 4;
 
-/// Differing leaves that one comparison lists.
+/// Largest number of differing leaves that one comparison lists.
 const MAX_LEAVES: usize = 8;
 
-/// Records that one message lists.
+/// Largest number of records that one message lists.
 const MAX_ITEMS: usize = 64;
 
-/// One in this many comparisons goes to an entry named at the start, so that
-/// parts that lost each other meet again.
+/// One in this many comparisons goes to a seed, so that partitions which lost
+/// contact find each other again.
 const SEED_ONE_IN: usize = 10;
 
 impl Registry {
     /// Starts a comparison with a peer when it is due.
     pub(super) fn compare_if_due(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        if now < self.next_compare || !self.link.may_ask() || !self.link.may_send() {
+        if now < self.next_compare || !self.link.may_request() || !self.link.may_send() {
             return;
         }
         let interval = if self.is_behind {
@@ -55,18 +55,19 @@
         self.is_behind = false;
         self.next_compare = now + interval;
         let seed = self.rng.choice(&self.seeds).copied();
-        let peer = match self.fleet.peers.one(&mut self.rng) {
+        let peer = match self.fleet.peers.choose_one(&mut self.rng) {
             Some(peer) if self.rng.usize(..SEED_ONE_IN) > 0 => Some(peer),
             peer => seed.or(peer),
         };
         if let Some(peer) = peer {
-            let message = self.digests(Node::ROOT);
+            let message = self.compare_message(Node::ROOT);
             self.link.send(peer, message, actions);
         }
     }
 
-    /// Answers the digests of a peer with those below, or with its leaves.
-    pub(super) fn compare(
+    /// Answers the digests of a peer with those of the differing children, or
+    /// with the records of the differing leaves.
+    pub(super) fn receive_compare(
         &mut self,
         from: SocketAddr,
         compare: &Compare,
@@ -87,8 +88,8 @@
         };
         for child in children.into_iter().take(limit) {
             let messages = match child.level {
-                LEAF_LEVEL => self.leaves(child),
-                _ => vec![self.digests(child)],
+                LEAF_LEVEL => self.leaf_messages(child),
+                _ => vec![self.compare_message(child)],
             };
             for message in messages {
                 self.link.send_bulk(from, message, actions);
@@ -97,14 +98,19 @@
     }
 
     /// Exchanges the records in which two leaves differ.
-    pub(super) fn leaf(&mut self, from: SocketAddr, leaf: &Leaf, actions: &mut Vec<Action>) {
+    pub(super) fn receive_leaf(
+        &mut self,
+        from: SocketAddr,
+        leaf: &Leaf,
+        actions: &mut Vec<Action>,
+    ) {
         if leaf.first > leaf.last || leaf.items.len() > MAX_ITEMS {
             return self.link.refuse(Refusal::Malformed);
         }
         let own: BTreeMap<Key, u32> = self
             .directory
             .range(leaf.first, leaf.last)
-            .map(|(key, digest)| (key, half(digest)))
+            .map(|(key, digest)| (key, lower_half(digest)))
             .collect();
         let theirs: BTreeMap<Key, u32> = leaf
             .items
@@ -120,35 +126,39 @@
         let wanted = lacking(&theirs, &own);
         let offered = lacking(&own, &theirs);
         self.is_behind |= !wanted.is_empty();
-        self.ask(from, wanted, actions);
-        self.pull(from, &offered, actions);
+        self.request_records(from, wanted, actions);
+        self.send_requested(from, &offered, actions);
     }
 
-    /// Asks a peer for records, but for those that a peer was asked for just
-    /// before.
-    fn ask(&mut self, from: SocketAddr, mut keys: Vec<Key>, actions: &mut Vec<Action>) {
-        keys.retain(|key| !self.asked.contains(key));
-        if keys.is_empty() || !self.link.may_ask() {
+    /// Requests records from a peer, except those that were requested recently.
+    fn request_records(&mut self, from: SocketAddr, mut keys: Vec<Key>, actions: &mut Vec<Action>) {
+        keys.retain(|key| !self.requested_keys.contains(key));
+        if keys.is_empty() || !self.link.may_request() {
             return;
         }
         if self
             .link
             .send_bulk(from, Message::Pull(keys.clone()), actions)
         {
-            self.asked.extend(keys);
+            self.requested_keys.extend(keys);
         }
     }
 
-    /// Lets records be asked for again.
-    pub(super) fn forget_asked(&mut self, now: Duration) {
-        if now >= self.next_ask {
-            self.next_ask = now + self.settings.compare;
-            self.asked.clear();
+    /// Allows records to be requested again, once in each comparison interval.
+    pub(super) fn reset_requested(&mut self, now: Duration) {
+        if now >= self.next_request_reset {
+            self.next_request_reset = now + self.settings.compare;
+            self.requested_keys.clear();
         }
     }
 
-    /// Sends the records that a peer asked for.
-    pub(super) fn pull(&mut self, from: SocketAddr, keys: &[Key], actions: &mut Vec<Action>) {
+    /// Sends the records that a peer requested.
+    pub(super) fn send_requested(
+        &mut self,
+        from: SocketAddr,
+        keys: &[Key],
+        actions: &mut Vec<Action>,
+    ) {
         let known = keys.iter().take(MAX_ITEMS);
         let records = known
             .filter_map(|key| self.directory.record(*key))
@@ -156,12 +166,12 @@
         self.send_records(from, records, actions);
     }
 
-    /// Asks peers for the services that are needed.
-    pub(super) fn ask_needs(&mut self, now: Duration, actions: &mut Vec<Action>) {
+    /// Requests the needed services from peers.
+    pub(super) fn request_needed_services(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let directory = &self.directory;
         self.needs.retain(|address, need| {
             let view = directory.view(address);
-            need.tries < MAX_TRIES && view.is_none_or(|view| view.config.is_none())
+            need.tries < MAX_NEED_TRIES && view.is_none_or(|view| view.config.is_none())
         });
         let mut due = Vec::new();
         for (address, need) in &mut self.needs {
@@ -187,8 +197,8 @@
         }
     }
 
-    /// Sends everything about a service.
-    pub(super) fn needed(
+    /// Sends all records of a service.
+    pub(super) fn send_service_records(
         &mut self,
         from: SocketAddr,
         address: ServiceAddress,
@@ -202,21 +212,21 @@
         self.send_records(from, records, actions);
     }
 
-    fn digests(&self, node: Node) -> Message {
+    fn compare_message(&self, node: Node) -> Message {
         Message::Compare(Compare {
             node,
             digests: self.directory.tree().children(node).to_vec(),
         })
     }
 
-    /// Lists the records of a leaf, in as many messages as they need.
-    fn leaves(&self, node: Node) -> Vec<Message> {
+    /// Returns the messages that list the records of a leaf.
+    fn leaf_messages(&self, node: Node) -> Vec<Message> {
         let items: Vec<Item> = self
             .directory
             .range(node.first(), node.last())
             .map(|(key, digest)| Item {
                 key,
-                digest: half(digest),
+                digest: lower_half(digest),
             })
             .collect();
         if items.is_empty() {
--- a/coordination/member/src/registry/audit.rs
+++ b/coordination/member/src/registry/audit.rs
@@ -1,31 +1,32 @@
-//! Finds processes that nobody watches: those whose watchers all died with
-//! them would otherwise be taken for running for ever.
+//! Audit for processes that no running entry watches. A process whose watchers
+//! all died with it would otherwise count as running for ever.
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use super::Registry;
 use crate::Action;
 use crate::Message;
-use crate::choice;
-use crate::choice::score;
 use crate::directory::Process;
 use crate::record::SubjectId;
+use crate::rendezvous;
+use crate::rendezvous::score;
 use crate::watches::Watch;
 use crate::zone::region;
 
-/// Time in which an entry looks at every record once.
-const PERIOD: Duration = Duration::from_mins(10);
+/// Time in which an entry checks every record once.
+const AUDIT_PERIOD: Duration = Duration::from_mins(10);
 
 impl Registry {
-    /// Looks at some processes, and probes those that this entry should watch
-    /// and does not. Whoever is watched by others says so, and the watch ends.
+    /// Checks some processes, and probes those that this entry should watch but
+    /// does not. A process that others watch names them in its heartbeat, which
+    /// ends the watch here.
     pub(super) fn audit(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        let rounds = PERIOD.as_millis() / self.settings.round.as_millis().max(1);
+        let rounds = AUDIT_PERIOD.as_millis() / self.settings.round.as_millis().max(1);
         let rounds = usize::try_from(rounds).unwrap_or(usize::MAX);
         let count = self.directory.len() / rounds.max(1) + 1;
-        let keys = self.directory.keys_after(self.audited, count);
-        // At the end, the search begins anew.
-        self.audited = keys.last().copied().unwrap_or(0);
+        let keys = self.directory.keys_after(self.last_audited, count);
+        // After the last key, the audit starts again at the first.
+        self.last_audited = keys.last().copied().unwrap_or(0);
         for subject in keys {
             let Some(process) = self.directory.process(subject) else {
                 continue;
@@ -33,30 +34,30 @@
             if !self.should_watch(subject, &process) {
                 continue;
             }
-            let rule = self.directory.statements().governing(subject);
+            let rule = self.directory.statements().latest(subject);
             let watch = Watch {
                 address: process.address,
                 zone: process.zone,
                 incarnation: process.incarnation,
                 sequence: rule.map_or(0, |rule| rule.sequence + 1),
-                heard: now,
-                probed: now,
+                last_heard: now,
+                last_probed: now,
                 watchers: self.local_watchers(subject, &process),
-                named: true,
+                is_watcher: true,
             };
             self.link.send(watch.address, Message::Probe, actions);
-            self.watches.put(subject, watch);
+            self.watches.insert(subject, watch);
         }
     }
 
-    /// True for a process that this entry would watch, if nobody running is
-    /// known to.
+    /// Returns whether this entry should watch a process, and no running entry
+    /// is known to watch it.
     fn should_watch(&self, subject: SubjectId, process: &Process) -> bool {
         let is_live = |address: &SocketAddr| {
             let mut live = self.fleet.candidates.iter();
             live.any(|candidate| candidate.address == *address)
         };
-        let rule = self.directory.statements().governing(subject);
+        let rule = self.directory.statements().latest(subject);
         let is_candidate = subject != self.key
             && !process.has_left
             && region(process.zone) == region(self.identity.zone)
@@ -64,15 +65,16 @@
             && self.watches.get(subject).is_none()
             && rule.is_none_or(|rule| !rule.watchers.iter().any(is_live));
         is_candidate
-            && !self.is_outranked(subject)
+            && !self.is_outscored(subject)
             && self
                 .local_watchers(subject, process)
                 .contains(&self.identity.address)
     }
 
-    /// True where there are zones enough for each watcher, and this entry is not
-    /// the best of its zone; found without ranking all entries.
-    fn is_outranked(&self, subject: SubjectId) -> bool {
+    /// Returns whether there are enough zones for each watcher to be in its
+    /// own, and this entry is not the best of its zone. Avoids ranking all
+    /// entries.
+    fn is_outscored(&self, subject: SubjectId) -> bool {
         let own = score(subject, self.key);
         let mut rivals = self.fleet.candidates.iter();
         self.fleet.zones.len() >= self.settings.watchers
@@ -82,6 +84,6 @@
 
     fn local_watchers(&self, subject: SubjectId, process: &Process) -> Vec<SocketAddr> {
         let candidates = &self.fleet.candidates;
-        choice::local(subject, process.zone, candidates, self.settings.watchers)
+        rendezvous::local(subject, process.zone, candidates, self.settings.watchers)
     }
 }
--- a/coordination/member/src/registry/failure.rs
+++ b/coordination/member/src/registry/failure.rs
@@ -8,11 +8,11 @@
 use crate::Action;
 use crate::Message;
 use crate::Record;
-use crate::choice::score;
 use crate::record::Key;
 use crate::record::Report;
 use crate::record::SubjectId;
 use crate::record::Suspicion;
+use crate::rendezvous::score;
 use crate::watches::Tally;
 use crate::watches::Watch;
 use crate::watches::is_doubtful;
@@ -20,20 +20,20 @@
 use crate::zones::LOST_PERCENT;
 use crate::zones::MAX_OBSERVERS;
 
-/// Further wait before the processes of a zone that is mostly silent are
-/// suspected one by one.
-const ZONE_WAIT: Duration = Duration::from_secs(3);
+/// Additional delay before the processes of a mostly silent zone are suspected
+/// one by one.
+const ZONE_SUSPICION_DELAY: Duration = Duration::from_secs(3);
 
 /// Shortest time between two reports of this entry on one zone.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Silent processes from which a zone may be mostly silent.
-const MIN_SILENT: u16 = 2;
+/// Fewest silent processes for a zone to count as mostly silent.
+const MIN_ZONE_SILENT: u16 = 2;
 
 impl Registry {
-    /// Probes what is silent, and states what it must be taken for.
-    pub(super) fn detect(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        for to in self.watches.take_probes(now, &self.settings) {
+    /// Probes silent processes, reports on zones and states suspicions.
+    pub(super) fn detect_failures(&mut self, now: Duration, actions: &mut Vec<Action>) {
+        for to in self.watches.take_due_probes(now, &self.settings) {
             self.link.send(to, Message::Probe, actions);
         }
         let own = self.identity.address;
@@ -44,7 +44,7 @@
         };
         let silence = self.settings.silence;
         let tallies = self.watches.tallies(now, silence, is_suspected);
-        let is_deaf = now.saturating_sub(self.link.heard) > silence;
+        let is_deaf = now.saturating_sub(self.link.last_received) > silence;
         let was_doubtful = self.is_doubtful;
         self.is_doubtful = is_deaf || is_doubtful(self.identity.zone, &tallies);
         if self.is_doubtful {
@@ -52,8 +52,9 @@
             return;
         }
         if was_doubtful {
-            // What was not heard meanwhile says nothing of those processes.
-            self.watches.restart(now, |_| true);
+            // Heartbeats missed while this entry was in doubt say nothing about
+            // the processes.
+            self.watches.reset_silence(now, |_| true);
             return;
         }
         self.report_zones(now, &tallies);
@@ -63,14 +64,14 @@
     fn suspect(&mut self, now: Duration, tallies: &BTreeMap<ZoneId, Tally>) {
         let wait = self.settings.silence + self.settings.settle;
         let due = self.watches.iter().filter(|(subject, watch)| {
-            let silence = now.saturating_sub(watch.heard);
+            let silence = now.saturating_sub(watch.last_heard);
             let mostly_silent = tallies
                 .get(&watch.zone)
                 .copied()
                 .is_some_and(is_mostly_silent);
-            watch.named
+            watch.is_watcher
                 && silence > wait
-                && (!mostly_silent || silence > wait + ZONE_WAIT)
+                && (!mostly_silent || silence > wait + ZONE_SUSPICION_DELAY)
                 && !self.directory.zones().is_lost(watch.zone)
                 && self.directory.incarnation(*subject) == Some(watch.incarnation)
                 && !self.has_stated(*subject, watch)
@@ -85,22 +86,23 @@
         }
     }
 
-    /// States that this entry hears a process, where others suspect it, or
-    /// something outdated is stated.
-    pub(super) fn vouch(&mut self, subject: SubjectId) {
+    /// States that this entry hears a process, where others suspect it, this
+    /// entry suspected it before, or the latest statement names outdated
+    /// watchers.
+    pub(super) fn state_heard(&mut self, subject: SubjectId) {
         let statements = self.directory.statements();
-        let (Some(watch), Some(rule)) = (self.watches.get(subject), statements.governing(subject))
+        let (Some(watch), Some(rule)) = (self.watches.get(subject), statements.latest(subject))
         else {
             return;
         };
         let own = statements.get(subject, self.identity.address);
         let stated = own.map(|own| own.sequence);
-        let suspected = statements.suspected(subject);
+        let suspected = statements.suspected_after(subject);
         let is_contested = suspected
             .is_some_and(|suspected| watch.sequence > suspected && stated <= Some(suspected));
         let is_refuted = own.is_some_and(|own| own.silent && own.sequence < watch.sequence);
         let is_superseded = rule.sequence < watch.sequence && rule.watchers != watch.watchers;
-        if watch.named
+        if watch.is_watcher
             && watch.incarnation == rule.incarnation
             && (is_contested || is_refuted || is_superseded)
         {
@@ -109,26 +111,26 @@
         }
     }
 
-    /// Reports how much of each zone is silent, where that is in question and
-    /// this entry is among its observers.
+    /// Reports how many processes of each zone are silent, where the zone may
+    /// be lost and this entry is among its observers.
     fn report_zones(&mut self, now: Duration, tallies: &BTreeMap<ZoneId, Tally>) {
         for (zone, tally) in tallies {
             let is_open =
-                tally.silent * 2 >= tally.watched || self.directory.zones().is_open(*zone);
-            let last = self.reported.get(zone);
+                tally.silent * 2 >= tally.watched || self.directory.zones().has_silence(*zone);
+            let last = self.last_reports.get(zone);
             let is_due = last.is_none_or(|last| now >= *last + REPORT_INTERVAL);
             let is_asked = *zone != self.identity.zone && is_open && is_due;
-            if !is_asked || !self.is_news(*zone, *tally) || !self.observes(*zone) {
+            if !is_asked || !self.is_report_due(*zone, *tally) || !self.observes(*zone) {
                 continue;
             }
-            self.reported.insert(*zone, now);
+            self.last_reports.insert(*zone, now);
             let report = self.report(*zone, *tally);
             self.publish(&Record::Report(report));
         }
     }
 
-    /// True where the last report on a zone has become wrong.
-    fn is_news(&self, zone: ZoneId, tally: Tally) -> bool {
+    /// Returns whether the last report on a zone is outdated.
+    fn is_report_due(&self, zone: ZoneId, tally: Tally) -> bool {
         match self.directory.zones().get(zone, self.identity.address) {
             Some(last) if last.incarnation == self.identity.incarnation => {
                 last.silent != tally.silent
@@ -151,7 +153,7 @@
         }
     }
 
-    /// True where this entry is among the bounded number of observers of a
+    /// Returns whether this entry is among the bounded number of observers of a
     /// zone in its region.
     fn observes(&self, zone: ZoneId) -> bool {
         let own = score(Key::from(zone), self.key);
@@ -182,6 +184,6 @@
 }
 
 fn is_mostly_silent(tally: Tally) -> bool {
-    tally.silent >= MIN_SILENT
+    tally.silent >= MIN_ZONE_SILENT
         && u32::from(tally.silent) * 100 >= u32::from(tally.watched) * LOST_PERCENT
 }
--- a/coordination/member/src/registry/spread.rs
+++ b/coordination/member/src/registry/gossip.rs
@@ -1,4 +1,4 @@
-//! Gossip: news is pushed to a few entries at a time.
+//! Gossip: new records are pushed to a few entries at a time.
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -15,11 +15,11 @@
 use crate::message::pack;
 use crate::record::Key;
 
-/// Records that are considered at a time, the most urgent first.
+/// Largest number of records considered at a time, the most urgent first.
 const MAX_RECORDS: usize = 200;
 
 impl Registry {
-    /// Pushes news when it is due.
+    /// Pushes new records when the next push is due.
     pub(super) fn gossip_if_due(&mut self, now: Duration, actions: &mut Vec<Action>) {
         if self.next_push.is_none_or(|next| now < next) {
             return;
@@ -27,15 +27,15 @@
         self.link.refill(now);
         self.gossip(actions);
         self.last_push = now;
-        self.next_push = match self.hot.len() {
+        self.next_push = match self.rumors.len() {
             0 => None,
             _ => Some(now + self.settings.pace),
         };
     }
 
-    /// Pushes news to a few entries, within the budget.
+    /// Pushes new records to a few entries, within the budget.
     pub(super) fn gossip(&mut self, actions: &mut Vec<Action>) {
-        let keys = self.hot.order();
+        let keys = self.rumors.order();
         if keys.is_empty() {
             return;
         }
@@ -47,7 +47,7 @@
         for key in keys.into_iter().take(MAX_RECORDS) {
             match self.directory.record(key) {
                 Some(record) => records.push(record),
-                None => self.hot.remove(key),
+                None => self.rumors.remove(key),
             }
         }
         for batch in batches(records, true) {
@@ -58,13 +58,14 @@
                 self.link.send(*peer, batch.message.clone(), actions);
             }
             for key in batch.keys {
-                self.hot.count(key, peers.len());
+                self.rumors.count_sends(key, peers.len());
             }
         }
     }
 
-    /// Takes records that a peer sent. It learns of those that were dropped.
-    pub(super) fn push(
+    /// Merges the records that a peer pushed, and sends it the removals of
+    /// those that have a tombstone here.
+    pub(super) fn receive_push(
         &mut self,
         now: Duration,
         from: SocketAddr,
@@ -74,7 +75,7 @@
         let mut dropped = Vec::new();
         for record in push.records {
             let key = record.key();
-            if self.learn(now, &record, push.hot) == Err(Refusal::Departed) {
+            if self.merge_received(now, &record, push.hot) == Err(Refusal::Departed) {
                 dropped.extend(self.directory.record(key));
             }
         }
@@ -83,8 +84,8 @@
         }
     }
 
-    /// Fetches a large configuration that is newer than the one held.
-    pub(super) fn offer(
+    /// Fetches a large configuration that is newer than the held one.
+    pub(super) fn receive_offer(
         &mut self,
         now: Duration,
         from: SocketAddr,
@@ -96,14 +97,19 @@
         if held.is_some_and(|held| held.revision >= offer.revision) {
             return;
         }
-        if let Some(request) = self.assembler.begin(now, from, offer) {
+        if let Some(request) = self.assembler.start(now, from, offer) {
             self.link
                 .send(request.to, Message::Fetch(request.fetch), actions);
         }
     }
 
-    /// Sends the fragments that a process lacks, as far as the budget goes.
-    pub(super) fn fetch(&mut self, from: SocketAddr, fetch: &Fetch, actions: &mut Vec<Action>) {
+    /// Sends the fragments that a process lacks, within the budget.
+    pub(super) fn send_fragments(
+        &mut self,
+        from: SocketAddr,
+        fetch: &Fetch,
+        actions: &mut Vec<Action>,
+    ) {
         let view = self.directory.view(&fetch.offer.address);
         let Some(config) = view.and_then(|view| view.config.as_ref()) else {
             return;
@@ -116,23 +122,23 @@
         }
     }
 
-    /// Asks again for fragments that did not arrive.
+    /// Requests overdue fragments again.
     pub(super) fn fetch_overdue(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        for request in self.assembler.overdue(now) {
+        for request in self.assembler.retry_overdue(now) {
             self.link
                 .send(request.to, Message::Fetch(request.fetch), actions);
         }
     }
 
-    /// Takes part of a large configuration, and offers it to others once it is
-    /// complete.
-    pub(super) fn fragment(&mut self, now: Duration, fragment: Fragment) {
-        if let Some(service) = self.assembler.take(now, fragment) {
+    /// Adds a fragment of a large configuration, and gossips the configuration
+    /// once it is complete.
+    pub(super) fn receive_fragment(&mut self, now: Duration, fragment: Fragment) {
+        if let Some(service) = self.assembler.add_fragment(now, fragment) {
             self.publish(&Record::Service(service));
         }
     }
 
-    fn learn(&mut self, now: Duration, record: &Record, hot: bool) -> Result<(), Refusal> {
+    fn merge_received(&mut self, now: Duration, record: &Record, hot: bool) -> Result<(), Refusal> {
         if self.is_own(record) {
             return Ok(());
         }
@@ -141,23 +147,23 @@
             _ => None,
         };
         if let Record::Target(target) = record {
-            self.supersede(now, target.id, target.incarnation);
+            self.update_incarnation(now, target.id, target.incarnation);
         }
         let result = self.directory.merge(record.clone());
         match result {
-            Ok(()) if hot => self.heat(record),
+            Ok(()) if hot => self.start_gossip(record),
             Ok(()) => {}
             Err(reason) => self.link.refuse(reason),
         }
-        // A watcher that hears the process says so.
+        // A watcher that hears the process states so.
         if let Some(subject) = suspected {
-            self.vouch(subject);
+            self.state_heard(subject);
         }
         result
     }
 
-    /// The watch on a process moves to its newer incarnation.
-    fn supersede(&mut self, now: Duration, id: Key, incarnation: u64) {
+    /// Moves the watch on a process to its newer incarnation.
+    fn update_incarnation(&mut self, now: Duration, id: Key, incarnation: u64) {
         let Some(watch) = self.watches.get(id) else {
             return;
         };
@@ -165,12 +171,12 @@
             let mut watch = watch.clone();
             watch.incarnation = incarnation;
             watch.sequence = 0;
-            watch.heard = now;
-            self.watches.put(id, watch);
+            watch.last_heard = now;
+            self.watches.insert(id, watch);
         }
     }
 
-    /// True for a record of which this entry is the only author.
+    /// Returns whether this entry is the only author of a record.
     fn is_own(&self, record: &Record) -> bool {
         match record {
             Record::Entry(entry) => {
@@ -182,7 +188,7 @@
         }
     }
 
-    /// Sends records as bulk, as far as the budget goes.
+    /// Sends records as bulk messages, within the budget.
     pub(super) fn send_records(
         &mut self,
         to: SocketAddr,
@@ -191,7 +197,8 @@
     ) {
         let batches = batches(records, false).into_iter();
         let mut messages: Vec<Message> = batches.map(|batch| batch.message).collect();
-        // Where the budget cuts the rest off, that is not the same rest each time.
+        // A random order keeps the budget from cutting off the same messages
+        // each time.
         self.rng.shuffle(&mut messages);
         for message in messages {
             if !self.link.send_bulk(to, message, actions) {
@@ -201,7 +208,7 @@
     }
 }
 
-/// Records and the message that carries them.
+/// Message, and the keys of the records that it carries.
 struct Batch {
     keys: Vec<Key>,
     message: Message,
--- a/coordination/member/src/registry/heartbeat.rs
+++ b/coordination/member/src/registry/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of agents and entries, and the answers to them.
+//! Heartbeats of agents and entries, and their acknowledgements.
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -14,7 +14,6 @@
 use crate::Record;
 use crate::Refusal;
 use crate::View;
-use crate::choice;
 use crate::digest::Digest;
 use crate::fragment;
 use crate::message::Ack;
@@ -25,23 +24,24 @@
 use crate::message::pack;
 use crate::record::SubjectId;
 use crate::record::entry_key;
+use crate::rendezvous;
 use crate::view::Member;
 use crate::view::PARTS;
 use crate::watches::Watch;
 
-/// Entries named to an agent beyond its watchers.
-const SPARES: usize = 3;
+/// Number of entries suggested to an agent beyond its watchers.
+const SPARE_WATCHERS: usize = 3;
 
-/// Other regions in which an entry has observers.
+/// Number of other regions in which an entry has observers.
 const REMOTE_REGIONS: usize = 2;
 
-/// Observers of an entry in each of these.
+/// Number of observers of an entry in each of these regions.
 const REMOTE_OBSERVERS: usize = 2;
 
-/// Processes whose watchers are remembered.
+/// Largest number of processes whose chosen watchers are cached.
 const MAX_CHOICES: usize = 4_096;
 
-/// The parts of a subject that both kinds have.
+/// Properties that both kinds of subjects have in common.
 struct Sender {
     id: SubjectId,
     address: SocketAddr,
@@ -75,8 +75,8 @@
 }
 
 impl Registry {
-    /// Takes the heartbeat of a process and answers it.
-    pub(super) fn heartbeat(
+    /// Processes a heartbeat and acknowledges it.
+    pub(super) fn receive_heartbeat(
         &mut self,
         now: Duration,
         from: SocketAddr,
@@ -86,7 +86,7 @@
         let sender = Sender::new(&heartbeat.subject);
         if let Err(reason) = self.check_order(&sender, heartbeat.sequence) {
             self.link.refuse(reason);
-            return self.name_successor(from, &sender, actions);
+            return self.send_successor(from, &sender, actions);
         }
         let record = match heartbeat.subject {
             Subject::Target(target) => Record::Target(target),
@@ -100,12 +100,12 @@
             zone: sender.zone,
             incarnation: sender.incarnation,
             sequence: heartbeat.sequence,
-            heard: now,
-            probed: now,
-            named: heartbeat.watchers.contains(&self.identity.address),
+            last_heard: now,
+            last_probed: now,
+            is_watcher: heartbeat.watchers.contains(&self.identity.address),
             watchers: heartbeat.watchers,
         };
-        self.renew(&sender, watch, heartbeat.observe);
+        self.update_watch(&sender, watch, heartbeat.observe);
         self.refresh_fleet();
         let view = sender.service.and_then(|address| self.service(&address));
         let digest = view.map_or(0, View::digest);
@@ -139,8 +139,8 @@
         }
     }
 
-    /// Tells an agent that a newer incarnation announces its backend server.
-    fn name_successor(&mut self, from: SocketAddr, sender: &Sender, actions: &mut Vec<Action>) {
+    /// Notifies an agent that a newer incarnation announces its backend server.
+    fn send_successor(&mut self, from: SocketAddr, sender: &Sender, actions: &mut Vec<Action>) {
         let view = sender.service.and_then(|address| self.service(&address));
         let member = view.and_then(|view| view.targets.get(&sender.id));
         let newer = member.filter(|held| held.target.incarnation > sender.incarnation);
@@ -156,15 +156,15 @@
     }
 
     /// Renews the watch on a process that names this entry as its watcher or
-    /// observer, and ends others.
-    fn renew(&mut self, sender: &Sender, watch: Watch, observe: bool) {
+    /// observer, or whose zone is lost. Ends the watch otherwise.
+    fn update_watch(&mut self, sender: &Sender, watch: Watch, observe: bool) {
         let is_sentinel =
             self.watches.get(sender.id).is_some() && self.directory.zones().is_lost(sender.zone);
-        if sender.has_left || !(watch.named || observe || is_sentinel) {
+        if sender.has_left || !(watch.is_watcher || observe || is_sentinel) {
             return self.watches.remove(sender.id);
         }
-        self.watches.put(sender.id, watch);
-        self.vouch(sender.id);
+        self.watches.insert(sender.id, watch);
+        self.state_heard(sender.id);
     }
 
     fn choose_watchers(&mut self, sender: &Sender) -> Vec<SocketAddr> {
@@ -174,17 +174,17 @@
         if self.fleet.choices.len() >= MAX_CHOICES {
             self.fleet.choices.clear();
         }
-        let count = self.settings.watchers + SPARES;
+        let count = self.settings.watchers + SPARE_WATCHERS;
         let candidates = &self.fleet.candidates;
         let choices = &mut self.fleet.choices;
         let choice = choices
             .entry(sender.id)
-            .or_insert_with(|| choice::local(sender.id, sender.zone, candidates, count));
+            .or_insert_with(|| rendezvous::local(sender.id, sender.zone, candidates, count));
         choice.clone()
     }
 
-    /// Sends an agent what its view lacks: recent changes, or the parts that
-    /// differ where it names their digests.
+    /// Sends an agent what its view lacks: the parts that differ where it sent
+    /// their digests, or else the recent changes.
     fn send_view(
         &mut self,
         to: SocketAddr,
@@ -214,41 +214,43 @@
             let members = changed.filter_map(|id| view.targets.get(id)).cloned();
             messages.extend(member_messages(address, members));
         }
-        // Where the budget cuts the rest off, that is not the same rest each time.
+        // A random order keeps the budget from cutting off the same messages
+        // each time.
         self.rng.shuffle(&mut messages);
         for message in messages {
             self.link.send_bulk(to, message, actions);
         }
     }
 
-    /// Sends the heartbeat of this entry to its watchers when it is due.
-    pub(super) fn beat_if_due(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        if now < self.pulse.next {
+    /// Sends the heartbeat of this entry to its watchers and observers when it
+    /// is due.
+    pub(super) fn send_heartbeat_if_due(&mut self, now: Duration, actions: &mut Vec<Action>) {
+        if now < self.own_heartbeat.next {
             return;
         }
-        self.pulse.next = now + self.settings.heartbeat;
+        self.own_heartbeat.next = now + self.settings.heartbeat;
         let candidates = &self.fleet.candidates;
         let zone = self.identity.zone;
-        let watchers = choice::local(self.key, zone, candidates, self.settings.watchers);
+        let watchers = rendezvous::local(self.key, zone, candidates, self.settings.watchers);
         let observers =
-            choice::remote(self.key, zone, candidates, REMOTE_REGIONS, REMOTE_OBSERVERS);
-        let mut receivers = self.pulse.watchers.clone();
-        receivers.extend(&self.pulse.observers);
+            rendezvous::remote(self.key, zone, candidates, REMOTE_REGIONS, REMOTE_OBSERVERS);
+        let mut receivers = self.own_heartbeat.watchers.clone();
+        receivers.extend(&self.own_heartbeat.observers);
         receivers.extend(watchers.iter().chain(&observers));
         if receivers.is_empty() {
             receivers.clone_from(&self.seeds);
         }
-        // Former watchers learn that they are no longer named.
+        // Former watchers learn from it that they are no longer named.
         receivers.sort_unstable();
         receivers.dedup();
-        self.pulse.watchers = watchers;
-        self.pulse.observers = observers;
-        self.beat(&receivers, actions);
+        self.own_heartbeat.watchers = watchers;
+        self.own_heartbeat.observers = observers;
+        self.send_heartbeat(&receivers, actions);
     }
 
-    /// Sends a heartbeat of this entry.
-    pub(super) fn beat(&mut self, receivers: &[SocketAddr], actions: &mut Vec<Action>) {
-        self.pulse.sequence += 1;
+    /// Sends a heartbeat of this entry to each receiver.
+    pub(super) fn send_heartbeat(&mut self, receivers: &[SocketAddr], actions: &mut Vec<Action>) {
+        self.own_heartbeat.sequence += 1;
         let has_left = self.directory.entry(self.key).is_some_and(|own| own.left);
         for to in receivers {
             let heartbeat = Heartbeat {
@@ -258,9 +260,9 @@
                     incarnation: self.identity.incarnation,
                     left: has_left,
                 }),
-                sequence: self.pulse.sequence,
-                watchers: self.pulse.watchers.clone(),
-                observe: self.pulse.observers.contains(to),
+                sequence: self.own_heartbeat.sequence,
+                watchers: self.own_heartbeat.watchers.clone(),
+                observe: self.own_heartbeat.observers.contains(to),
                 digest: 0,
                 parts: Vec::new(),
             };
--- a/coordination/member/src/choice.rs
+++ b/coordination/member/src/rendezvous.rs
@@ -1,9 +1,10 @@
-//! Chooses the entries that watch a process: by rendezvous hashing, spread
-//! over zones.
+//! Choice of the entries that watch a process: rendezvous hashing, spread over
+//! zones.
 //!
-//! Each entry scores a keyed hash of the process; the highest scores win (see
-//! Thaler and Ravishankar, "Using name-based mappings to increase hit rates",
-//! 1998). A change of the entries moves only the watchers that it concerns.
+//! Each entry is scored by a hash of its key and that of the process; the
+//! highest scores win (see Thaler and Ravishankar, "Using name-based mappings
+//! to increase hit rates", 1998). A change in the set of entries moves only the
+//! watchers that it affects.
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
@@ -14,7 +15,7 @@
 use crate::zone::RegionId;
 use crate::zone::region;
 
-/// An entry that may watch.
+/// Entry that may watch a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Candidate {
     /// Key of the entry.
@@ -25,9 +26,9 @@
     pub zone: ZoneId,
 }
 
-/// Best entries for a process in its own region, most wanted first, where the
-/// best of each zone come before others. Takes all regions where the region
-/// has no other entry.
+/// Returns the best entries for a process in its own region, best first. The
+/// best entry of each zone comes before the others. Falls back to all regions
+/// where the region has no other entry.
 #[must_use]
 pub fn local(
     subject: SubjectId,
@@ -36,20 +37,20 @@
     count: usize,
 ) -> Vec<SocketAddr> {
     let near = |candidate: &Candidate| region(candidate.zone) == region(zone);
-    let chosen = spread(
+    let chosen = spread_over_zones(
         subject,
         candidates.iter().filter(|other| near(other)),
         count,
     );
     if chosen.is_empty() {
-        spread(subject, candidates.iter(), count)
+        spread_over_zones(subject, candidates.iter(), count)
     } else {
         chosen
     }
 }
 
-/// Best entries for a process in other regions: `count` in each of at most
-/// `regions`, spread over zones.
+/// Returns the best entries for a process in other regions: `count` in each of
+/// at most `regions`, spread over zones.
 #[must_use]
 pub fn remote(
     subject: SubjectId,
@@ -68,12 +69,12 @@
     others.truncate(regions);
     let best = others.into_iter().flat_map(|other| {
         let within = |candidate: &&Candidate| region(candidate.zone) == other;
-        spread(subject, candidates.iter().filter(within), count)
+        spread_over_zones(subject, candidates.iter().filter(within), count)
     });
     best.collect()
 }
 
-fn spread<'a>(
+fn spread_over_zones<'a>(
     subject: SubjectId,
     candidates: impl Iterator<Item = &'a Candidate>,
     count: usize,
@@ -81,7 +82,7 @@
     let mut zones = Best::default();
     let mut all = Best::default();
     for candidate in candidates {
-        zones.offer_one(subject, candidate, |held| held.zone == candidate.zone);
+        zones.offer_per_zone(subject, candidate, |held| held.zone == candidate.zone);
         all.offer(subject, candidate, count);
     }
     let mut chosen = zones.into_addresses(count);
@@ -93,10 +94,10 @@
     chosen
 }
 
-/// A few candidates with the highest scores, best first.
+/// Candidates with the highest scores, best first.
 #[derive(Default)]
 struct Best {
-    items: Vec<Scored>,
+    candidates: Vec<Scored>,
 }
 
 struct Scored {
@@ -105,33 +106,40 @@
 }
 
 impl Best {
-    /// Keeps the candidate where it is among the `limit` best.
+    /// Inserts the candidate where it is among the `limit` best.
     fn offer(&mut self, subject: SubjectId, candidate: &Candidate, limit: usize) {
         let score = score(subject, candidate.key);
-        let full = self.items.len() >= limit;
-        let beaten = self.items.last().is_none_or(|last| last.score >= score);
+        let full = self.candidates.len() >= limit;
+        let beaten = self
+            .candidates
+            .last()
+            .is_none_or(|last| last.score >= score);
         if candidate.key == subject || (full && beaten) {
             return;
         }
-        let at = self.items.partition_point(|item| item.score > score);
+        let at = self.candidates.partition_point(|item| item.score > score);
         let candidate = *candidate;
-        self.items.insert(at, Scored { score, candidate });
-        self.items.truncate(limit);
+        self.candidates.insert(at, Scored { score, candidate });
+        self.candidates.truncate(limit);
     }
 
-    /// Keeps the candidate where it beats the one like it, or there is none.
-    fn offer_one(
+    /// Inserts the candidate where none is like it, or in place of the one like
+    /// it that scores lower.
+    fn offer_per_zone(
         &mut self,
         subject: SubjectId,
         candidate: &Candidate,
         like: impl Fn(&Candidate) -> bool,
     ) {
         let score = score(subject, candidate.key);
-        let rival = self.items.iter().position(|item| like(&item.candidate));
+        let rival = self
+            .candidates
+            .iter()
+            .position(|item| like(&item.candidate));
         match rival {
-            Some(at) if self.items[at].score >= score => return,
+            Some(at) if self.candidates[at].score >= score => return,
             Some(at) if candidate.key != subject => {
-                self.items.remove(at);
+                self.candidates.remove(at);
             }
             _ => {}
         }
@@ -139,12 +147,12 @@
     }
 
     fn into_addresses(self, count: usize) -> Vec<SocketAddr> {
-        let best = self.items.into_iter().take(count);
+        let best = self.candidates.into_iter().take(count);
         best.map(|item| item.candidate.address).collect()
     }
 }
 
-/// Mixes two keys that are hashes already (the finaliser of `splitmix64`).
+/// Mixes two keys that are already hashes, with the finaliser of `splitmix64`.
 #[must_use]
 pub const fn score(subject: Key, candidate: Key) -> u64 {
     let mut hash = subject ^ candidate.rotate_left(32);
--- a/coordination/member/src/settings.rs
+++ b/coordination/member/src/settings.rs
@@ -6,27 +6,27 @@
 pub struct Settings {
     /// Time between two heartbeats of a process.
     pub heartbeat: Duration,
-    /// Entries that watch one process, within its region.
+    /// Number of entries in its region that watch one process.
     pub watchers: usize,
     /// Silence after which a watcher probes a process.
     pub probe: Duration,
     /// Silence after which a process counts as silent.
     pub silence: Duration,
-    /// Further wait before a watcher states its suspicion, in which the
-    /// failure of a whole zone shows itself as such.
+    /// Further delay before a watcher states its suspicion, in which the
+    /// failure of a whole zone can be recognised as such.
     pub settle: Duration,
-    /// Time between two looks at what is silent or due.
+    /// Time between two rounds of periodic work.
     pub round: Duration,
-    /// Time between two pushes of news.
+    /// Time between two gossip pushes.
     pub pace: Duration,
-    /// Peers that news is pushed to at a time.
+    /// Number of peers that receive each gossip push.
     pub fanout: usize,
     /// Time between two comparisons of digests with a peer.
     pub compare: Duration,
-    /// Bytes a second that an entry sends.
+    /// Budget of bytes per second in each direction.
     pub send_rate: u32,
-    /// Time for which departed and silent processes are remembered. Longer
-    /// than regions are expected to lose each other.
+    /// Time for which departed and silent processes are kept. Longer than
+    /// partitions between regions are expected to last.
     pub retention: Duration,
 }
 
@@ -49,7 +49,8 @@
 }
 
 impl Settings {
-    /// Lateness of a tick after which a process doubts what it did not hear.
+    /// Returns the delay of a tick beyond which a process disregards the
+    /// silences that it measured.
     #[must_use]
     pub fn pause(&self) -> Duration {
         self.heartbeat / 2
--- a/coordination/member/src/statements.rs
+++ b/coordination/member/src/statements.rs
@@ -1,8 +1,8 @@
-//! The statements of watchers, and whether a majority suspects a process.
+//! Statements of watchers, and whether a majority suspects a process.
 //!
 //! The statement with the largest heartbeat number names the watchers of a
-//! process; statements of others are not kept. So what is kept does not depend
-//! on the order in which statements arrive.
+//! process; statements of other entries are not kept. The kept statements
+//! therefore do not depend on the order of arrival.
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -18,17 +18,19 @@
 }
 
 impl Statements {
-    /// Takes a statement where it is newer; the statements that it replaces.
+    /// Merges a statement if it is newer; returns the statements that it
+    /// replaces.
     ///
     /// # Errors
     ///
-    /// [`Refusal::Stale`] or [`Refusal::NotWatcher`].
+    /// [`Refusal::Stale`], or [`Refusal::NotWatcher`] where its observer is not
+    /// a watcher of the process.
     pub fn merge(&mut self, new: Suspicion) -> Result<Vec<Suspicion>, Refusal> {
         if !new.watchers.contains(&new.observer) {
             return Err(Refusal::NotWatcher);
         }
         let subject = new.subject;
-        match (self.get(subject, new.observer), self.governing(subject)) {
+        match (self.get(subject, new.observer), self.latest(subject)) {
             (Some(held), _) if held.stamp() >= new.stamp() => return Err(Refusal::Stale),
             (_, Some(rule))
                 if rule.sequence >= new.sequence && !rule.watchers.contains(&new.observer) =>
@@ -40,7 +42,7 @@
         let observer = new.observer;
         let held = self.subjects.entry(subject).or_default();
         held.push(new);
-        let Some(watchers) = governing(held).map(|rule| rule.watchers.clone()) else {
+        let Some(watchers) = latest(held).map(|rule| rule.watchers.clone()) else {
             return Ok(Vec::new());
         };
         let newest = held.len() - 1;
@@ -58,31 +60,32 @@
         Ok(replaced)
     }
 
-    /// The statement of one watcher.
+    /// Returns the statement of one watcher.
     #[must_use]
     pub fn get(&self, subject: SubjectId, observer: SocketAddr) -> Option<&Suspicion> {
         let held = self.subjects.get(&subject)?;
         held.iter().find(|held| held.observer == observer)
     }
 
-    /// The statement that names the watchers.
+    /// Returns the statement that names the current watchers.
     #[must_use]
-    pub fn governing(&self, subject: SubjectId) -> Option<&Suspicion> {
-        governing(self.subjects.get(&subject)?)
+    pub fn latest(&self, subject: SubjectId) -> Option<&Suspicion> {
+        latest(self.subjects.get(&subject)?)
     }
 
-    /// Last heartbeat after which some watcher suspects the process.
+    /// Returns the number of the last heartbeat after which some watcher
+    /// suspects the process.
     #[must_use]
-    pub fn suspected(&self, subject: SubjectId) -> Option<Sequence> {
+    pub fn suspected_after(&self, subject: SubjectId) -> Option<Sequence> {
         let held = self.subjects.get(&subject)?.iter();
         let silent = held.filter(|held| held.silent);
         silent.map(|held| held.sequence).max()
     }
 
-    /// True where a majority suspects the process. Those count against it that
-    /// suspect it, and for it the running watchers that stated to have heard a
-    /// later heartbeat. While they may still do so, the other running watchers
-    /// count for it too.
+    /// Returns whether a majority suspects the process. Watchers that suspect
+    /// it count against it. Running watchers that stated to have heard a later
+    /// heartbeat count for it, and so do the other running watchers as long as
+    /// `may_answer` is true.
     #[must_use]
     pub fn is_silent(
         &self,
@@ -90,7 +93,7 @@
         may_answer: bool,
         is_live: impl Fn(SocketAddr) -> bool,
     ) -> bool {
-        let (Some(rule), Some(suspected)) = (self.governing(subject), self.suspected(subject))
+        let (Some(rule), Some(suspected)) = (self.latest(subject), self.suspected_after(subject))
         else {
             return false;
         };
@@ -107,17 +110,17 @@
         against > others
     }
 
-    /// Forgets all statements about a process.
+    /// Removes all statements about a process and returns them.
     pub fn remove(&mut self, subject: SubjectId) -> Vec<Suspicion> {
         self.subjects.remove(&subject).unwrap_or_default()
     }
 
-    /// The processes that statements are about.
+    /// Returns the processes that statements are about.
     pub fn subjects(&self) -> impl Iterator<Item = SubjectId> {
         self.subjects.keys().copied()
     }
 }
 
-fn governing(statements: &[Suspicion]) -> Option<&Suspicion> {
+fn latest(statements: &[Suspicion]) -> Option<&Suspicion> {
     statements.iter().max_by_key(|held| held.sequence)
 }
--- a/coordination/member/src/status.rs
+++ b/coordination/member/src/status.rs
@@ -1,62 +1,62 @@
 //! Counters of the membership protocol.
 use std::collections::BTreeMap;
 
-/// Why something received was not taken, or something asked was not done.
+/// Reason why received data was refused, or a message was not sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Refusal {
-    /// A heartbeat whose number was seen before.
+    /// Heartbeat whose number was seen before.
     Replay,
-    /// A statement about, or by, a process that has a newer incarnation.
+    /// Statement about, or by, a process that has a newer incarnation.
     OldIncarnation,
-    /// A record that is not newer than the one held.
+    /// Record that is not newer than the held one.
     Stale,
-    /// A statement about a process that is not in the directory.
+    /// Statement about a process that is not in the directory.
     UnknownSubject,
-    /// A statement of a process that does not watch the one it is about.
+    /// Statement by a process that does not watch the one it is about.
     NotWatcher,
-    /// A record that was dropped after it had been silent for long.
+    /// Record that was removed after long silence or a departure.
     Departed,
-    /// A message that this role does not take, or that was not asked for.
+    /// Message that this role does not accept, or that was not requested.
     Unexpected,
-    /// A message whose parts contradict each other.
+    /// Message whose parts contradict each other.
     Malformed,
-    /// Bulk that waits for the budget of bytes a second.
+    /// Bulk message that exceeds the budget of bytes per second.
     Budget,
 }
 
 /// Counters since the start of the process, and sizes of what is held.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Status {
-    /// Bytes sent, with the headers below the message.
+    /// Bytes sent, including the headers below the message.
     pub sent_bytes: u64,
-    /// Bytes received, with the headers below the message.
+    /// Bytes received, including the headers below the message.
     pub received_bytes: u64,
     /// Messages sent.
     pub sent: u64,
     /// Messages received.
     pub received: u64,
-    /// What was not taken, by reason.
+    /// Refusals, by reason.
     pub refusals: BTreeMap<Refusal, u64>,
-    /// Suspicions that this process stated.
+    /// Suspicions stated by this process.
     pub suspicions: u64,
-    /// Times that this process doubted itself: its tick came late, or it lost
-    /// most of what it watches.
+    /// Number of times that this process started to doubt itself: its tick came
+    /// late, or most of what it watches was silent.
     pub self_doubts: u64,
-    /// True while this process doubts itself and suspects nobody.
+    /// True while this process doubts itself and states no suspicions.
     pub is_doubtful: bool,
-    /// Services held.
+    /// Known services.
     pub services: usize,
-    /// Targets held.
+    /// Known targets.
     pub targets: usize,
-    /// Targets held down or doubted.
+    /// Targets whose health is down or doubted.
     pub silent: usize,
-    /// Entries held, this one included.
+    /// Known entries, including this one.
     pub entries: usize,
     /// Processes that this one watches.
     pub watched: usize,
-    /// Records that gossip is still passing on.
+    /// Records that gossip is still spreading.
     pub hot: usize,
-    /// Zones held to be lost.
+    /// Zones that count as lost.
     pub lost_zones: usize,
 }
 
--- a/coordination/member/src/targets.rs
+++ b/coordination/member/src/targets.rs
@@ -1,4 +1,4 @@
-//! The targets of one service, in the order of their ids.
+//! Targets of one service, in the order of their ids.
 use std::iter::Map;
 use std::ops::Index;
 use std::slice;
@@ -7,18 +7,18 @@
 
 use crate::view::Member;
 
-/// Share of the length, as a divisor, by which the storage grows.
+/// Divisor of the length that gives the growth of the storage.
 const GROWTH: usize = 8;
 
-/// The targets of one service, in the order of their ids. Held in one piece,
-/// since there is one of these for each service.
+/// Targets of one service, in the order of their ids. Stored contiguously and
+/// with little spare capacity, since there is one of these for each service.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Targets {
     members: Vec<Member>,
 }
 
 impl Targets {
-    /// Nothing yet.
+    /// Creates an empty collection.
     #[must_use]
     pub const fn new() -> Self {
         Self {
@@ -26,37 +26,37 @@
         }
     }
 
-    /// All targets.
+    /// Returns all targets.
     pub fn values(&self) -> impl Iterator<Item = &Member> {
         self.members.iter()
     }
 
-    /// All targets with their ids.
+    /// Returns all targets with their ids.
     pub fn iter(&self) -> Iter<'_> {
         let entry: fn(&Member) -> (&TargetId, &Member) = |member| (&member.target.id, member);
         self.members.iter().map(entry)
     }
 
-    /// The target with this id.
+    /// Returns the target with this id.
     #[must_use]
     pub fn get(&self, id: &TargetId) -> Option<&Member> {
         let at = self.position(*id).ok()?;
         self.members.get(at)
     }
 
-    /// Number of targets.
+    /// Returns the number of targets.
     #[must_use]
     pub const fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// True where there is none.
+    /// Returns whether there are no targets.
     #[must_use]
     pub const fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 
-    /// The targets with ids from `first` to `last`.
+    /// Returns the targets with ids from `first` to `last`.
     pub(crate) fn range(&self, first: TargetId, last: TargetId) -> &[Member] {
         let members = &self.members;
         let start = members.partition_point(|member| member.target.id < first);
@@ -64,7 +64,7 @@
         &members[start..end]
     }
 
-    /// Puts a target in the place of the one with the same id, if any.
+    /// Inserts a target, in place of the one with the same id if there is one.
     pub(crate) fn insert(&mut self, member: Member) {
         match self.position(member.target.id) {
             Ok(at) => self.members[at] = member,
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Takes a target out.
+    /// Removes a target and returns it.
     pub(crate) fn remove(&mut self, id: TargetId) -> Option<Member> {
         let at = self.position(id).ok()?;
         Some(self.members.remove(at))
@@ -89,7 +89,7 @@
     }
 }
 
-/// Iterates over targets with their ids, as over a map.
+/// Iterator over targets with their ids, as over a map.
 pub type Iter<'a> = Map<slice::Iter<'a, Member>, fn(&'a Member) -> (&'a TargetId, &'a Member)>;
 
 impl<'a> IntoIterator for &'a Targets {
@@ -104,11 +104,11 @@
 impl Index<&TargetId> for Targets {
     type Output = Member;
 
-    /// The target with this id.
+    /// Returns the target with this id.
     ///
     /// # Panics
     ///
-    /// Where there is none.
+    /// Panics if there is no target with this id.
     fn index(&self, id: &TargetId) -> &Member {
         self.get(id).expect("no target with this id")
     }
--- a/coordination/member/src/tree.rs
+++ b/coordination/member/src/tree.rs
@@ -1,9 +1,9 @@
-//! A tree of digests over all keys, by which two directories find where they
+//! Tree of digests over all keys, with which two directories find where they
 //! differ.
 use crate::digest::Digest;
 use crate::record::Key;
 
-/// Children of a node.
+/// Number of children of an inner node.
 pub const BRANCHES: usize = 16;
 
 /// Level of the leaves; the root is level 0.
@@ -17,7 +17,7 @@
     levels: Vec<Vec<Digest>>,
 }
 
-/// A node of the tree: a range of keys that share their upper bits.
+/// Node of the tree: the range of keys that share their upper bits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Node {
     /// Depth below the root.
@@ -27,10 +27,10 @@
 }
 
 impl Node {
-    /// The node of all keys.
+    /// Root, whose range is all keys.
     pub const ROOT: Self = Self { level: 0, index: 0 };
 
-    /// The child with this number.
+    /// Returns the child with this number.
     #[must_use]
     pub const fn child(self, number: u16) -> Self {
         Self {
@@ -39,13 +39,13 @@
         }
     }
 
-    /// True where the node exists.
+    /// Returns whether the node exists.
     #[must_use]
     pub const fn is_valid(self) -> bool {
         self.level <= LEAF_LEVEL && (self.index as usize) < BRANCHES.pow(self.level as u32)
     }
 
-    /// Smallest key of the range.
+    /// Returns the smallest key of the range.
     #[must_use]
     pub const fn first(self) -> Key {
         match self.level {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Largest key of the range.
+    /// Returns the largest key of the range.
     #[must_use]
     pub const fn last(self) -> Key {
         match self.level {
@@ -74,7 +74,7 @@
 }
 
 impl Tree {
-    /// Replaces the digest of the record under a key; 0 stands for none.
+    /// Replaces the digest of the record under a key; 0 stands for no record.
     pub fn replace(&mut self, key: Key, old: Digest, new: Digest) {
         for (level, nodes) in (1..).zip(&mut self.levels) {
             let index = usize::try_from(key >> (Key::BITS - BRANCH_BITS * level)).unwrap_or(0);
@@ -82,14 +82,14 @@
         }
     }
 
-    /// Digests of the children of an inner node.
+    /// Returns the digests of the children of an inner node.
     #[must_use]
     pub fn children(&self, node: Node) -> &[Digest] {
         let first = usize::from(node.index) * BRANCHES;
         &self.levels[usize::from(node.level)][first..first + BRANCHES]
     }
 
-    /// Digest of everything.
+    /// Returns the digest of all records.
     #[must_use]
     pub fn root(&self) -> Digest {
         let top = self.children(Node::ROOT);
--- a/coordination/member/src/view.rs
+++ b/coordination/member/src/view.rs
@@ -1,4 +1,4 @@
-//! What is known of one service.
+//! View of one service: its configuration and its targets.
 use serde::Deserialize;
 use serde::Serialize;
 use wire::ServiceAddress;
@@ -12,46 +12,48 @@
 use crate::digest::Digest;
 use crate::targets::Targets;
 
-/// Parts into which the targets of a view fall, by the upper bits of their id.
+/// Number of parts into which the targets of a view are divided, by the upper
+/// bits of their ids.
 pub const PARTS: usize = 64;
 
 const PART_BITS: u32 = PARTS.ilog2();
 
-/// A service: its configuration and its targets.
+/// Configuration and targets of a service, as one process knows them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct View {
     /// Address that callers send to.
     pub address: ServiceAddress,
-    /// The configuration, once it is known.
+    /// Configuration, once it is known.
     pub config: Option<Service>,
-    /// Every target, including draining, silent and departed ones.
+    /// All targets, including draining, silent and departed ones.
     pub targets: Targets,
     digest: Digest,
 }
 
-/// A target and what its watchers say of it.
+/// Target and its health.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// The target, as it last announced itself.
+    /// Target as it last announced itself.
     pub target: Target,
-    /// Whether it is held to be running.
+    /// Health according to the watchers of the target.
     pub health: Health,
 }
 
-/// Whether a target is held to be running.
+/// Health of a target, according to its watchers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Health {
-    /// Its watchers hear from it.
+    /// Its watchers receive its heartbeats.
     Up,
-    /// Its watchers do not hear from it, but too many targets of the service
-    /// are silent for that to be believed. To be used where no other is up.
+    /// Its watchers do not receive its heartbeats, but too many targets of the
+    /// service are silent for all of them to have failed. For use where no
+    /// other target is up.
     Doubted,
-    /// Its watchers do not hear from it.
+    /// Its watchers do not receive its heartbeats.
     Down,
 }
 
 impl View {
-    /// A service of which nothing is known yet.
+    /// Creates a view without a configuration and targets.
     #[must_use]
     pub const fn new(address: ServiceAddress) -> Self {
         Self {
@@ -62,24 +64,26 @@
         }
     }
 
-    /// Digest of the configuration and of all targets with their health.
+    /// Returns the digest of the configuration and of all targets with their
+    /// health.
     #[must_use]
     pub const fn digest(&self) -> Digest {
         self.digest
     }
 
-    /// Digests of the parts of the targets, then that of the configuration.
+    /// Returns the digests of the parts of the targets, then that of the
+    /// configuration.
     pub(crate) fn parts(&self) -> Vec<Digest> {
         let mut parts = vec![0; PARTS];
         for member in self.targets.values() {
             let part = &mut parts[part(member.target.id)];
-            *part = digest::item(member).wrapping_add(*part);
+            *part = digest::of(member).wrapping_add(*part);
         }
         parts.push(config_digest(self.config.as_ref()));
         parts
     }
 
-    /// The targets of one part.
+    /// Returns the targets of one part.
     pub(crate) fn part(&self, number: usize) -> &[Member] {
         if number >= PARTS {
             return &[];
@@ -89,18 +93,18 @@
             .range(first, first | (TargetId::MAX >> PART_BITS))
     }
 
-    /// Takes the configuration where it is newer.
+    /// Merges a configuration if it is newer.
     pub(crate) fn merge_config(&mut self, config: Service) -> Result<(), Refusal> {
         let held = self.config.as_ref();
         if held.is_some_and(|held| held.revision >= config.revision) {
             return Err(Refusal::Stale);
         }
-        self.replace(config_digest(held), digest::item(&config));
+        self.replace_digest(config_digest(held), digest::of(&config));
         self.config = Some(config);
         Ok(())
     }
 
-    /// Takes the announcement of a target where it is newer.
+    /// Merges the announcement of a target if it is newer.
     pub(crate) fn merge_target(&mut self, target: Target) -> Result<(), Refusal> {
         let health = match self.targets.get(&target.id) {
             Some(held) if held.target.incarnation > target.incarnation => {
@@ -114,7 +118,7 @@
         Ok(())
     }
 
-    /// Sets the health of a target; true where it changed.
+    /// Sets the health of a target; returns whether it changed.
     pub(crate) fn set_health(&mut self, id: TargetId, health: Health) -> bool {
         let Some(held) = self.targets.get(&id).filter(|held| held.health != health) else {
             return false;
@@ -124,21 +128,23 @@
         true
     }
 
-    /// Forgets a target; true where it was held.
+    /// Removes a target; returns whether it was held.
     pub(crate) fn remove(&mut self, id: TargetId) -> bool {
         let Some(member) = self.targets.remove(id) else {
             return false;
         };
-        self.replace(digest::item(&member), 0);
+        self.replace_digest(digest::of(&member), 0);
         true
     }
 
-    /// Gives each target its health, from whether it is silent; the targets
-    /// whose health changed.
+    /// Updates the health of all targets, given which are silent. Returns the
+    /// targets whose health changed.
     ///
-    /// At most half of the ready targets are held down for silence. Where more
+    /// At most half of the ready targets count as down for silence. Where more
+    /// are silent, the observers are more likely at fault than the targets, and
+    /// all silent ones become [`Health::Doubted`].
     /// are silent, the observers are in doubt rather than the targets.
-    pub(crate) fn judge(&mut self, is_silent: impl Fn(&Target) -> bool) -> Vec<TargetId> {
+    pub(crate) fn update_health(&mut self, is_silent: impl Fn(&Target) -> bool) -> Vec<TargetId> {
         let mut ready = 0;
         let mut silent_ready = 0;
         let mut silent = Vec::new();
@@ -169,24 +175,24 @@
             .collect()
     }
 
-    /// Puts a member in place of the one with the same target id, whichever is
-    /// newer.
+    /// Inserts a member in place of the one with the same target id, even if
+    /// that one is newer.
     pub fn put_member(&mut self, member: Member) {
-        let old = self.targets.get(&member.target.id).map_or(0, digest::item);
-        self.replace(old, digest::item(&member));
+        let old = self.targets.get(&member.target.id).map_or(0, digest::of);
+        self.replace_digest(old, digest::of(&member));
         self.targets.insert(member);
     }
 
-    fn replace(&mut self, old: Digest, new: Digest) {
+    fn replace_digest(&mut self, old: Digest, new: Digest) {
         self.digest = self.digest.wrapping_sub(old).wrapping_add(new);
     }
 }
 
-/// Number of the part that a target falls into.
+/// Returns the number of the part that a target belongs to.
 pub(crate) fn part(id: TargetId) -> usize {
     usize::try_from(id >> (TargetId::BITS - PART_BITS)).unwrap_or(0)
 }
 
 fn config_digest(config: Option<&Service>) -> Digest {
-    config.map_or(0, digest::item)
+    config.map_or(0, digest::of)
 }
--- a/coordination/member/src/watches.rs
+++ b/coordination/member/src/watches.rs
@@ -1,4 +1,4 @@
-//! The processes that an entry watches, and when it last heard them.
+//! Processes that an entry watches, and when it last heard each of them.
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,55 +14,56 @@
 /// Fewest watched processes from whose silence a watcher doubts itself.
 const MIN_WATCHED: usize = 4;
 
-/// Other zones of the region which do not all fail at once.
-const DOUBTFUL_ZONES: usize = 2;
+/// Number of other zones of the region that are not expected to fail at once;
+/// the watcher doubts itself where as many are mostly silent.
+const MIN_LOST_ZONES: usize = 2;
 
-/// One watched process.
+/// Watch on one process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Watch {
     /// UDP address of the process.
     pub address: SocketAddr,
     /// Zone of the process.
     pub zone: ZoneId,
-    /// Its incarnation.
+    /// Incarnation of the process.
     pub incarnation: Incarnation,
-    /// Its last heartbeat.
+    /// Number of its last heartbeat.
     pub sequence: Sequence,
-    /// When that arrived, or the watch began.
-    pub heard: Duration,
-    /// When it was last probed.
-    pub probed: Duration,
-    /// The watchers that it named.
+    /// Time of its last heartbeat, or of the start of the watch.
+    pub last_heard: Duration,
+    /// Time of the last probe, or of the last heartbeat.
+    pub last_probed: Duration,
+    /// Watchers that the process named.
     pub watchers: Vec<SocketAddr>,
     /// False where the process does not name this entry as a watcher, and is
-    /// observed for the sake of its zone.
-    pub named: bool,
+    /// only observed to tell whether its zone is reachable.
+    pub is_watcher: bool,
 }
 
-/// Watched and silent processes of one zone.
+/// Numbers of silent and watched processes in one zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
-    /// Those that are silent.
+    /// Silent processes.
     pub silent: u16,
-    /// All.
+    /// Watched processes, including silent ones.
     pub watched: u16,
 }
 
-/// All watched processes.
+/// Watches on processes.
 #[derive(Debug, Default)]
 pub struct Watches {
     watches: BTreeMap<SubjectId, Watch>,
 }
 
 impl Watches {
-    /// The watch on a process.
+    /// Returns the watch on a process.
     #[must_use]
     pub fn get(&self, subject: SubjectId) -> Option<&Watch> {
         self.watches.get(&subject)
     }
 
-    /// Begins or renews the watch on a process.
-    pub fn put(&mut self, subject: SubjectId, watch: Watch) {
+    /// Starts or renews the watch on a process.
+    pub fn insert(&mut self, subject: SubjectId, watch: Watch) {
         self.watches.insert(subject, watch);
     }
 
@@ -76,45 +77,46 @@
         self.watches.retain(|subject, watch| keep(*subject, watch));
     }
 
-    /// All watches.
+    /// Returns all watches.
     pub fn iter(&self) -> impl Iterator<Item = (SubjectId, &Watch)> {
         let watches = self.watches.iter();
         watches.map(|(subject, watch)| (*subject, watch))
     }
 
-    /// Number of watched processes.
+    /// Returns the number of watched processes.
     #[must_use]
     pub fn len(&self) -> usize {
         self.watches.len()
     }
 
-    /// Begins the silences of some processes anew.
-    pub fn restart(&mut self, now: Duration, concerns: impl Fn(&Watch) -> bool) {
+    /// Restarts the silences of the processes that `concerns` selects.
+    pub fn reset_silence(&mut self, now: Duration, concerns: impl Fn(&Watch) -> bool) {
         let watches = self.watches.values_mut();
         for watch in watches.filter(|watch| concerns(watch)) {
-            watch.heard = now;
+            watch.last_heard = now;
         }
     }
 
-    /// The processes to be probed now, which are then not due for a while.
-    pub fn take_probes(&mut self, now: Duration, settings: &Settings) -> Vec<SocketAddr> {
+    /// Returns the processes to probe now, and postpones their next probe.
+    pub fn take_due_probes(&mut self, now: Duration, settings: &Settings) -> Vec<SocketAddr> {
         let mut due = Vec::new();
         for watch in self.watches.values_mut() {
-            let silence = now.saturating_sub(watch.heard);
+            let silence = now.saturating_sub(watch.last_heard);
             let pause = if silence > settings.silence + settings.settle {
                 settings.heartbeat * 4
             } else {
                 settings.round
             };
-            if silence > settings.probe && now >= watch.probed + pause {
-                watch.probed = now;
+            if silence > settings.probe && now >= watch.last_probed + pause {
+                watch.last_probed = now;
                 due.push(watch.address);
             }
         }
         due
     }
 
-    /// Watched and silent processes by zone, but for those to be left out.
+    /// Returns the numbers of silent and watched processes by zone, without
+    /// those that `leave_out` selects.
     pub fn tallies(
         &self,
         now: Duration,
@@ -125,7 +127,7 @@
         let counted = self.iter().filter(|(subject, _)| !leave_out(*subject));
         for (_, watch) in counted {
             let tally = tallies.entry(watch.zone).or_default();
-            let is_silent = now.saturating_sub(watch.heard) > silence;
+            let is_silent = now.saturating_sub(watch.last_heard) > silence;
             tally.watched = tally.watched.saturating_add(1);
             tally.silent = tally.silent.saturating_add(is_silent.into());
         }
@@ -133,9 +135,10 @@
     }
 }
 
-/// True where so much is silent that the watcher in zone `own` must doubt
-/// itself: most of what it watches beyond one zone, or most of two other zones.
-/// Counts what is in its region, since regions do lose each other.
+/// Returns whether so many processes are silent that the watcher in zone `own`
+/// must doubt itself: most of those outside the zone with the most silent ones,
+/// or most of each of two other zones. Counts only its own region, since
+/// partitions between regions do happen.
 #[must_use]
 pub fn is_doubtful(own: ZoneId, tallies: &BTreeMap<ZoneId, Tally>) -> bool {
     let near = tallies
@@ -151,7 +154,7 @@
     let (silent, watched) = sum(rest.map(|(_, tally)| tally));
     match sum(near.values()) {
         (_, all) if all < MIN_WATCHED => false,
-        _ if lost.count() >= DOUBTFUL_ZONES => true,
+        _ if lost.count() >= MIN_LOST_ZONES => true,
         (all_silent, all) if watched == 0 => all_silent * 2 > all,
         _ => silent * 2 > watched,
     }
--- a/coordination/member/src/zones.rs
+++ b/coordination/member/src/zones.rs
@@ -1,7 +1,7 @@
-//! Reports on zones, and whether a zone is held to be lost.
+//! Reports on zones, and whether a zone counts as lost.
 //!
-//! A lost zone is one report for each of a bounded number of observers, in
-//! place of a suspicion for each process in it.
+//! A lost zone takes one report from each of a bounded number of observers,
+//! instead of a suspicion for each process in it.
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -10,56 +10,60 @@
 use wire::ZoneId;
 
 use crate::Refusal;
-use crate::choice::score;
 use crate::record::Key;
 use crate::record::Report;
 use crate::record::entry_key;
+use crate::rendezvous::score;
 use crate::zone::RegionId;
 use crate::zone::region;
 
-/// Observers of one zone in one region.
+/// Largest number of observers of one zone in one region.
 pub const MAX_OBSERVERS: usize = 16;
 
-/// Share of silent processes, in percent, from which a zone is lost.
+/// Share of silent processes, in percent, from which a zone counts as lost.
 pub const LOST_PERCENT: u32 = 90;
 
-/// Share of silent processes, in percent, below which it is back.
-const BACK_PERCENT: u32 = 50;
+/// Share of silent processes, in percent, below which a lost zone has
+/// recovered.
+const RECOVERED_PERCENT: u32 = 50;
 
-/// Observers that a verdict needs.
+/// Fewest reports from which a zone may count as lost.
 const MIN_REPORTS: usize = 2;
 
-/// Watched processes that a verdict needs, summed over the observers.
+/// Fewest watched processes from which a zone may count as lost, summed over
+/// the observers.
 const MIN_WATCHED: u32 = 4;
 
-/// What a verdict needs to know of the entries.
+/// Inputs of a verdict on zones and processes beside the statements.
 #[derive(Clone, Debug)]
 pub struct Scope {
-    /// Region whose observers are heard.
+    /// Region whose observers count.
     pub region: RegionId,
     /// Zones of the region that have entries.
     pub zones: BTreeSet<ZoneId>,
-    /// Wait after the first report for those of other observers.
-    pub settle: Duration,
-    /// Wait for the other watchers of a process that one suspects.
-    pub answer: Duration,
+    /// Delay after the first report of silence, in which other observers may
+    /// report.
+    pub settle_wait: Duration,
+    /// Delay after a suspicion, in which the other watchers of the process may
+    /// answer.
+    pub answer_wait: Duration,
 }
 
-/// Reports and verdicts.
+/// Reports on zones, and the zones that count as lost.
 #[derive(Debug, Default)]
 pub struct Zones {
     reports: BTreeMap<ZoneId, BTreeMap<SocketAddr, Report>>,
-    opened: BTreeMap<ZoneId, Duration>,
+    silent_since: BTreeMap<ZoneId, Duration>,
     lost: BTreeSet<ZoneId>,
 }
 
 impl Zones {
-    /// Takes a report where it is newer; those that it replaces.
+    /// Merges a report if it is newer; returns the reports that it replaces.
     ///
     /// # Errors
     ///
-    /// [`Refusal::Stale`], or [`Refusal::NotWatcher`] where enough others that
-    /// come first observe the zone.
+    /// [`Refusal::Stale`], or [`Refusal::NotWatcher`] where enough observers of
+    /// higher rank have reported on the zone.
     pub fn merge(&mut self, new: Report) -> Result<Vec<Report>, Refusal> {
         let zone = new.zone;
         let reports = self.reports.entry(zone).or_default();
@@ -82,31 +86,32 @@
         Ok(replaced)
     }
 
-    /// The report of one observer.
+    /// Returns the report of one observer.
     #[must_use]
     pub fn get(&self, zone: ZoneId, observer: SocketAddr) -> Option<&Report> {
         self.reports.get(&zone)?.get(&observer)
     }
 
-    /// True where some observer reports silence in the zone.
+    /// Returns whether some observer reports silence in the zone.
     #[must_use]
-    pub fn is_open(&self, zone: ZoneId) -> bool {
-        self.opened.contains_key(&zone)
+    pub fn has_silence(&self, zone: ZoneId) -> bool {
+        self.silent_since.contains_key(&zone)
     }
 
-    /// True where the zone is held to be lost.
+    /// Returns whether the zone counts as lost.
     #[must_use]
     pub fn is_lost(&self, zone: ZoneId) -> bool {
         self.lost.contains(&zone)
     }
 
-    /// The zones held to be lost.
+    /// Returns the zones that count as lost.
     pub fn lost(&self) -> impl Iterator<Item = ZoneId> {
         self.lost.iter().copied()
     }
 
-    /// Judges all zones again; those whose verdict changed.
-    pub fn judge(
+    /// Updates the verdicts on all zones; returns the zones whose verdict
+    /// changed.
+    pub fn update_lost(
         &mut self,
         now: Duration,
         scope: &Scope,
@@ -119,16 +124,16 @@
             });
             let tally = Tally::of(heard);
             if tally.silent == 0 {
-                self.opened.remove(zone);
+                self.silent_since.remove(zone);
             }
             let opened = match tally.silent {
                 0 => now,
-                _ => *self.opened.entry(*zone).or_insert(now),
+                _ => *self.silent_since.entry(*zone).or_insert(now),
             };
-            let settled = now >= opened + scope.settle;
+            let settled = now >= opened + scope.settle_wait;
             let was_lost = self.lost.contains(zone);
             let is_lost = if was_lost {
-                tally.silent * 100 >= tally.watched * BACK_PERCENT && tally.silent > 0
+                tally.silent * 100 >= tally.watched * RECOVERED_PERCENT && tally.silent > 0
             } else {
                 settled && tally.is_lost() && tally.has_quorum(*zone, &scope.zones)
             };
@@ -145,7 +150,7 @@
     }
 }
 
-/// Sum of reports.
+/// Sum of the reports on one zone.
 struct Tally {
     silent: u32,
     watched: u32,
@@ -176,15 +181,15 @@
             && self.silent * 100 >= self.watched * LOST_PERCENT
     }
 
-    /// True where observers of two zones agree, or there is only one other
-    /// zone with entries.
+    /// Returns whether observers of two other zones have reported, or there is
+    /// only one other zone with entries.
     fn has_quorum(&self, zone: ZoneId, zones: &BTreeSet<ZoneId>) -> bool {
         let others = zones.iter().filter(|other| **other != zone).count();
         self.zones.len() >= others.min(2)
     }
 }
 
-/// Orders the observers of a zone; the largest come first.
+/// Returns the rank of an observer of a zone; those with the largest are kept.
 #[must_use]
 pub fn rank(zone: ZoneId, observer: SocketAddr) -> u64 {
     score(Key::from(zone), entry_key(observer))
