--- a/coordination/member/src/announcer.rs
+++ b/coordination/member/src/announcer.rs
@@ -44,7 +44,7 @@
 const STARTUP_INTERVAL: Duration = Duration::from_millis(150);
 
 /// Time without an acknowledgement after which the version of the announcement
-/// is raised, since the entries may have removed the older version.
+/// is raised, since the entries may have rereceivers the older version.
 const REANNOUNCE_AFTER: Duration = Duration::from_mins(1);
 
 /// Largest fraction by which a heartbeat interval is randomly shortened.
@@ -185,9 +185,7 @@
         match message {
             Message::Ack(ack) => self.receive_ack(now, from, ack, actions),
             Message::Probe => self.send_heartbeat(&[from], actions),
-            Message::Members(members) if members.address == service => {
-                self.receive_members(members)
-            }
+            Message::Members(members) if members.address == service => self.merge_members(members),
             Message::Roll(roll) if roll.address == service => self.receive_roll(&roll),
             Message::Offer(offer) if offer.address == service => {
                 self.receive_offer(now, from, offer, actions);
@@ -285,8 +283,8 @@
         let mut differing: Vec<SocketAddr> = receivers.iter().filter(differing).copied().collect();
         self.rng.shuffle(&mut differing);
         for to in receivers {
-            // The digests of the parts make one entry whose view differs send
-            // the difference.
+            // One of the entries whose view differs receives the digests of the
+            // parts, and answers with the parts that differ.
             let parts = match differing.first() {
                 Some(first) if first == to => self.view.parts(),
                 _ => Vec::new(),
@@ -321,20 +319,20 @@
         if ack.incarnation != self.target.incarnation || ack.sequence > self.sequence {
             return self.link.refuse(Refusal::Unexpected);
         }
-        // The entries may have removed a target that they did not hear for
+        // The entries may have rereceivers a target that they did not hear for
         // long.
         let unheard = now.saturating_sub(self.last_acknowledged);
         self.last_acknowledged = now;
         if unheard > REANNOUNCE_AFTER {
             self.bump_version(now);
         }
-        let moved = self.watchers.acknowledge(now, from, ack);
-        if !moved.is_empty() {
-            self.send_heartbeat(&moved, actions);
+        let receivers = self.watchers.acknowledge(now, from, ack);
+        if !receivers.is_empty() {
+            self.send_heartbeat(&receivers, actions);
         }
     }
 
-    fn receive_members(&mut self, members: Members) {
+    fn merge_members(&mut self, members: Members) {
         if let Some(config) = members.config {
             self.changed |= self.view.merge_config(config).is_ok();
         }
@@ -383,12 +381,12 @@
     /// Removes the departed and silent targets that the entry no longer lists.
     fn receive_roll(&mut self, roll: &Roll) {
         let part = self.view.part(roll.part.into()).iter();
-        let dropped: Vec<u64> = part
+        let rereceivers: Vec<u64> = part
             .filter(|member| member.target.state == State::Left || member.health != Health::Up)
             .map(|member| member.target.id)
             .filter(|id| *id != self.target.id && !roll.targets.contains(id))
             .collect();
-        for id in dropped {
+        for id in rereceivers {
             self.changed |= self.view.remove(id);
         }
     }
--- a/coordination/member/src/announcer/watchers.rs
+++ b/coordination/member/src/announcer/watchers.rs
@@ -100,8 +100,8 @@
     #[must_use]
     pub fn receivers(&self) -> Vec<SocketAddr> {
         let mut receivers = self.addresses();
-        let asked = self.fallbacks.iter().copied();
-        receivers.extend(asked.filter(|asked| !self.is_current(*asked)));
+        let fallbacks = self.fallbacks.iter().copied();
+        receivers.extend(fallbacks.filter(|fallback| !self.is_current(*fallback)));
         receivers
     }
 
@@ -132,9 +132,9 @@
     /// answers, chooses other entries that receive heartbeats too.
     pub fn check_answers(&mut self, now: Duration, rng: &mut Rng) {
         let silence = self.settings.silence;
-        let forgive = silence * RETRY_SILENCES;
+        let retry_after = silence * RETRY_SILENCES;
         self.unresponsive
-            .retain(|_, since| now.saturating_sub(*since) < forgive);
+            .retain(|_, since| now.saturating_sub(*since) < retry_after);
         let mut is_answered = false;
         for held in &self.current {
             if now.saturating_sub(held.last_answer) > silence {
--- a/coordination/member/src/directory.rs
+++ b/coordination/member/src/directory.rs
@@ -52,7 +52,7 @@
     entry_states: BTreeMap<Key, EntryState>,
     statements: Statements,
     zones: Zones,
-    slots: BTreeMap<Key, Slot>,
+    record_index: BTreeMap<Key, IndexedRecord>,
     tree: Tree,
     dirty_services: BTreeSet<ServiceAddress>,
     changed_services: BTreeSet<ServiceAddress>,
@@ -87,8 +87,8 @@
 
 /// Location of a record, and the digest of its version.
 #[derive(Debug)]
-struct Slot {
-    place: Place,
+struct IndexedRecord {
+    location: Location,
     digest: Digest,
 }
 
@@ -97,22 +97,22 @@
 
 /// Location of a record; small, since there is one for each target.
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Place {
+enum Location {
     Service(ServiceIndex),
     Target(ServiceIndex),
     Entry,
-    Suspicion(Box<SuspicionPlace>),
-    Report(Box<ReportPlace>),
+    Suspicion(Box<SuspicionLocation>),
+    Report(Box<ReportLocation>),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct SuspicionPlace {
+struct SuspicionLocation {
     subject: SubjectId,
     observer: SocketAddr,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct ReportPlace {
+struct ReportLocation {
     zone: ZoneId,
     observer: SocketAddr,
 }
@@ -138,12 +138,12 @@
     pub fn merge(&mut self, record: Record) -> Result<(), Refusal> {
         let key = record.key();
         let digest = digest::of(&record);
-        let place = match record {
+        let location = match record {
             Record::Service(service) => {
                 let address = service.address;
                 self.view_mut(address).merge_config(service)?;
                 self.add_change(address, None);
-                Place::Service(self.index(address))
+                Location::Service(self.index(address))
             }
             Record::Target(target) => self.merge_target(target)?,
             Record::Entry(entry) => self.merge_entry(key, entry)?,
@@ -151,11 +151,11 @@
             Record::Report(report) => self.merge_report(report)?,
             Record::Removal(removal) => return self.merge_removal(&removal),
         };
-        self.set_slot(key, place, digest);
+        self.index_record(key, location, digest);
         Ok(())
     }
 
-    fn merge_target(&mut self, target: Target) -> Result<Place, Refusal> {
+    fn merge_target(&mut self, target: Target) -> Result<Location, Refusal> {
         let (id, address, incarnation) = (target.id, target.service, target.incarnation);
         self.check_tombstone(id, target.stamp())?;
         let held = self.incarnation(id);
@@ -165,12 +165,12 @@
         }
         self.add_change(address, Some(id));
         self.dirty_services.insert(address);
-        Ok(Place::Target(self.index(address)))
+        Ok(Location::Target(self.index(address)))
     }
 
-    fn merge_entry(&mut self, key: Key, entry: Entry) -> Result<Place, Refusal> {
+    fn merge_entry(&mut self, key: Key, entry: Entry) -> Result<Location, Refusal> {
         self.check_tombstone(key, entry_stamp(&entry))?;
-        match self.entry_states.get(&key).map(|host| &host.entry) {
+        match self.entry_states.get(&key).map(|state| &state.entry) {
             Some(held) if held.incarnation > entry.incarnation => {
                 return Err(Refusal::OldIncarnation);
             }
@@ -182,10 +182,10 @@
         self.entry_states.insert(key, EntryState { entry, live });
         self.generation += 1;
         self.entries_dirty = true;
-        Ok(Place::Entry)
+        Ok(Location::Entry)
     }
 
-    fn merge_suspicion(&mut self, suspicion: Suspicion) -> Result<Place, Refusal> {
+    fn merge_suspicion(&mut self, suspicion: Suspicion) -> Result<Location, Refusal> {
         let (subject, observer) = (suspicion.subject, suspicion.observer);
         match self.incarnation(subject) {
             None => return Err(Refusal::UnknownSubject),
@@ -193,50 +193,53 @@
             Some(_) => {}
         }
         for replaced in self.statements.merge(suspicion)? {
-            self.clear_slot(suspicion_key(replaced.subject, replaced.observer));
+            self.unindex_record(suspicion_key(replaced.subject, replaced.observer));
         }
         self.mark_dirty(subject);
-        Ok(Place::Suspicion(Box::new(SuspicionPlace {
+        Ok(Location::Suspicion(Box::new(SuspicionLocation {
             subject,
             observer,
         })))
     }
 
-    fn merge_report(&mut self, report: Report) -> Result<Place, Refusal> {
+    fn merge_report(&mut self, report: Report) -> Result<Location, Refusal> {
         let (zone, observer) = (report.zone, report.observer);
         for replaced in self.zones.merge(report)? {
-            self.clear_slot(report_key(replaced.zone, replaced.observer));
+            self.unindex_record(report_key(replaced.zone, replaced.observer));
         }
-        Ok(Place::Report(Box::new(ReportPlace { zone, observer })))
+        Ok(Location::Report(Box::new(ReportLocation {
+            zone,
+            observer,
+        })))
     }
 
     /// Returns the record under a key, or its removal where it was removed.
     #[must_use]
     pub fn record(&self, key: Key) -> Option<Record> {
-        let Some(slot) = self.slots.get(&key) else {
+        let Some(indexed) = self.record_index.get(&key) else {
             return self.removal_record(key);
         };
-        Some(match &slot.place {
-            Place::Service(index) => Record::Service(self.view_at(*index)?.config.clone()?),
-            Place::Target(index) => {
+        Some(match &indexed.location {
+            Location::Service(index) => Record::Service(self.view_at(*index)?.config.clone()?),
+            Location::Target(index) => {
                 let member = self.view_at(*index)?.targets.get(&key)?;
                 Record::Target(member.target.clone())
             }
-            Place::Entry => Record::Entry(self.entry(key)?.clone()),
-            Place::Suspicion(place) => {
-                let held = self.statements.get(place.subject, place.observer)?;
+            Location::Entry => Record::Entry(self.entry(key)?.clone()),
+            Location::Suspicion(location) => {
+                let held = self.statements.get(location.subject, location.observer)?;
                 Record::Suspicion(held.clone())
             }
-            Place::Report(place) => {
-                Record::Report(self.zones.get(place.zone, place.observer)?.clone())
+            Location::Report(location) => {
+                Record::Report(self.zones.get(location.zone, location.observer)?.clone())
             }
         })
     }
 
     /// Returns the keys and digests of the records in a range of keys.
     pub fn range(&self, first: Key, last: Key) -> impl Iterator<Item = (Key, Digest)> {
-        let slots = self.slots.range(first..=last);
-        slots.map(|(key, slot)| (*key, slot.digest))
+        let record_index = self.record_index.range(first..=last);
+        record_index.map(|(key, indexed)| (*key, indexed.digest))
     }
 
     /// Returns the keys of the configuration and the targets of a service.
@@ -265,14 +268,14 @@
     /// Returns the properties that targets and entries have in common.
     #[must_use]
     pub fn process(&self, subject: SubjectId) -> Option<Process> {
-        match self.slots.get(&subject)?.place {
-            Place::Target(_) => self.target(subject).map(|target| Process {
+        match self.record_index.get(&subject)?.location {
+            Location::Target(_) => self.target(subject).map(|target| Process {
                 address: target.address,
                 zone: target.zone,
                 incarnation: target.incarnation,
                 has_left: target.state == State::Left,
             }),
-            Place::Entry => self.entry(subject).map(|entry| Process {
+            Location::Entry => self.entry(subject).map(|entry| Process {
                 address: entry.address,
                 zone: entry.zone,
                 incarnation: entry.incarnation,
@@ -285,21 +288,21 @@
     /// Returns the number of records.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.slots.len()
+        self.record_index.len()
     }
 
     /// Returns the first `count` keys that are larger than `last`.
     #[must_use]
     pub fn keys_after(&self, last: Key, count: usize) -> Vec<Key> {
         let after = (Bound::Excluded(last), Bound::Unbounded);
-        let keys = self.slots.range(after).map(|(key, _)| *key);
+        let keys = self.record_index.range(after).map(|(key, _)| *key);
         keys.take(count).collect()
     }
 
     /// Returns the target with this id.
     #[must_use]
     pub fn target(&self, id: TargetId) -> Option<&Target> {
-        let Place::Target(index) = self.slots.get(&id)?.place else {
+        let Location::Target(index) = self.record_index.get(&id)?.location else {
             return None;
         };
         let member = self.view_at(index)?.targets.get(&id)?;
@@ -309,7 +312,7 @@
     /// Returns the entry under this key.
     #[must_use]
     pub fn entry(&self, key: Key) -> Option<&Entry> {
-        self.entry_states.get(&key).map(|host| &host.entry)
+        self.entry_states.get(&key).map(|state| &state.entry)
     }
 
     /// Returns the statements of watchers about processes.
@@ -333,11 +336,11 @@
 
     /// Returns the running entries.
     pub fn live_entries(&self) -> impl Iterator<Item = Candidate> {
-        let live = self.entry_states.iter().filter(|(_, host)| host.live);
-        live.map(|(key, host)| Candidate {
+        let live = self.entry_states.iter().filter(|(_, state)| state.live);
+        live.map(|(key, state)| Candidate {
             key: *key,
-            address: host.entry.address,
-            zone: host.entry.zone,
+            address: state.entry.address,
+            zone: state.entry.zone,
         })
     }
 
@@ -372,7 +375,7 @@
 
     /// Returns all entries, including departed and silent ones.
     pub fn entries(&self) -> impl Iterator<Item = &Entry> {
-        self.entry_states.values().map(|host| &host.entry)
+        self.entry_states.values().map(|state| &state.entry)
     }
 
     fn view_at(&self, index: ServiceIndex) -> Option<&View> {
@@ -401,19 +404,21 @@
 
     fn forget_statements(&mut self, subject: SubjectId) {
         for statement in self.statements.remove(subject) {
-            self.clear_slot(suspicion_key(subject, statement.observer));
+            self.unindex_record(suspicion_key(subject, statement.observer));
         }
         self.mark_dirty(subject);
     }
 
-    fn set_slot(&mut self, key: Key, place: Place, digest: Digest) {
-        let old = self.slots.insert(key, Slot { place, digest });
+    fn index_record(&mut self, key: Key, location: Location, digest: Digest) {
+        let old = self
+            .record_index
+            .insert(key, IndexedRecord { location, digest });
         self.tree
             .replace(key, old.map_or(0, |old| old.digest), digest);
     }
 
-    fn clear_slot(&mut self, key: Key) {
-        if let Some(old) = self.slots.remove(&key) {
+    fn unindex_record(&mut self, key: Key) {
+        if let Some(old) = self.record_index.remove(&key) {
             self.tree.replace(key, old.digest, 0);
         }
     }
--- a/coordination/member/src/directory/expiry.rs
+++ b/coordination/member/src/directory/expiry.rs
@@ -30,10 +30,10 @@
     /// `retention`. Returns the removals for gossip, since other entries may
     /// have learned of the silence at other times.
     pub fn expire(&mut self, now: Duration, retention: Duration) -> Vec<Record> {
-        let hosts = self.entry_states.iter().filter(|(_, host)| {
-            !host.live && (host.entry.left || !self.zones.is_lost(host.entry.zone))
+        let gone_entries = self.entry_states.iter().filter(|(_, state)| {
+            !state.live && (state.entry.left || !self.zones.is_lost(state.entry.zone))
         });
-        let gone: BTreeSet<Key> = hosts.map(|(key, _)| *key).collect();
+        let gone: BTreeSet<Key> = gone_entries.map(|(key, _)| *key).collect();
         for key in &gone {
             self.gone_since.entry(*key).or_insert(now);
         }
@@ -48,9 +48,9 @@
             self.remove_record(now, *key);
         }
         self.tombstones
-            .retain(|_, dropped| now.saturating_sub(dropped.removed_at) <= retention);
-        let dropped = expired.into_iter();
-        dropped.filter_map(|key| self.removal_record(key)).collect()
+            .retain(|_, tombstone| now.saturating_sub(tombstone.removed_at) <= retention);
+        let removed = expired.into_iter();
+        removed.filter_map(|key| self.removal_record(key)).collect()
     }
 
     /// Restarts all silences at `now`, after a pause of this process.
@@ -90,8 +90,8 @@
 
     /// Returns whether a target or entry has left or counts as silent.
     fn is_gone(&self, key: Key) -> bool {
-        if let Some(host) = self.entry_states.get(&key) {
-            return !host.live;
+        if let Some(state) = self.entry_states.get(&key) {
+            return !state.live;
         }
         let target = self.target(key);
         let view = target.and_then(|target| self.view(&target.service));
@@ -112,23 +112,17 @@
         self.entry_states.remove(&key);
         self.generation += 1;
         self.forget_statements(key);
-        self.clear_slot(key);
+        self.unindex_record(key);
         if self.tombstones.len() < MAX_TOMBSTONES {
-            let at = now;
-            self.tombstones.insert(
-                key,
-                Tombstone {
-                    stamp,
-                    removed_at: at,
-                },
-            );
+            let removed_at = now;
+            self.tombstones.insert(key, Tombstone { stamp, removed_at });
         }
     }
 
     /// Refuses a record that is not newer than its tombstone.
     pub(super) fn check_tombstone(&self, key: Key, stamp: Stamp) -> Result<(), Refusal> {
         match self.tombstones.get(&key) {
-            Some(dropped) if dropped.stamp >= stamp => Err(Refusal::Departed),
+            Some(tombstone) if tombstone.stamp >= stamp => Err(Refusal::Departed),
             _ => Ok(()),
         }
     }
--- a/coordination/member/src/directory/verdict.rs
+++ b/coordination/member/src/directory/verdict.rs
@@ -10,7 +10,7 @@
 
 use super::Directory;
 use super::EntryState;
-use super::Place;
+use super::Location;
 use crate::Health;
 use crate::message::Sequence;
 use crate::record::Key;
@@ -29,10 +29,10 @@
 impl Directory {
     /// Updates the verdicts affected by the records merged since the last call.
     pub fn update_verdicts(&mut self, now: Duration, scope: &Scope) {
-        let hosts = &self.entry_states;
+        let entry_states = &self.entry_states;
         let changed = self.zones.update_lost(now, scope, |report| {
-            let host = hosts.get(&entry_key(report.observer));
-            host.is_some_and(|host| host.live && host.entry.incarnation == report.incarnation)
+            let state = entry_states.get(&entry_key(report.observer));
+            state.is_some_and(|state| state.live && state.entry.incarnation == report.incarnation)
         });
         self.update_answer_windows(now, scope.answer_wait);
         for zone in &changed {
@@ -48,9 +48,9 @@
 
     /// Updates since when each process is suspected, and whether its other
     /// watchers may still answer.
-    fn update_answer_windows(&mut self, now: Duration, answer: Duration) {
-        let mut contests = BTreeMap::new();
-        let mut turned = Vec::new();
+    fn update_answer_windows(&mut self, now: Duration, answer_wait: Duration) {
+        let mut windows = BTreeMap::new();
+        let mut changed = Vec::new();
         for subject in self.statements.subjects() {
             let Some(suspected) = self.statements.suspected_after(subject) else {
                 continue;
@@ -59,11 +59,11 @@
             let since = held
                 .filter(|held| held.suspected == suspected)
                 .map_or(now, |held| held.since);
-            let may_answer = now <= since + answer;
+            let may_answer = now <= since + answer_wait;
             if held.is_some_and(|held| held.may_answer != may_answer) {
-                turned.push(subject);
+                changed.push(subject);
             }
-            contests.insert(
+            windows.insert(
                 subject,
                 AnswerWindow {
                     suspected,
@@ -72,38 +72,38 @@
                 },
             );
         }
-        self.answer_windows = contests;
-        for subject in turned {
+        self.answer_windows = windows;
+        for subject in changed {
             self.mark_dirty(subject);
         }
     }
 
     fn may_answer(&self, subject: SubjectId) -> bool {
-        let contest = self.answer_windows.get(&subject);
-        contest.is_none_or(|contest| contest.may_answer)
+        let window = self.answer_windows.get(&subject);
+        window.is_none_or(|window| window.may_answer)
     }
 
     fn update_live_entries(&mut self) {
         self.entries_dirty = false;
-        let mut turned = Vec::new();
-        for (key, host) in &self.entry_states {
-            let live = !host.entry.left
-                && !self.zones.is_lost(host.entry.zone)
+        let mut changed = Vec::new();
+        for (key, state) in &self.entry_states {
+            let live = !state.entry.left
+                && !self.zones.is_lost(state.entry.zone)
                 && !self
                     .statements
                     .is_silent(*key, self.may_answer(*key), |watcher| {
                         is_live(&self.entry_states, watcher)
                     });
-            if live != host.live {
-                turned.push(*key);
+            if live != state.live {
+                changed.push(*key);
             }
         }
-        for key in &turned {
-            if let Some(host) = self.entry_states.get_mut(key) {
-                host.live = !host.live;
+        for key in &changed {
+            if let Some(state) = self.entry_states.get_mut(key) {
+                state.live = !state.live;
             }
         }
-        if turned.is_empty() {
+        if changed.is_empty() {
             return;
         }
         self.generation += 1;
@@ -119,15 +119,15 @@
             return;
         };
         let view = &mut self.views[index as usize];
-        let (statements, zones, hosts) = (&self.statements, &self.zones, &self.entry_states);
-        let contests = &self.answer_windows;
-        let turned = view.update_health(|target| {
+        let (statements, zones, entry_states) = (&self.statements, &self.zones, &self.entry_states);
+        let windows = &self.answer_windows;
+        let changed = view.update_health(|target| {
             target.state != State::Left
                 && (zones.is_lost(target.zone)
                     || statements.is_silent(
                         target.id,
-                        contests.get(&target.id).is_none_or(|held| held.may_answer),
-                        |watcher| is_live(hosts, watcher),
+                        windows.get(&target.id).is_none_or(|held| held.may_answer),
+                        |watcher| is_live(entry_states, watcher),
                     ))
         });
         for member in view.targets.values() {
@@ -140,19 +140,23 @@
                 self.gone_since.remove(&id);
             }
         }
-        for target in turned {
+        for target in changed {
             self.add_change(address, Some(target));
         }
     }
 
     /// Marks the verdict on a process to be updated.
     pub(super) fn mark_dirty(&mut self, subject: SubjectId) {
-        match self.slots.get(&subject).map(|slot| &slot.place) {
-            Some(Place::Target(index)) => {
+        match self
+            .record_index
+            .get(&subject)
+            .map(|indexed| &indexed.location)
+        {
+            Some(Location::Target(index)) => {
                 let address = self.view_at(*index).map(|view| view.address);
                 self.dirty_services.extend(address);
             }
-            Some(Place::Entry) => self.entries_dirty = true,
+            Some(Location::Entry) => self.entries_dirty = true,
             _ => {}
         }
     }
@@ -167,6 +171,8 @@
     }
 }
 
-fn is_live(hosts: &BTreeMap<Key, EntryState>, address: SocketAddr) -> bool {
-    hosts.get(&entry_key(address)).is_some_and(|host| host.live)
+fn is_live(entry_states: &BTreeMap<Key, EntryState>, address: SocketAddr) -> bool {
+    entry_states
+        .get(&entry_key(address))
+        .is_some_and(|state| state.live)
 }
--- a/coordination/member/src/message.rs
+++ b/coordination/member/src/message.rs
@@ -170,11 +170,9 @@
 /// Reason why a message could not be encoded or decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display, Error)]
 pub enum Error {
-    /// message cannot be encoded or decoded; upgrade the older of the two
-    /// processes
+    /// message cannot be encoded or decoded; upgrade the older process
     Malformed,
-    /// message is larger than a datagram may be; split its items over several
-    /// messages
+    /// message exceeds one datagram; send its items in several messages
     TooLarge,
 }
 
--- a/coordination/member/src/registry.rs
+++ b/coordination/member/src/registry.rs
@@ -88,12 +88,16 @@
     seeds: Vec<SocketAddr>,
     needs: BTreeMap<ServiceAddress, Need>,
     last_reports: BTreeMap<ZoneId, Duration>,
+    /// Key of the last record that the audit checked.
     last_audited: Key,
+    /// Keys of records requested in this comparison interval.
     requested_keys: BTreeSet<Key>,
+    /// True where the last comparison found records missing here.
     is_behind: bool,
     /// Peers that were asked for a service.
     asked_peers: BTreeSet<SocketAddr>,
     has_peer_answered: bool,
+    /// True while this entry doubts itself and states no suspicions.
     is_doubtful: bool,
     next_round: Duration,
     last_push: Duration,
@@ -110,10 +114,10 @@
     candidates: Vec<Candidate>,
     peers: Peers,
     zones: BTreeSet<ZoneId>,
-    choices: BTreeMap<SubjectId, Vec<SocketAddr>>,
+    chosen_watchers: BTreeMap<SubjectId, Vec<SocketAddr>>,
 }
 
-/// Heartbeats that this entry sends about itself.
+/// State of the heartbeats that this entry sends.
 #[derive(Debug, Default)]
 struct OwnHeartbeat {
     sequence: Sequence,
@@ -414,13 +418,13 @@
             candidates,
             peers,
             zones,
-            choices: BTreeMap::new(),
+            chosen_watchers: BTreeMap::new(),
         };
     }
 
     fn expire(&mut self, now: Duration) {
-        for dropped in self.directory.expire(now, self.settings.retention) {
-            self.start_gossip(&dropped);
+        for removal in self.directory.expire(now, self.settings.retention) {
+            self.start_gossip(&removal);
         }
         let directory = &self.directory;
         self.watches
--- a/coordination/member/src/registry/audit.rs
+++ b/coordination/member/src/registry/audit.rs
@@ -34,12 +34,12 @@
             if !self.should_watch(subject, &process) {
                 continue;
             }
-            let rule = self.directory.statements().latest(subject);
+            let latest = self.directory.statements().latest(subject);
             let watch = Watch {
                 address: process.address,
                 zone: process.zone,
                 incarnation: process.incarnation,
-                sequence: rule.map_or(0, |rule| rule.sequence + 1),
+                sequence: latest.map_or(0, |latest| latest.sequence + 1),
                 last_heard: now,
                 last_probed: now,
                 watchers: self.local_watchers(subject, &process),
@@ -57,13 +57,13 @@
             let mut live = self.fleet.candidates.iter();
             live.any(|candidate| candidate.address == *address)
         };
-        let rule = self.directory.statements().latest(subject);
+        let latest = self.directory.statements().latest(subject);
         let is_candidate = subject != self.key
             && !process.has_left
             && region(process.zone) == region(self.identity.zone)
             && !self.directory.zones().is_lost(process.zone)
             && self.watches.get(subject).is_none()
-            && rule.is_none_or(|rule| !rule.watchers.iter().any(is_live));
+            && latest.is_none_or(|latest| !latest.watchers.iter().any(is_live));
         is_candidate
             && !self.is_outscored(subject)
             && self
--- a/coordination/member/src/registry/failure.rs
+++ b/coordination/member/src/registry/failure.rs
@@ -91,7 +91,7 @@
     /// watchers.
     pub(super) fn state_heard(&mut self, subject: SubjectId) {
         let statements = self.directory.statements();
-        let (Some(watch), Some(rule)) = (self.watches.get(subject), statements.latest(subject))
+        let (Some(watch), Some(latest)) = (self.watches.get(subject), statements.latest(subject))
         else {
             return;
         };
@@ -101,9 +101,9 @@
         let is_contested = suspected
             .is_some_and(|suspected| watch.sequence > suspected && stated <= Some(suspected));
         let is_refuted = own.is_some_and(|own| own.silent && own.sequence < watch.sequence);
-        let is_superseded = rule.sequence < watch.sequence && rule.watchers != watch.watchers;
+        let is_superseded = latest.sequence < watch.sequence && latest.watchers != watch.watchers;
         if watch.is_watcher
-            && watch.incarnation == rule.incarnation
+            && watch.incarnation == latest.incarnation
             && (is_contested || is_refuted || is_superseded)
         {
             let statement = self.statement(subject, watch, false);
@@ -120,7 +120,7 @@
             let last = self.last_reports.get(zone);
             let is_due = last.is_none_or(|last| now >= *last + REPORT_INTERVAL);
             let is_asked = *zone != self.identity.zone && is_open && is_due;
-            if !is_asked || !self.is_report_due(*zone, *tally) || !self.observes(*zone) {
+            if !is_asked || !self.is_report_outdated(*zone, *tally) || !self.observes(*zone) {
                 continue;
             }
             self.last_reports.insert(*zone, now);
@@ -130,7 +130,7 @@
     }
 
     /// Returns whether the last report on a zone is outdated.
-    fn is_report_due(&self, zone: ZoneId, tally: Tally) -> bool {
+    fn is_report_outdated(&self, zone: ZoneId, tally: Tally) -> bool {
         match self.directory.zones().get(zone, self.identity.address) {
             Some(last) if last.incarnation == self.identity.incarnation => {
                 last.silent != tally.silent
--- a/coordination/member/src/registry/gossip.rs
+++ b/coordination/member/src/registry/gossip.rs
@@ -72,15 +72,15 @@
         push: Push,
         actions: &mut Vec<Action>,
     ) {
-        let mut dropped = Vec::new();
+        let mut removals = Vec::new();
         for record in push.records {
             let key = record.key();
             if self.merge_received(now, &record, push.hot) == Err(Refusal::Departed) {
-                dropped.extend(self.directory.record(key));
+                removals.extend(self.directory.record(key));
             }
         }
-        if !dropped.is_empty() {
-            self.send_records(from, dropped, actions);
+        if !removals.is_empty() {
+            self.send_records(from, removals, actions);
         }
     }
 
--- a/coordination/member/src/registry/heartbeat.rs
+++ b/coordination/member/src/registry/heartbeat.rs
@@ -158,9 +158,9 @@
     /// Renews the watch on a process that names this entry as its watcher or
     /// observer, or whose zone is lost. Ends the watch otherwise.
     fn update_watch(&mut self, sender: &Sender, watch: Watch, observe: bool) {
-        let is_sentinel =
+        let is_watched_in_lost_zone =
             self.watches.get(sender.id).is_some() && self.directory.zones().is_lost(sender.zone);
-        if sender.has_left || !(watch.is_watcher || observe || is_sentinel) {
+        if sender.has_left || !(watch.is_watcher || observe || is_watched_in_lost_zone) {
             return self.watches.remove(sender.id);
         }
         self.watches.insert(sender.id, watch);
@@ -171,16 +171,16 @@
         if sender.service.is_none() {
             return Vec::new();
         }
-        if self.fleet.choices.len() >= MAX_CHOICES {
-            self.fleet.choices.clear();
+        if self.fleet.chosen_watchers.len() >= MAX_CHOICES {
+            self.fleet.chosen_watchers.clear();
         }
         let count = self.settings.watchers + SPARE_WATCHERS;
         let candidates = &self.fleet.candidates;
-        let choices = &mut self.fleet.choices;
-        let choice = choices
+        let chosen_watchers = &mut self.fleet.chosen_watchers;
+        let watchers = chosen_watchers
             .entry(sender.id)
             .or_insert_with(|| rendezvous::local(sender.id, sender.zone, candidates, count));
-        choice.clone()
+        watchers.clone()
     }
 
     /// Sends an agent what its view lacks: the parts that differ where it sent
@@ -240,7 +240,7 @@
         if receivers.is_empty() {
             receivers.clone_from(&self.seeds);
         }
-        // Former watchers learn from it that they are no longer named.
+        // Former watchers learn from the heartbeat that they are no longer named.
         receivers.sort_unstable();
         receivers.dedup();
         self.own_heartbeat.watchers = watchers;
--- a/coordination/member/src/rendezvous.rs
+++ b/coordination/member/src/rendezvous.rs
@@ -117,25 +117,27 @@
         if candidate.key == subject || (full && beaten) {
             return;
         }
-        let at = self.candidates.partition_point(|item| item.score > score);
+        let at = self
+            .candidates
+            .partition_point(|scored| scored.score > score);
         let candidate = *candidate;
         self.candidates.insert(at, Scored { score, candidate });
         self.candidates.truncate(limit);
     }
 
-    /// Inserts the candidate where none is like it, or in place of the one like
-    /// it that scores lower.
+    /// Inserts the candidate where it is the first of its zone, or in place of
+    /// the one of its zone that scores lower.
     fn offer_per_zone(
         &mut self,
         subject: SubjectId,
         candidate: &Candidate,
-        like: impl Fn(&Candidate) -> bool,
+        is_same_zone: impl Fn(&Candidate) -> bool,
     ) {
         let score = score(subject, candidate.key);
         let rival = self
             .candidates
             .iter()
-            .position(|item| like(&item.candidate));
+            .position(|scored| is_same_zone(&scored.candidate));
         match rival {
             Some(at) if self.candidates[at].score >= score => return,
             Some(at) if candidate.key != subject => {
@@ -148,7 +150,7 @@
 
     fn into_addresses(self, count: usize) -> Vec<SocketAddr> {
         let best = self.candidates.into_iter().take(count);
-        best.map(|item| item.candidate.address).collect()
+        best.map(|scored| scored.candidate.address).collect()
     }
 }
 
--- a/coordination/member/src/rumors.rs
+++ b/coordination/member/src/rumors.rs
@@ -50,7 +50,7 @@
             Record::Target(_) => Urgency::Target,
             Record::Removal(_) => Urgency::Removal,
         };
-        let left = match self.rumors.len() {
+        let remaining_sends = match self.rumors.len() {
             0..BACKLOG_RECORDS => sends_per_record(entries),
             _ => sends_per_record(entries).min(BACKLOG_SENDS),
         };
@@ -58,7 +58,7 @@
             record.key(),
             Rumor {
                 urgency,
-                remaining_sends: left,
+                remaining_sends,
             },
         );
     }
--- a/coordination/member/src/statements.rs
+++ b/coordination/member/src/statements.rs
@@ -32,8 +32,8 @@
         let subject = new.subject;
         match (self.get(subject, new.observer), self.latest(subject)) {
             (Some(held), _) if held.stamp() >= new.stamp() => return Err(Refusal::Stale),
-            (_, Some(rule))
-                if rule.sequence >= new.sequence && !rule.watchers.contains(&new.observer) =>
+            (_, Some(latest))
+                if latest.sequence >= new.sequence && !latest.watchers.contains(&new.observer) =>
             {
                 return Err(Refusal::NotWatcher);
             }
@@ -42,7 +42,7 @@
         let observer = new.observer;
         let held = self.subjects.entry(subject).or_default();
         held.push(new);
-        let Some(watchers) = latest(held).map(|rule| rule.watchers.clone()) else {
+        let Some(watchers) = latest(held).map(|latest| latest.watchers.clone()) else {
             return Ok(Vec::new());
         };
         let newest = held.len() - 1;
@@ -93,21 +93,21 @@
         may_answer: bool,
         is_live: impl Fn(SocketAddr) -> bool,
     ) -> bool {
-        let (Some(rule), Some(suspected)) = (self.latest(subject), self.suspected_after(subject))
+        let (Some(latest), Some(suspected)) = (self.latest(subject), self.suspected_after(subject))
         else {
             return false;
         };
-        let mut against = 0;
-        let mut others = 0;
-        for watcher in rule.watchers.iter().copied() {
+        let mut suspecting = 0;
+        let mut supporting = 0;
+        for watcher in latest.watchers.iter().copied() {
             match self.get(subject, watcher) {
-                Some(held) if held.silent => against += 1,
-                Some(held) if held.sequence > suspected && is_live(watcher) => others += 1,
-                _ if may_answer && is_live(watcher) => others += 1,
+                Some(held) if held.silent => suspecting += 1,
+                Some(held) if held.sequence > suspected && is_live(watcher) => supporting += 1,
+                _ if may_answer && is_live(watcher) => supporting += 1,
                 _ => {}
             }
         }
-        against > others
+        suspecting > supporting
     }
 
     /// Removes all statements about a process and returns them.
--- a/coordination/member/src/view.rs
+++ b/coordination/member/src/view.rs
@@ -143,7 +143,6 @@
     /// At most half of the ready targets count as down for silence. Where more
     /// are silent, the observers are more likely at fault than the targets, and
     /// all silent ones become [`Health::Doubted`].
-    /// are silent, the observers are in doubt rather than the targets.
     pub(crate) fn update_health(&mut self, is_silent: impl Fn(&Target) -> bool) -> Vec<TargetId> {
         let mut ready = 0;
         let mut silent_ready = 0;
--- a/coordination/member/src/watches.rs
+++ b/coordination/member/src/watches.rs
@@ -116,15 +116,15 @@
     }
 
     /// Returns the numbers of silent and watched processes by zone, without
-    /// those that `leave_out` selects.
+    /// those that `is_excluded` selects.
     pub fn tallies(
         &self,
         now: Duration,
         silence: Duration,
-        leave_out: impl Fn(SubjectId) -> bool,
+        is_excluded: impl Fn(SubjectId) -> bool,
     ) -> BTreeMap<ZoneId, Tally> {
         let mut tallies: BTreeMap<ZoneId, Tally> = BTreeMap::new();
-        let counted = self.iter().filter(|(subject, _)| !leave_out(*subject));
+        let counted = self.iter().filter(|(subject, _)| !is_excluded(*subject));
         for (_, watch) in counted {
             let tally = tallies.entry(watch.zone).or_default();
             let is_silent = now.saturating_sub(watch.last_heard) > silence;
--- a/coordination/member/src/zones.rs
+++ b/coordination/member/src/zones.rs
@@ -126,11 +126,11 @@
             if tally.silent == 0 {
                 self.silent_since.remove(zone);
             }
-            let opened = match tally.silent {
+            let silent_since = match tally.silent {
                 0 => now,
                 _ => *self.silent_since.entry(*zone).or_insert(now),
             };
-            let settled = now >= opened + scope.settle_wait;
+            let settled = now >= silent_since + scope.settle_wait;
             let was_lost = self.lost.contains(zone);
             let is_lost = if was_lost {
                 tally.silent * 100 >= tally.watched * RECOVERED_PERCENT && tally.silent > 0
--- a/coordination/member/tests/cold.rs
+++ b/coordination/member/tests/cold.rs
@@ -1,4 +1,5 @@
-//! An entry that starts with nothing learns from its peers.
+//! Tests of an entry that starts with an empty directory and learns from its
+//! peers.
 mod net;
 
 use std::time::Duration;
@@ -24,7 +25,8 @@
     ServiceAddress::from(([10, 2, 0, number], 80))
 }
 
-/// Fills a directory with many services, as from a store that is now down.
+/// Fills a directory with many services, as read from a store that is now
+/// unavailable.
 fn fill(registry: &mut Registry, now: Duration) {
     for number in 0..SERVICES {
         let service = Service {
@@ -36,7 +38,7 @@
         records.extend((0..TARGETS).map(|host| {
             let mut target = target(host, 1, 1);
             target.service = address(number);
-            // A region whose targets these entries do not watch.
+            // The entries do not watch the targets of this region.
             target.zone = 0x0901;
             target.id = fastrand::Rng::with_seed(u64::from(number) << 8 | u64::from(host)).u64(..);
             Record::Target(target)
@@ -49,13 +51,13 @@
     }
 }
 
-fn knows(net: &Net, number: u8, service: u8) -> bool {
+fn has_service(net: &Net, number: u8, service: u8) -> bool {
     let view = net.entries[&entry(number)].service(&address(service));
     view.is_some_and(|view| view.config.is_some() && view.targets.len() == usize::from(TARGETS))
 }
 
 #[test]
-fn a_cold_entry_gets_what_it_needs_first_and_the_rest_within_its_budget() {
+fn an_empty_entry_learns_a_requested_service_first_and_the_rest_within_its_budget() {
     let mut net = region(4, 2, 4);
     let now = net.now;
     for held in net.entries.values_mut() {
@@ -68,11 +70,11 @@
         .get_mut(&entry(5))
         .unwrap()
         .need(now, address(77));
-    net.run_until(Duration::from_secs(2), |net| knows(net, 5, 77));
-    assert!(!(0..SERVICES).all(|service| knows(&net, 5, service)));
+    net.run_until(Duration::from_secs(2), |net| has_service(net, 5, 77));
+    assert!(!(0..SERVICES).all(|service| has_service(&net, 5, service)));
     let start = net.now;
     net.run_until(Duration::from_mins(2), |net| {
-        (0..SERVICES).all(|service| knows(net, 5, service))
+        (0..SERVICES).all(|service| has_service(net, 5, service))
     });
     let seconds = net.now.saturating_sub(start).as_secs() + 4;
     let rate = u64::from(net.settings.send_rate);
@@ -84,7 +86,7 @@
 }
 
 #[test]
-fn a_service_that_nobody_knows_is_asked_for_a_bounded_number_of_times() {
+fn requests_for_an_unknown_service_are_bounded() {
     let mut net = region(3, 2, 3);
     let now = net.now;
     let held = net.entries.get_mut(&entry(1)).unwrap();
@@ -97,7 +99,7 @@
 }
 
 #[test]
-fn peers_that_all_ask_at_once_get_no_more_than_the_budget() {
+fn replies_to_many_peers_at_once_stay_within_the_budget() {
     let mut net = region(1, 1, 1);
     let now = net.now;
     let rate = u64::from(net.settings.send_rate);
@@ -111,7 +113,7 @@
     }
     let status = held.status();
     assert!(!actions.is_empty());
-    // Two seconds of the rate and one datagram.
+    // Two seconds of the rate, which is one burst, and one datagram.
     assert!(status.sent_bytes - before <= rate * 2 + 1_200);
     assert!(status.refusals[&Refusal::Budget] > 0);
 }
--- a/coordination/member/tests/failure.rs
+++ b/coordination/member/tests/failure.rs
@@ -1,4 +1,5 @@
-//! Failure detection: deaths, freezes, replays and returns.
+//! Tests of failure detection: crashes, freezes, replays and returning
+//! processes.
 mod net;
 
 use std::cell::RefCell;
@@ -15,17 +16,17 @@
 use wire::Incarnation;
 use wire::ZoneId;
 
+use crate::net::CONVERGENCE_TIME;
 use crate::net::Net;
-use crate::net::SOON;
 use crate::net::agent;
 use crate::net::entry;
 use crate::net::region;
-use crate::net::roster;
+use crate::net::shared_service;
 use crate::net::target;
 
-const LONG: Duration = Duration::from_mins(1);
+const MINUTE: Duration = Duration::from_mins(1);
 
-fn nothing_is_silent(net: &Net) {
+fn assert_no_target_is_silent(net: &Net) {
     assert!(net.all_see(Health::Down, 0) && net.all_see(Health::Doubted, 0));
 }
 
@@ -41,126 +42,126 @@
 }
 
 #[test]
-fn a_dead_target_is_held_down_and_its_return_lifts_it() {
+fn a_silent_target_goes_down_and_comes_up_on_its_return() {
     let mut net = region(3, 4, 4);
     net.frozen.insert(agent(2));
-    net.run_until(SOON, |net| net.all_see(Health::Down, 1));
+    net.run_until(CONVERGENCE_TIME, |net| net.all_see(Health::Down, 1));
     assert_eq!(net.health(entry(1), agent(2)), Some(Health::Down));
     net.frozen.remove(&agent(2));
-    net.run_until(SOON, |net| net.all_see(Health::Up, 4));
+    net.run_until(CONVERGENCE_TIME, |net| net.all_see(Health::Up, 4));
 }
 
 #[test]
-fn a_target_that_dies_with_its_first_heartbeat_is_held_down() {
+fn a_target_that_fails_after_its_first_heartbeat_goes_down() {
     let mut net = region(3, 4, 3);
     net.add_agent(5, 1, 1);
     net.run(Duration::from_millis(4));
     net.frozen.insert(agent(5));
-    net.run_until(SOON, |net| net.all_see(Health::Down, 1));
+    net.run_until(CONVERGENCE_TIME, |net| net.all_see(Health::Down, 1));
 }
 
 #[test]
-fn a_death_is_remembered_when_every_entry_restarts_in_turn() {
+fn a_failed_target_stays_down_when_every_entry_restarts_in_turn() {
     let mut net = region(4, 5, 4);
     net.frozen.insert(agent(2));
-    net.run_until(SOON, |net| net.all_see(Health::Down, 1));
+    net.run_until(CONVERGENCE_TIME, |net| net.all_see(Health::Down, 1));
     for number in 1..=4 {
         net.entries.remove(&entry(number));
-        net.run(SOON);
+        net.run(CONVERGENCE_TIME);
         net.add_entry(number, (number % 4).into(), 2);
-        net.run(SOON);
+        net.run(CONVERGENCE_TIME);
     }
-    net.run(SOON);
+    net.run(CONVERGENCE_TIME);
     assert!(net.all_see(Health::Down, 1));
 }
 
-fn a_frozen_entry_ejects_nobody(frozen: &[u8]) {
+fn frozen_entries_take_no_target_down(frozen: &[u8]) {
     let mut net = region(7, 5, 4);
     let frozen: Vec<SocketAddr> = frozen.iter().map(|number| entry(*number)).collect();
     net.frozen.extend(&frozen);
-    net.run_checked(LONG, nothing_is_silent);
+    net.run_checked(MINUTE, assert_no_target_is_silent);
     net.frozen.clear();
-    net.run_checked(LONG, nothing_is_silent);
+    net.run_checked(MINUTE, assert_no_target_is_silent);
 }
 
-cases::cases! { a_frozen_entry_ejects_nobody;
-    one_frozen_entry_ejects_nobody: &[3],
-    two_frozen_entries_eject_nobody: &[1, 4],
-    half_of_the_entries_frozen_eject_nobody: &[1, 2, 3],
+cases::cases! { frozen_entries_take_no_target_down;
+    one_frozen_entry_takes_no_target_down: &[3],
+    two_frozen_entries_take_no_target_down: &[1, 4],
+    three_of_seven_frozen_entries_take_no_target_down: &[1, 2, 3],
 }
 
 #[test]
-fn all_watchers_of_a_target_frozen_eject_nobody() {
+fn a_target_whose_watchers_all_freeze_stays_up() {
     let mut net = region(7, 5, 4);
     let watchers = net.agents[&agent(1)].watchers();
     assert_eq!(watchers.len(), 3);
     net.frozen.extend(&watchers);
-    net.run_checked(LONG, nothing_is_silent);
+    net.run_checked(MINUTE, assert_no_target_is_silent);
     let moved = net.agents[&agent(1)].watchers();
     assert!(moved.iter().all(|watcher| !watchers.contains(watcher)));
     net.frozen.clear();
-    net.run_checked(LONG, nothing_is_silent);
+    net.run_checked(MINUTE, assert_no_target_is_silent);
 }
 
 #[test]
-fn a_target_that_dies_while_its_watchers_are_frozen_is_held_down_after() {
+fn a_target_that_fails_while_its_watchers_are_frozen_goes_down_after_they_thaw() {
     let mut net = region(7, 5, 4);
     let watchers = net.agents[&agent(1)].watchers();
     net.frozen.extend(&watchers);
     net.frozen.insert(agent(1));
-    net.run(SOON);
+    net.run(CONVERGENCE_TIME);
     for watcher in &watchers {
         net.frozen.remove(watcher);
     }
-    net.run_until(SOON, |net| net.all_see(Health::Down, 1));
+    net.run_until(CONVERGENCE_TIME, |net| net.all_see(Health::Down, 1));
 }
 
 #[test]
-fn an_entry_that_hears_nobody_doubts_itself() {
+fn an_entry_that_receives_nothing_doubts_itself_and_states_no_suspicion() {
     let mut net = region(5, 6, 4);
     net.cut = Some(Box::new(|_, to| to == entry(2)));
-    net.run_checked(LONG, nothing_is_silent);
+    net.run_checked(MINUTE, assert_no_target_is_silent);
     let status = net.entries[&entry(2)].status();
     assert_eq!(status.suspicions, 0);
     assert!(status.self_doubts > 0);
 }
 
 #[test]
-fn a_target_that_one_watcher_hears_not_stays_up() {
+fn a_target_that_one_watcher_does_not_hear_stays_up() {
     let mut net = region(5, 5, 4);
     assert!(net.agents[&agent(1)].watchers().len() == 3);
     let watcher = net.agents[&agent(1)].watchers()[0];
     net.cut = Some(Box::new(move |from, to| from == agent(1) && to == watcher));
-    net.run_checked(LONG, nothing_is_silent);
+    net.run_checked(MINUTE, assert_no_target_is_silent);
 }
 
 #[test]
-fn more_than_half_of_a_service_is_never_held_down() {
+fn never_more_than_half_of_a_service_is_down() {
     let mut net = region(4, 5, 5);
     for number in 1..=3 {
         net.frozen.insert(agent(number));
     }
-    net.run_checked(LONG, |net| {
+    net.run_checked(MINUTE, |net| {
         assert!(net.count(Health::Down).iter().all(|down| *down <= 2));
     });
     assert!(net.all_see(Health::Doubted, 3));
     net.frozen.remove(&agent(1));
-    net.run_until(SOON, |net| net.all_see(Health::Down, 2));
+    net.run_until(CONVERGENCE_TIME, |net| net.all_see(Health::Down, 2));
 }
 
 #[test]
-fn a_suspicion_does_not_survive_a_newer_incarnation() {
+fn a_newer_incarnation_ends_the_suspicion_of_the_older_one() {
     let mut net = region(4, 5, 4);
     net.frozen.insert(agent(1));
-    net.run_until(SOON, |net| net.all_see(Health::Down, 1));
+    net.run_until(CONVERGENCE_TIME, |net| net.all_see(Health::Down, 1));
     net.frozen.remove(&agent(1));
     net.add_agent(1, 1, 2);
-    net.run_until(SOON, |net| net.all_see(Health::Up, 5));
-    net.run_checked(LONG, nothing_is_silent);
+    net.run_until(CONVERGENCE_TIME, |net| net.all_see(Health::Up, 5));
+    net.run_checked(MINUTE, assert_no_target_is_silent);
 }
 
 #[test]
-fn another_target_at_the_same_address_is_not_the_old_one() {
+fn another_target_at_the_same_address_leaves_the_old_one_down() {
     let mut net = region(4, 5, 4);
     let old = net.agents[&agent(1)].target().id;
     net.agents.remove(&agent(1));
@@ -168,11 +169,11 @@
     let new = net.agents[&agent(1)].target().id;
     let health = |net: &Net, id| {
         let entries = net.entries.values();
-        let views = entries.map(|held| held.service(&roster()).unwrap());
+        let views = entries.map(|held| held.service(&shared_service()).unwrap());
         let seen: Vec<Health> = views.map(|view| view.targets[&id].health).collect();
         seen
     };
-    net.run(LONG);
+    net.run(MINUTE);
     assert_eq!(health(&net, old), [Health::Down; 4]);
     assert_eq!(health(&net, new), [Health::Up; 4]);
 }
@@ -193,16 +194,16 @@
     assert_eq!(refused(5, 3, Refusal::Replay), (false, 0));
     assert_eq!(refused(5, 3, Refusal::Replay), (true, 1));
     assert_eq!(refused(5, 2, Refusal::Replay), (true, 2));
-    // The older process is told of the newer one.
+    // The older process is notified of the newer one.
     assert_eq!(refused(4, 9, Refusal::OldIncarnation), (false, 1));
     assert_eq!(refused(6, 1, Refusal::Replay), (false, 2));
 }
 
 #[test]
-fn a_dead_entry_is_no_longer_chosen() {
+fn a_failed_entry_is_no_longer_chosen_as_watcher() {
     let mut net = region(5, 5, 4);
     net.frozen.insert(entry(2));
-    net.run_until(SOON, |net| {
+    net.run_until(CONVERGENCE_TIME, |net| {
         let running = net
             .entries
             .iter()
@@ -212,22 +213,22 @@
         !live.any(|one| one == entry(2)) && !watchers.any(|one| one == entry(2))
     });
     net.frozen.clear();
-    net.run_until(SOON, |net| {
+    net.run_until(CONVERGENCE_TIME, |net| {
         let mut entries = net.entries.values();
         entries.all(|held| held.live_entries().count() == 5)
     });
 }
 
 #[test]
-fn what_is_silent_for_the_retention_is_dropped_everywhere() {
+fn a_target_silent_for_the_retention_time_is_removed_everywhere() {
     let mut net = Net::default();
     net.settings.retention = Duration::from_mins(5);
     net.populate(3, 3, 3);
     net.frozen.insert(agent(1));
-    net.run_until(SOON, |net| net.all_see(Health::Down, 1));
-    net.run(net.settings.retention + LONG);
+    net.run_until(CONVERGENCE_TIME, |net| net.all_see(Health::Down, 1));
+    net.run(net.settings.retention + MINUTE);
     assert!(net.all_see(Health::Down, 0) && net.all_see(Health::Up, 2));
-    // A peer that slept through the time does not bring it back.
+    // A peer that missed the removal does not bring the target back.
     let record = Record::Target(target(1, 1, 1));
     let push = Message::Push(Push {
         hot: true,
@@ -250,12 +251,12 @@
 }
 
 #[test]
-fn a_target_that_dies_with_all_its_watchers_is_held_down() {
+fn a_target_that_fails_with_all_its_watchers_goes_down() {
     let mut net = region(7, 5, 4);
     let watchers = net.agents[&agent(1)].watchers();
     net.frozen.extend(&watchers);
     net.frozen.insert(agent(1));
-    net.run_until(LONG, |net| net.all_see(Health::Down, 1));
+    net.run_until(MINUTE, |net| net.all_see(Health::Down, 1));
     let expected = 7 - watchers.len();
     let live = |net: &Net| -> Vec<usize> {
         let running = net.entries.iter();
@@ -264,78 +265,81 @@
             .map(|(_, held)| held.live_entries().count())
             .collect()
     };
-    net.run_until(LONG, |net| live(net).iter().all(|count| *count == expected));
-    net.run_checked(LONG, |net| assert!(net.all_see(Health::Down, 1)));
+    net.run_until(MINUTE, |net| {
+        live(net).iter().all(|count| *count == expected)
+    });
+    net.run_checked(MINUTE, |net| assert!(net.all_see(Health::Down, 1)));
 }
 
 #[test]
-fn the_death_of_most_entries_is_noticed_by_the_rest() {
+fn the_failure_of_most_entries_is_detected_by_the_others() {
     let mut net = region(5, 5, 4);
     net.frozen.extend([1, 2, 3].map(entry));
-    net.run_until(LONG, |net| {
+    net.run_until(MINUTE, |net| {
         let running = [4, 5].map(|number| &net.entries[&entry(number)]);
         running.iter().all(|held| held.live_entries().count() == 2)
     });
-    net.run_checked(LONG, nothing_is_silent);
+    net.run_checked(MINUTE, assert_no_target_is_silent);
 }
 
 #[test]
-fn watchers_cut_off_for_a_while_eject_nobody() {
+fn temporarily_partitioned_watchers_take_no_target_down() {
     let mut net = region(7, 5, 4);
     let watchers = net.agents[&agent(1)].watchers();
     let cut_off = watchers.clone();
     net.cut = Some(Box::new(move |from, to| {
         cut_off.contains(&from) || cut_off.contains(&to)
     }));
-    net.run_checked(LONG, nothing_is_silent);
+    net.run_checked(MINUTE, assert_no_target_is_silent);
     let moved = net.agents[&agent(1)].watchers();
     assert!(moved.iter().all(|watcher| !watchers.contains(watcher)));
     net.cut = None;
-    net.run_checked(LONG, nothing_is_silent);
+    net.run_checked(MINUTE, assert_no_target_is_silent);
     let mut entries = net.entries.values();
     assert!(entries.all(|held| !held.status().is_doubtful));
 }
 
 #[test]
-fn a_replaced_agent_that_wakes_up_learns_of_its_successor() {
+fn a_replaced_agent_that_resumes_learns_of_its_successor() {
     let mut net = region(4, 4, 4);
     let old = net.agents.remove(&agent(1)).unwrap();
     net.add_agent(1, 1, 2);
-    net.run(SOON);
+    net.run(CONVERGENCE_TIME);
     net.agents.insert(agent(21), old);
-    net.run(SOON);
+    net.run(CONVERGENCE_TIME);
     assert_eq!(net.agents[&agent(21)].successor(), Some(2));
     assert_eq!(net.agents[&agent(1)].successor(), None);
-    nothing_is_silent(&net);
+    assert_no_target_is_silent(&net);
 }
 
 #[test]
-fn a_replaced_entry_that_wakes_up_learns_of_its_successor() {
+fn a_replaced_entry_that_resumes_learns_of_its_successor() {
     let mut net = region(4, 4, 4);
     let old = net.entries.remove(&entry(1)).unwrap();
     net.add_entry(1, 1, 2);
-    net.run(SOON);
+    net.run(CONVERGENCE_TIME);
     let new = net.entries.insert(entry(1), old);
     assert_eq!(new.map(|new| new.successor()), Some(None));
-    net.run(SOON);
+    net.run(CONVERGENCE_TIME);
     assert_eq!(net.entries[&entry(1)].successor(), Some(2));
 }
 
 #[test]
-fn a_network_that_loses_a_third_of_all_messages_ejects_nobody() {
+fn no_target_goes_down_while_a_third_of_all_messages_is_lost() {
     let mut net = region(5, 5, 4);
     let rng = RefCell::new(fastrand::Rng::with_seed(5));
     net.cut = Some(Box::new(move |_, _| rng.borrow_mut().u8(..3) == 0));
-    net.run_checked(LONG * 3, nothing_is_silent);
+    net.run_checked(MINUTE * 3, assert_no_target_is_silent);
 }
 
 #[test]
-fn what_was_dropped_stays_so_although_entries_learned_of_it_at_other_times() {
+fn a_removed_target_stays_removed_although_entries_restart_at_different_times() {
     let mut net = Net::default();
     net.settings.retention = Duration::from_mins(5);
     net.populate(4, 3, 3);
     net.frozen.insert(agent(1));
-    // One entry after the other starts anew, and counts from then on.
+    // Entries restart one after the other, and each measures the silence from
+    // its restart.
     for number in [2, 3, 4] {
         net.run(Duration::from_mins(2));
         net.add_entry(number, ZoneId::from(number % 3), 2);
@@ -348,7 +352,7 @@
     });
 }
 
-fn a_dropped_process_returns(incarnation: Option<u64>) {
+fn a_removed_target_returns(incarnation: Option<u64>) {
     let mut net = Net::default();
     net.settings.retention = Duration::from_mins(5);
     net.populate(3, 3, 3);
@@ -359,29 +363,30 @@
     if let Some(incarnation) = incarnation {
         net.add_agent(1, 1, incarnation);
     }
-    net.run_until(SOON, |net| net.all_see(Health::Up, 3));
+    net.run_until(CONVERGENCE_TIME, |net| net.all_see(Health::Up, 3));
 }
 
-cases::cases! { a_dropped_process_returns;
-    a_dropped_process_returns_after_a_restart: Some(2),
-    a_dropped_process_returns_after_a_long_freeze: None,
+cases::cases! { a_removed_target_returns;
+    a_removed_target_returns_after_a_restart: Some(2),
+    a_removed_target_returns_after_a_long_freeze: None,
 }
 
-/// The clock of a host went back while its process restarted.
+/// A process that restarts after the clock of its host went back has a smaller
+/// incarnation than before, which the other processes ignore.
 #[test]
-fn a_process_alone_at_its_address_outranks_what_is_known_of_it() {
+fn a_process_whose_clock_went_back_outranks_its_earlier_incarnation() {
     let mut net = region(4, 4, 4);
     net.agents.remove(&agent(1));
     net.entries.remove(&entry(1));
     net.add_agent(1, 1, 0);
     net.add_entry(1, 1, 0);
-    net.run(SOON);
+    net.run(CONVERGENCE_TIME);
     let now = net.now;
     assert_eq!(net.agents[&agent(1)].successor(), Some(1));
     net.agents.get_mut(&agent(1)).unwrap().outrank(now);
     net.entries.get_mut(&entry(1)).unwrap().outrank();
-    net.run(SOON);
+    net.run(CONVERGENCE_TIME);
     assert_eq!(net.agents[&agent(1)].successor(), None);
     assert_eq!(net.entries[&entry(1)].successor(), None);
-    nothing_is_silent(&net);
+    assert_no_target_is_silent(&net);
 }
--- a/coordination/member/tests/faults.rs
+++ b/coordination/member/tests/faults.rs
@@ -1,4 +1,5 @@
-//! Faults of any kind, one after another and together, and agreement after.
+//! Tests of random faults, in sequence and together, and of agreement after
+//! them.
 mod net;
 
 use std::cell::RefCell;
@@ -17,13 +18,13 @@
 use crate::net::agent;
 use crate::net::entry;
 use crate::net::region;
-use crate::net::roster;
+use crate::net::shared_service;
 
 const ENTRIES: u8 = 5;
 const AGENTS: u8 = 5;
 const ZONES: u8 = 3;
 
-/// Time after the last fault in which everything agrees again.
+/// Time after the last fault within which all processes agree again.
 const RECOVERY: Duration = Duration::from_mins(1);
 
 #[derive(Clone, Debug)]
@@ -34,9 +35,9 @@
     RestartEntry(u8),
     RestartAgent(u8),
     CutZone(u8),
-    Lose(u64),
+    LoseThird(u64),
     Heal,
-    Put(u8, u64),
+    PutConfig(u8, u64),
 }
 
 fn any_fault() -> impl Strategy<Value = Fault> {
@@ -47,9 +48,9 @@
         (1..=ENTRIES).prop_map(Fault::RestartEntry),
         (1..=AGENTS).prop_map(Fault::RestartAgent),
         (0..ZONES).prop_map(Fault::CutZone),
-        any::<u64>().prop_map(Fault::Lose),
+        any::<u64>().prop_map(Fault::LoseThird),
         Just(Fault::Heal),
-        (1..=ENTRIES, 0..50_u64).prop_map(|(number, revision)| Fault::Put(number, revision)),
+        (1..=ENTRIES, 0..50_u64).prop_map(|(number, revision)| Fault::PutConfig(number, revision)),
     ]
 }
 
@@ -60,7 +61,7 @@
     }
 }
 
-fn inflict(net: &mut Net, fault: &Fault, incarnation: u64) {
+fn apply_fault(net: &mut Net, fault: &Fault, incarnation: u64) {
     match *fault {
         Fault::FreezeEntry(number) => {
             net.frozen.insert(entry(number));
@@ -81,15 +82,15 @@
                 (zone_of(from) == zone) != (zone_of(to) == zone)
             }));
         }
-        Fault::Lose(seed) => {
+        Fault::LoseThird(seed) => {
             let rng = RefCell::new(fastrand::Rng::with_seed(seed));
             net.cut = Some(Box::new(move |_, _| rng.borrow_mut().u8(..3) == 0));
         }
         Fault::Heal => net.cut = None,
-        Fault::Put(number, revision) => {
+        Fault::PutConfig(number, revision) => {
             let now = net.now;
             let service = Service {
-                address: roster(),
+                address: shared_service(),
                 revision,
                 body: Bytes::from(revision.to_string()),
             };
@@ -99,8 +100,8 @@
     }
 }
 
-/// At no time is more than half of the service held down.
-fn floor_holds(net: &Net) {
+/// Asserts that at most half of the service is down.
+fn assert_at_most_half_down(net: &Net) {
     let down = net.count(Health::Down);
     assert!(down.iter().all(|down| *down <= usize::from(AGENTS) / 2));
 }
@@ -111,7 +112,7 @@
     let mut views = net
         .entries
         .values()
-        .filter_map(|held| held.service(&roster()));
+        .filter_map(|held| held.service(&shared_service()));
     let view = views.next().map(member::View::digest);
     digests.all(|digest| Some(digest) == first)
         && net
@@ -131,7 +132,7 @@
 proptest! {
     #![proptest_config(config())]
     #[test]
-    fn after_any_faults_everything_is_up_and_agrees(
+    fn after_any_faults_all_targets_are_up_and_all_views_agree(
         faults in prop::collection::vec((any_fault(), 1..15_u64), 1..10),
     ) {
         let mut net = region(ENTRIES, AGENTS, ZONES);
@@ -139,20 +140,20 @@
         let mut newest = None;
         for (fault, seconds) in &faults {
             incarnation += 1;
-            inflict(&mut net, fault, incarnation);
-            if let Fault::Put(_, revision) = fault {
+            apply_fault(&mut net, fault, incarnation);
+            if let Fault::PutConfig(_, revision) = fault {
                 newest = newest.max(Some(*revision));
             }
-            net.run_checked(Duration::from_secs(*seconds), floor_holds);
+            net.run_checked(Duration::from_secs(*seconds), assert_at_most_half_down);
         }
         net.cut = None;
         net.frozen.clear();
-        net.run_checked(RECOVERY, floor_holds);
+        net.run_checked(RECOVERY, assert_at_most_half_down);
         prop_assert!(net.all_see(Health::Up, AGENTS.into()));
         net.run_until(RECOVERY, all_agree);
-        let view = net.entries[&entry(1)].service(&roster()).unwrap();
+        let view = net.entries[&entry(1)].service(&shared_service()).unwrap();
         let config = view.config.as_ref().map(|config| config.revision);
-        // A configuration dies with the only entry that held it.
+        // A configuration is lost with the only entry that holds it.
         prop_assert!(config <= newest);
     }
 }
--- a/coordination/member/tests/merge.rs
+++ b/coordination/member/tests/merge.rs
@@ -1,4 +1,4 @@
-//! Records that arrive stale, twice and in any order.
+//! Tests of records that arrive stale, twice and in any order.
 mod net;
 
 use std::time::Duration;
@@ -22,7 +22,7 @@
 use wire::ServiceAddress;
 
 use crate::net::entry;
-use crate::net::roster;
+use crate::net::shared_service;
 use crate::net::target;
 
 const NOW: Duration = Duration::ZERO;
@@ -53,7 +53,7 @@
 }
 
 fn suspicion(subject: u8, observer: u8, sequence: u64, silent: bool) -> Suspicion {
-    // Heartbeats from 4 on name other watchers.
+    // Heartbeats from number 4 on name other watchers.
     let watchers = if sequence < 4 { 1..=3 } else { 2..=4 };
     Suspicion {
         subject: target(subject, 1, 2).id,
@@ -100,9 +100,9 @@
     prop_oneof![services, targets, entries, suspicions, reports]
 }
 
-/// The order in which one process states things: a record is the same wherever
-/// its stamp is the same.
-fn consistent(records: Vec<Record>) -> Vec<Record> {
+/// Returns the records without reports that have the key and version of an
+/// earlier one, since an observer sends only one report with each version.
+fn without_conflicting_reports(records: Vec<Record>) -> Vec<Record> {
     let mut kept: Vec<Record> = Vec::new();
     for record in records {
         let rivals = kept.iter().filter(|held| held.key() == record.key());
@@ -151,7 +151,9 @@
     #![proptest_config(config())]
 
     #[test]
-    fn a_revision_never_falls(revisions in prop::collection::vec((1..4_u8, 0..20_u64), 1..60)) {
+    fn a_configuration_revision_never_decreases(
+        revisions in prop::collection::vec((1..4_u8, 0..20_u64), 1..60),
+    ) {
         let mut registry = registry(1);
         let mut newest = std::collections::BTreeMap::new();
         for (number, revision) in revisions {
@@ -165,14 +167,15 @@
     }
 
     #[test]
-    fn the_order_of_arrival_does_not_matter(
-        records in prop::collection::vec(any_record(), 1..60).prop_map(consistent),
+    fn merged_records_do_not_depend_on_the_order_of_arrival(
+        records in prop::collection::vec(any_record(), 1..60).prop_map(without_conflicting_reports),
         seed in any::<u64>(),
     ) {
         let (mut first, mut second) = (registry(6), registry(6));
         let mut shuffled = records.clone();
         fastrand::Rng::with_seed(seed).shuffle(&mut shuffled);
-        // A statement about a process that is not known yet is taken later.
+        // A statement about an unknown process is refused, and merged by a
+        // later push once the process is known.
         for _ in 0..3 {
             push(&mut first, records.clone());
             push(&mut second, shuffled.clone());
@@ -181,13 +184,13 @@
     }
 
     #[test]
-    fn two_entries_agree_after_comparing(
-        one in prop::collection::vec(any_record(), 0..60).prop_map(consistent),
+    fn two_entries_agree_after_anti_entropy(
+        records in prop::collection::vec(any_record(), 0..60).prop_map(without_conflicting_reports),
         seed in any::<u64>(),
     ) {
         let mut rng = fastrand::Rng::with_seed(seed);
         let (mut first, mut second) = (registry(7), registry(8));
-        for record in one {
+        for record in records {
             let receiver = if rng.bool() { &mut first } else { &mut second };
             push(receiver, vec![record.clone()]);
             if rng.bool() {
@@ -205,7 +208,7 @@
     }
 
     #[test]
-    fn any_bytes_can_be_received(bytes in prop::collection::vec(any::<u8>(), 0..1_300)) {
+    fn arbitrary_bytes_cause_no_panic(bytes in prop::collection::vec(any::<u8>(), 0..1_300)) {
         if let Ok(message) = Message::decode(&bytes) {
             registry(1).handle(NOW, entry(2), message, &mut Vec::new());
         }
@@ -213,16 +216,16 @@
 }
 
 #[test]
-fn a_body_is_that_of_its_revision() {
+fn only_a_newer_revision_replaces_a_configuration() {
     let mut registry = registry(1);
     push(&mut registry, vec![Record::Service(service(1, 4))]);
     assert!(!registry.put(NOW, service(1, 4)));
     assert!(registry.put(NOW, service(1, 5)));
-    assert!(registry.service(&roster()).is_some());
+    assert!(registry.service(&shared_service()).is_some());
 }
 
 #[test]
-fn the_observers_of_a_zone_are_bounded() {
+fn the_number_of_observers_of_a_zone_is_bounded() {
     let mut registry = registry(1);
     let report = |observer| Report {
         zone: 2,
--- a/coordination/member/tests/net/mod.rs
+++ b/coordination/member/tests/net/mod.rs
@@ -1,4 +1,4 @@
-//! Entries and agents joined by a message queue with a fixed delay.
+//! Simulated network of entries and agents with a fixed message delay.
 #![allow(dead_code)]
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -27,57 +27,58 @@
     pub settings: Settings,
     pub entries: BTreeMap<SocketAddr, Registry>,
     pub agents: BTreeMap<SocketAddr, Announcer>,
-    /// Processes that neither run nor receive.
+    /// Processes that neither run nor receive messages.
     pub frozen: BTreeSet<SocketAddr>,
-    /// True where a message from the first to the second is lost.
+    /// Predicate that selects the messages to lose.
     pub cut: Option<Cut>,
-    queue: BTreeMap<(Duration, u64), Parcel>,
-    /// What arrived at frozen processes and waits in their sockets.
-    stalled: Vec<Parcel>,
+    queue: BTreeMap<(Duration, u64), Datagram>,
+    /// Messages that wait in the sockets of frozen processes.
+    undelivered: Vec<Datagram>,
     sent: u64,
 }
 
-/// Says whether a message from the first to the second is lost.
+/// Predicate that is true where a message from the first address to the second
+/// is lost.
 pub type Cut = Box<dyn Fn(SocketAddr, SocketAddr) -> bool>;
 
-struct Parcel {
+struct Datagram {
     from: SocketAddr,
     to: SocketAddr,
     message: Message,
 }
 
-/// Address of the entry with this number.
+/// Returns the address of the entry with this number.
 pub fn entry(number: u8) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, number], 7000))
 }
 
-/// Address of the agent with this number.
+/// Returns the address of the agent with this number.
 pub fn agent(number: u8) -> SocketAddr {
     SocketAddr::from(([10, 0, 1, number], 7000))
 }
 
-/// Entries and agents spread evenly over `zones` zones of one region, which
-/// know each other.
+/// Returns entries and agents that are spread evenly over `zones` zones of one
+/// region and know each other.
 pub fn region(entries: u8, agents: u8, zones: u8) -> Net {
     let mut net = Net::default();
     net.populate(entries, agents, zones);
     net
 }
 
-/// Long enough for a few processes to agree.
-pub const SOON: Duration = Duration::from_secs(12);
+/// Time within which a few processes agree.
+pub const CONVERGENCE_TIME: Duration = Duration::from_secs(12);
 
-/// The service that all tests share.
-pub fn roster() -> ServiceAddress {
+/// Returns the address of the service that all tests use.
+pub fn shared_service() -> ServiceAddress {
     SocketAddr::from(([10, 1, 0, 1], 80))
 }
 
-/// The target beside the agent with this number.
+/// Returns the target of the agent with this number.
 pub fn target(number: u8, zone: ZoneId, incarnation: Incarnation) -> Target {
     let backend = SocketAddr::from(([10, 0, 2, number], 8080));
     Target {
-        id: wire::id::target_id(roster(), backend),
-        service: roster(),
+        id: wire::id::target_id(shared_service(), backend),
+        service: shared_service(),
         address: agent(number),
         control: agent(number),
         zone,
@@ -124,10 +125,10 @@
         self.agents.insert(address, announcer);
     }
 
-    /// Delivers messages of a process that is no longer among the others.
+    /// Delivers the messages of a process that is no longer in the network.
     pub fn deliver_all(&mut self, from: SocketAddr, actions: Vec<Action>) {
         for Action::Send { to, message } in actions {
-            self.deliver(Parcel { from, to, message });
+            self.deliver(Datagram { from, to, message });
         }
     }
 
@@ -140,16 +141,18 @@
         for number in 1..=agents {
             self.add_agent(number, ZoneId::from(number % zones), 1);
         }
-        self.run_until(SOON, |net| net.all_see(Health::Up, agents.into()));
-        self.run(SOON);
+        self.run_until(CONVERGENCE_TIME, |net| {
+            net.all_see(Health::Up, agents.into())
+        });
+        self.run(CONVERGENCE_TIME);
     }
 
-    /// Runs everything for a while.
+    /// Runs all processes for `time`.
     pub fn run(&mut self, time: Duration) {
         self.run_checked(time, |_| {});
     }
 
-    /// Runs everything for a while and checks after each step.
+    /// Runs all processes for `time` and calls `check` after each step.
     pub fn run_checked(&mut self, time: Duration, check: impl Fn(&Self)) {
         let end = self.now + time;
         while self.now < end {
@@ -158,15 +161,16 @@
         }
     }
 
-    /// The health that an entry gives the target beside an agent.
+    /// Returns the health that an entry gives the target of an agent.
     pub fn health(&self, entry: SocketAddr, agent: SocketAddr) -> Option<Health> {
-        let view = self.entries[&entry].service(&roster())?;
+        let view = self.entries[&entry].service(&shared_service())?;
         let mut members = view.targets.values();
         let member = members.find(|member| member.target.address == agent)?;
         Some(member.health)
     }
 
-    /// Number of targets of this health in the view of each running entry.
+    /// Returns the number of targets of this health in the view of each running
+    /// entry.
     pub fn count(&self, health: Health) -> Vec<usize> {
         let running = self.entries.keys();
         running
@@ -175,29 +179,35 @@
             .collect()
     }
 
-    /// Number of targets of this health in the view of one entry.
+    /// Returns the number of targets of this health in the view of one entry.
     pub fn count_at(&self, entry: SocketAddr, health: Health) -> usize {
-        self.entries[&entry].service(&roster()).map_or(0, |view| {
-            let members = view.targets.values();
-            members.filter(|member| member.health == health).count()
-        })
+        self.entries[&entry]
+            .service(&shared_service())
+            .map_or(0, |view| {
+                let members = view.targets.values();
+                members.filter(|member| member.health == health).count()
+            })
     }
 
-    /// True where each running entry gives `count` targets this health.
+    /// Returns whether each running entry gives `count` targets this health.
     pub fn all_see(&self, health: Health, count: usize) -> bool {
         self.count(health).iter().all(|seen| *seen == count)
     }
 
-    /// Runs until the condition holds; panics where it does not in time.
+    /// Runs until the condition holds; panics if it does not hold within
+    /// `limit`.
     pub fn run_until(&mut self, limit: Duration, condition: impl Fn(&Self) -> bool) {
         let end = self.now + limit;
         while !condition(self) {
-            assert!(self.now < end, "the condition did not come to hold");
+            assert!(
+                self.now < end,
+                "the condition did not hold within {limit:?}"
+            );
             self.step();
         }
     }
 
-    /// Moves on to the next message or deadline.
+    /// Advances to the next message or deadline, and processes what is due.
     fn step(&mut self) {
         let running = |address: &SocketAddr| !self.frozen.contains(address);
         let entries = self.entries.iter().filter(|(address, _)| running(address));
@@ -209,21 +219,22 @@
             .min();
         let soonest = self.now + Duration::from_micros(1);
         self.now = next.map_or(self.now + DELAY, |next| next.max(soonest));
-        let (stalled, thawed): (Vec<Parcel>, Vec<Parcel>) = std::mem::take(&mut self.stalled)
-            .into_iter()
-            .partition(|parcel| self.frozen.contains(&parcel.to));
-        self.stalled = stalled;
-        for parcel in thawed {
-            self.deliver(parcel);
+        let (undelivered, thawed): (Vec<Datagram>, Vec<Datagram>) =
+            std::mem::take(&mut self.undelivered)
+                .into_iter()
+                .partition(|datagram| self.frozen.contains(&datagram.to));
+        self.undelivered = undelivered;
+        for datagram in thawed {
+            self.deliver(datagram);
         }
-        while let Some(parcel) = self.due() {
-            self.deliver(parcel);
+        while let Some(datagram) = self.next_due() {
+            self.deliver(datagram);
         }
         let mut actions = Vec::new();
         for (address, registry) in &mut self.entries {
             if registry.next_deadline() <= self.now && !self.frozen.contains(address) {
                 registry.tick(self.now, &mut actions);
-                post(
+                enqueue(
                     &mut self.queue,
                     &mut self.sent,
                     self.now,
@@ -235,7 +246,7 @@
         for (address, announcer) in &mut self.agents {
             if announcer.next_deadline() <= self.now && !self.frozen.contains(address) {
                 announcer.tick(self.now, &mut actions);
-                post(
+                enqueue(
                     &mut self.queue,
                     &mut self.sent,
                     self.now,
@@ -246,18 +257,18 @@
         }
     }
 
-    fn due(&mut self) -> Option<Parcel> {
+    fn next_due(&mut self) -> Option<Datagram> {
         let first = self.queue.first_entry()?;
         (first.key().0 <= self.now).then(|| first.remove())
     }
 
-    fn deliver(&mut self, parcel: Parcel) {
-        let Parcel { from, to, message } = parcel;
+    fn deliver(&mut self, datagram: Datagram) {
+        let Datagram { from, to, message } = datagram;
         if self.cut.as_ref().is_some_and(|cut| cut(from, to)) {
             return;
         }
         if self.frozen.contains(&to) {
-            return self.stalled.push(Parcel { from, to, message });
+            return self.undelivered.push(Datagram { from, to, message });
         }
         let mut actions = Vec::new();
         if let Some(registry) = self.entries.get_mut(&to) {
@@ -265,12 +276,12 @@
         } else if let Some(announcer) = self.agents.get_mut(&to) {
             announcer.handle(self.now, from, message, &mut actions);
         }
-        post(&mut self.queue, &mut self.sent, self.now, to, &mut actions);
+        enqueue(&mut self.queue, &mut self.sent, self.now, to, &mut actions);
     }
 }
 
-fn post(
-    queue: &mut BTreeMap<(Duration, u64), Parcel>,
+fn enqueue(
+    queue: &mut BTreeMap<(Duration, u64), Datagram>,
     sent: &mut u64,
     now: Duration,
     from: SocketAddr,
@@ -281,6 +292,6 @@
         let bytes = message.encode().expect("messages fit into a datagram");
         let message = Message::decode(&bytes).expect("messages can be read");
         *sent += 1;
-        queue.insert((now + DELAY, *sent), Parcel { from, to, message });
+        queue.insert((now + DELAY, *sent), Datagram { from, to, message });
     }
 }
--- a/coordination/member/tests/registry.rs
+++ b/coordination/member/tests/registry.rs
@@ -1,4 +1,4 @@
-//! Announcing, spreading and leaving among a few processes.
+//! Tests of announcements, gossip and departures among a few processes.
 mod net;
 
 use std::net::SocketAddr;
@@ -15,23 +15,23 @@
 use member::message::Error;
 use wire::target::State;
 
+use crate::net::CONVERGENCE_TIME;
 use crate::net::Net;
-use crate::net::SOON;
 use crate::net::agent;
 use crate::net::entry;
 use crate::net::region;
-use crate::net::roster;
+use crate::net::shared_service;
 use crate::net::target;
 
 fn config(revision: u64, len: usize) -> Service {
     Service {
-        address: roster(),
+        address: shared_service(),
         revision,
         body: Bytes::from(vec![7; len]),
     }
 }
 
-fn put(net: &mut Net, number: u8, service: Service) -> bool {
+fn put_config(net: &mut Net, number: u8, service: Service) -> bool {
     let now = net.now;
     net.entries
         .get_mut(&entry(number))
@@ -39,8 +39,11 @@
         .put(now, service)
 }
 
-fn all_hold(net: &Net, config: &Service) -> bool {
-    let entries = net.entries.values().map(|held| held.service(&roster()));
+fn all_have_config(net: &Net, config: &Service) -> bool {
+    let entries = net
+        .entries
+        .values()
+        .map(|held| held.service(&shared_service()));
     let agents = net.agents.values().map(|held| Some(held.view()));
     entries
         .chain(agents)
@@ -50,9 +53,12 @@
 fn configuration_reaches_every_process(len: usize) {
     let mut net = region(4, 5, 4);
     let service = config(7, len);
-    put(&mut net, 1, service.clone());
-    net.run_until(SOON, |net| all_hold(net, &service));
-    let digest = net.entries[&entry(1)].service(&roster()).unwrap().digest();
+    put_config(&mut net, 1, service.clone());
+    net.run_until(CONVERGENCE_TIME, |net| all_have_config(net, &service));
+    let digest = net.entries[&entry(1)]
+        .service(&shared_service())
+        .unwrap()
+        .digest();
     assert!(
         net.agents
             .values()
@@ -69,15 +75,15 @@
 #[test]
 fn a_stale_peer_does_not_revert_a_configuration() {
     let mut net = region(4, 2, 4);
-    put(&mut net, 1, config(7, 10));
-    net.run_until(SOON, |net| all_hold(net, &config(7, 10)));
+    put_config(&mut net, 1, config(7, 10));
+    net.run_until(CONVERGENCE_TIME, |net| all_have_config(net, &config(7, 10)));
     net.frozen.insert(entry(4));
-    put(&mut net, 1, config(8, 20));
-    net.run(SOON);
+    put_config(&mut net, 1, config(8, 20));
+    net.run(CONVERGENCE_TIME);
     net.frozen.remove(&entry(4));
-    assert!(!put(&mut net, 2, config(6, 30)));
-    net.run(SOON);
-    assert!(all_hold(&net, &config(8, 20)));
+    assert!(!put_config(&mut net, 2, config(6, 30)));
+    net.run(CONVERGENCE_TIME);
+    assert!(all_have_config(&net, &config(8, 20)));
 }
 
 #[test]
@@ -90,11 +96,11 @@
     };
     net.agents.get_mut(&agent(1)).unwrap().announce(now, change);
     let wanted = net.agents[&agent(1)].target().clone();
-    net.run_until(SOON, |net| {
+    net.run_until(CONVERGENCE_TIME, |net| {
         let entries = net
             .entries
             .values()
-            .filter_map(|held| held.service(&roster()));
+            .filter_map(|held| held.service(&shared_service()));
         let agents = net.agents.values().map(member::Announcer::view);
         entries
             .chain(agents)
@@ -103,7 +109,7 @@
 }
 
 #[test]
-fn a_leaving_agent_is_finished_once_its_watchers_know() {
+fn a_leaving_agent_is_finished_once_its_watchers_have_acknowledged() {
     let mut net = region(3, 3, 3);
     let now = net.now;
     net.agents.get_mut(&agent(1)).unwrap().leave(now);
@@ -111,10 +117,10 @@
         net.agents[&agent(1)].finished()
     });
     net.agents.remove(&agent(1));
-    net.run(SOON);
+    net.run(CONVERGENCE_TIME);
     let left = |net: &Net| {
         net.entries.values().all(|held| {
-            let members = &held.service(&roster()).unwrap().targets;
+            let members = &held.service(&shared_service()).unwrap().targets;
             let mut members = members.values();
             members.any(|member| member.target.state == State::Left)
         })
@@ -129,23 +135,23 @@
 }
 
 #[test]
-fn a_leaving_agent_is_finished_also_where_nobody_answers() {
+fn a_leaving_agent_is_finished_even_if_no_entry_answers() {
     let mut net = region(3, 3, 3);
     net.cut = Some(Box::new(|_, to| to == agent(1)));
     let now = net.now;
     net.agents.get_mut(&agent(1)).unwrap().leave(now);
-    net.run_until(SOON, |net| net.agents[&agent(1)].finished());
+    net.run_until(CONVERGENCE_TIME, |net| net.agents[&agent(1)].finished());
 }
 
 #[test]
-fn a_leaving_entry_is_no_longer_chosen() {
+fn a_leaving_entry_is_no_longer_chosen_as_watcher() {
     let mut net = region(5, 5, 3);
     let now = net.now;
     let mut actions = Vec::new();
     let mut leaver = net.entries.remove(&entry(2)).unwrap();
     leaver.leave(now, &mut actions);
     net.deliver_all(entry(2), actions);
-    net.run_until(SOON, |net| {
+    net.run_until(CONVERGENCE_TIME, |net| {
         let entries = net.entries.values();
         let agents = net.agents.values();
         entries
@@ -171,30 +177,33 @@
     let now = net.now;
     let mut actions = Vec::new();
     let agent = net.agents.get_mut(&agent(1)).unwrap();
-    agent.handle(now, entry(1), Message::Need(roster()), &mut actions);
+    agent.handle(now, entry(1), Message::Need(shared_service()), &mut actions);
     assert_eq!(agent.status().refusals[&Refusal::Unexpected], 1);
     assert!(actions.is_empty());
 }
 
-/// An agent that starts among others knows when it has heard of all of them.
+/// An agent that starts among others must not report its view as current before
+/// it has learned of all targets.
 #[test]
-fn a_view_is_current_once_it_is_whole() {
+fn a_view_is_current_once_it_holds_all_targets() {
     let mut net = region(3, 7, 3);
-    net.run_until(SOON, |net| net.agents.values().all(Announcer::is_current));
+    net.run_until(CONVERGENCE_TIME, |net| {
+        net.agents.values().all(Announcer::is_current)
+    });
     for held in net.agents.values() {
         assert_eq!(held.view().targets.len(), 7);
     }
     net.add_agent(8, 1, 1);
     let fresh = agent(8);
     assert!(!net.agents[&fresh].is_current());
-    net.run_until(SOON, |net| net.agents[&fresh].is_current());
+    net.run_until(CONVERGENCE_TIME, |net| net.agents[&fresh].is_current());
     assert_eq!(net.agents[&fresh].view().targets.len(), 8);
 }
 
-/// After a loss of power an agent may start before its entries, which must not
-/// wait for its next regular heartbeat.
+/// After a power failure an agent may start before its entries, and its
+/// announcement must not wait for the next regular heartbeat.
 #[test]
-fn an_agent_that_no_entry_has_answered_announces_itself_in_quick_succession() {
+fn an_agent_without_answers_sends_heartbeats_in_quick_succession() {
     let net = region(3, 0, 1);
     let seeds: Vec<SocketAddr> = net.entries.keys().copied().collect();
     let alone = target(2, 0, 1);
@@ -216,9 +225,10 @@
     assert!(regular <= 12, "{regular}");
 }
 
-/// The entries that an agent was started with may all be gone.
+/// The entries that an agent was started with may all be gone, so entries that
+/// it learns of later must not wait for a regular heartbeat.
 #[test]
-fn entries_that_are_found_later_are_announced_to_at_once() {
+fn entries_added_later_receive_a_heartbeat_at_once() {
     let net = region(3, 0, 1);
     let gone: Vec<SocketAddr> = (101..=103).map(entry).collect();
     let now = net.now;
@@ -228,32 +238,34 @@
     announcer.know(now, &[entry(1)]);
     let mut actions = Vec::new();
     announcer.tick(now, &mut actions);
-    let told = actions
+    let is_sent = actions
         .iter()
         .any(|Action::Send { to, .. }| *to == entry(1));
-    assert!(told, "{actions:?}");
+    assert!(is_sent, "{actions:?}");
 }
 
-/// A caller that waits for the deadline must not spin.
+/// A caller that waits for the deadline would spin if it were not in the
+/// future.
 #[test]
-fn a_finished_agent_is_not_due_at_once() {
+fn the_next_deadline_of_a_finished_agent_is_in_the_future() {
     let mut net = region(3, 1, 1);
-    net.run(SOON);
+    net.run(CONVERGENCE_TIME);
     let now = net.now;
     net.agents.get_mut(&agent(1)).unwrap().leave(now);
-    net.run_until(SOON, |net| net.agents[&agent(1)].finished());
-    net.run(SOON);
+    net.run_until(CONVERGENCE_TIME, |net| net.agents[&agent(1)].finished());
+    net.run(CONVERGENCE_TIME);
     let now = net.now;
     let announcer = net.agents.get_mut(&agent(1)).unwrap();
     announcer.tick(now, &mut Vec::new());
     assert!(announcer.next_deadline() > now);
 }
 
-/// The agent's core announces that it leaves before it asks for the farewell.
+/// The agent announces [`State::Left`] before it calls `leave`, which must
+/// still send a heartbeat without waiting for the regular interval.
 #[test]
-fn a_farewell_does_not_wait_for_a_heartbeat() {
+fn a_departure_does_not_wait_for_the_regular_heartbeat() {
     let mut net = region(3, 3, 3);
-    net.run(SOON);
+    net.run(CONVERGENCE_TIME);
     let now = net.now;
     let leaving = net.agents.get_mut(&agent(1)).unwrap();
     let weight = leaving.target().weight;
@@ -265,11 +277,12 @@
     assert!(leaving.next_deadline() <= now);
 }
 
-/// The others learn of it by gossip.
+/// One failed watcher must not delay the departure: most watchers acknowledge
+/// it, and the others learn of it by gossip.
 #[test]
-fn a_leaving_agent_does_not_wait_for_a_dead_watcher() {
+fn a_leaving_agent_does_not_wait_for_a_failed_watcher() {
     let mut net = region(3, 3, 3);
-    net.run(SOON);
+    net.run(CONVERGENCE_TIME);
     net.entries.remove(&entry(3));
     let now = net.now;
     let leaving = net.agents.get_mut(&agent(1)).unwrap();
--- a/coordination/member/tests/zones.rs
+++ b/coordination/member/tests/zones.rs
@@ -1,4 +1,4 @@
-//! Loss and return of zones and regions.
+//! Tests of the loss and return of zones and regions.
 mod net;
 
 use std::net::SocketAddr;
@@ -13,19 +13,19 @@
 use member::record::Report;
 use wire::ZoneId;
 
+use crate::net::CONVERGENCE_TIME;
 use crate::net::Net;
-use crate::net::SOON;
 use crate::net::agent;
 use crate::net::entry;
 use crate::net::region;
-use crate::net::roster;
+use crate::net::shared_service;
 
 const ZONES: u8 = 3;
 const ENTRIES: u8 = 9;
 const AGENTS: u8 = 12;
 const HOUR: Duration = Duration::from_hours(1);
 
-/// Processes of the first zone.
+/// Returns the processes of the first zone.
 fn first_zone() -> Vec<SocketAddr> {
     let entries = (1..=ENTRIES).filter(|number| number % ZONES == 0);
     let agents = (1..=AGENTS).filter(|number| number % ZONES == 0);
@@ -42,7 +42,8 @@
     entries.map(|held| held.status().sent_bytes).collect()
 }
 
-/// Runs for a while; no entry sends more than its rate and one burst.
+/// Runs for `time`, and asserts that no entry sends more than its rate and one
+/// burst.
 fn run_within_budget(net: &mut Net, time: Duration) {
     let before = sent_bytes(net);
     net.run(time);
@@ -58,32 +59,32 @@
 }
 
 #[test]
-fn a_lost_zone_is_reported_as_one_and_returns() {
+fn a_lost_zone_raises_no_suspicions_and_returns() {
     let mut net = region(ENTRIES, AGENTS, ZONES);
     net.frozen.extend(first_zone());
-    net.run_until(SOON, |net| net.all_see(Health::Down, 4));
-    net.run(SOON);
+    net.run_until(CONVERGENCE_TIME, |net| net.all_see(Health::Down, 4));
+    net.run(CONVERGENCE_TIME);
     assert!(net.all_see(Health::Down, 4) && net.all_see(Health::Doubted, 0));
     assert_eq!(suspicions(&net), 0);
     net.frozen.clear();
-    run_within_budget(&mut net, SOON);
+    run_within_budget(&mut net, CONVERGENCE_TIME);
     assert!(net.all_see(Health::Up, 12));
-    run_within_budget(&mut net, SOON);
+    run_within_budget(&mut net, CONVERGENCE_TIME);
     assert!(net.all_see(Health::Up, 12));
     assert_eq!(suspicions(&net), 0);
 }
 
 #[test]
-fn a_zone_that_returns_bit_by_bit_raises_no_suspicions() {
+fn a_zone_that_returns_gradually_raises_no_suspicions() {
     let mut net = region(ENTRIES, AGENTS, ZONES);
     net.frozen.extend(first_zone());
-    net.run(SOON * 2);
+    net.run(CONVERGENCE_TIME * 2);
     assert!(net.all_see(Health::Down, 4));
     for address in first_zone() {
         net.frozen.remove(&address);
         net.run(Duration::from_millis(500));
     }
-    net.run(SOON);
+    net.run(CONVERGENCE_TIME);
     assert!(net.all_see(Health::Up, 12));
     assert_eq!(suspicions(&net), 0);
 }
@@ -92,7 +93,7 @@
 fn a_zone_that_lost_power_returns_with_new_incarnations() {
     let mut net = region(ENTRIES, AGENTS, ZONES);
     net.frozen.extend(first_zone());
-    net.run(SOON * 5);
+    net.run(CONVERGENCE_TIME * 5);
     assert!(net.all_see(Health::Down, 4));
     net.frozen.clear();
     for number in (1..=ENTRIES).filter(|number| number % ZONES == 0) {
@@ -101,34 +102,34 @@
     for number in (1..=AGENTS).filter(|number| number % ZONES == 0) {
         net.add_agent(number, 0, 2);
     }
-    run_within_budget(&mut net, SOON);
-    net.run_until(SOON, |net| net.all_see(Health::Up, 12));
-    net.run(SOON * 2);
+    run_within_budget(&mut net, CONVERGENCE_TIME);
+    net.run_until(CONVERGENCE_TIME, |net| net.all_see(Health::Up, 12));
+    net.run(CONVERGENCE_TIME * 2);
     assert!(net.all_see(Health::Up, 12));
     assert_eq!(suspicions(&net), 0);
 }
 
 #[test]
-fn a_zone_cut_off_from_the_others_ejects_nobody_within() {
+fn entries_in_a_partitioned_zone_take_no_target_down() {
     let mut net = region(ENTRIES, AGENTS, ZONES);
     let zone = first_zone();
     let inside = zone.clone();
     net.cut = Some(Box::new(move |from, to| {
         inside.contains(&from) != inside.contains(&to)
     }));
-    net.run(SOON * 5);
+    net.run(CONVERGENCE_TIME * 5);
     for address in net.entries.keys() {
         let seen = [Health::Up, Health::Down].map(|health| net.count_at(*address, health));
         let is_inside = zone.contains(address);
         assert_eq!(seen, if is_inside { [12, 0] } else { [8, 4] }, "{address}");
     }
     net.cut = None;
-    run_within_budget(&mut net, SOON * 2);
+    run_within_budget(&mut net, CONVERGENCE_TIME * 2);
     assert!(net.all_see(Health::Up, 12));
 }
 
 #[test]
-fn observers_of_one_zone_alone_do_not_lose_another() {
+fn reports_from_one_zone_alone_do_not_mark_another_as_lost() {
     let mut net = region(ENTRIES, 1, ZONES);
     let report = |number: u8| {
         Record::Report(Report {
@@ -162,20 +163,20 @@
 }
 
 #[test]
-fn single_deaths_in_one_zone_do_not_lose_it() {
+fn single_failures_do_not_mark_their_zone_as_lost() {
     let mut net = region(ENTRIES, AGENTS, ZONES);
     net.frozen.insert(agent(3));
     net.frozen.insert(entry(6));
-    net.run_until(SOON, |net| net.all_see(Health::Down, 1));
-    net.run(SOON);
+    net.run_until(CONVERGENCE_TIME, |net| net.all_see(Health::Down, 1));
+    net.run(CONVERGENCE_TIME);
     assert!(net.all_see(Health::Down, 1));
     let running = net.entries.iter();
     let mut running = running.filter(|(address, _)| **address != entry(6));
     assert!(running.all(|(_, held)| held.status().lost_zones == 0));
 }
 
-/// Two regions of two zones with four entries and four agents each; those with
-/// odd numbers are in the first region.
+/// Returns two regions of two zones with four entries and four agents each;
+/// those with odd numbers are in the first region.
 fn regions() -> Net {
     let zone = |number: u8| ZoneId::from_be_bytes([1 + number % 2, (number / 2) % 2]);
     let mut net = Net::default();
@@ -185,7 +186,7 @@
     for number in 1..=8 {
         net.add_agent(number, zone(number), 1);
     }
-    net.run(SOON * 2);
+    net.run(CONVERGENCE_TIME * 2);
     assert!(net.all_see(Health::Up, 8));
     net
 }
@@ -194,10 +195,10 @@
     matches!(address, SocketAddr::V4(address) if address.ip().octets()[3] % 2 == 1)
 }
 
-fn put(net: &mut Net, number: u8, revision: u64) {
+fn put_config(net: &mut Net, number: u8, revision: u64) {
     let now = net.now;
     let service = Service {
-        address: roster(),
+        address: shared_service(),
         revision,
         body: Bytes::from(revision.to_string()),
     };
@@ -206,26 +207,29 @@
 }
 
 #[test]
-fn regions_apart_for_an_hour_keep_everything_and_agree_after() {
+fn regions_partitioned_for_an_hour_keep_all_records_and_agree_afterwards() {
     let mut net = regions();
-    put(&mut net, 1, 5);
-    net.run(SOON);
+    put_config(&mut net, 1, 5);
+    net.run(CONVERGENCE_TIME);
     net.cut = Some(Box::new(|from, to| {
         is_first_region(from) != is_first_region(to)
     }));
     net.run(Duration::from_mins(1));
-    // The targets of the other region are silent, which is half.
+    // The targets of the other region are silent, which is half of the service.
     assert!(net.all_see(Health::Up, 4) && net.all_see(Health::Down, 4));
-    put(&mut net, 1, 6);
-    put(&mut net, 2, 7);
+    put_config(&mut net, 1, 6);
+    put_config(&mut net, 2, 7);
     net.add_agent(3, 0x0201, 2);
     net.add_agent(4, 0x0100, 2);
     net.run(HOUR);
-    let count = |held: &member::Registry| held.service(&roster()).unwrap().targets.len();
+    let count = |held: &member::Registry| held.service(&shared_service()).unwrap().targets.len();
     assert!(net.entries.values().all(|held| count(held) == 8));
     assert!(net.entries.values().all(|held| held.entries().count() == 8));
     let revisions = |net: &Net| -> Vec<u64> {
-        let views = net.entries.values().map(|held| held.service(&roster()));
+        let views = net
+            .entries
+            .values()
+            .map(|held| held.service(&shared_service()));
         views
             .flatten()
             .filter_map(|view| view.config.as_ref())
@@ -234,8 +238,8 @@
     };
     assert_eq!(revisions(&net), [6, 7, 6, 7, 6, 7, 6, 7]);
     net.cut = None;
-    run_within_budget(&mut net, SOON);
-    run_within_budget(&mut net, SOON);
+    run_within_budget(&mut net, CONVERGENCE_TIME);
+    run_within_budget(&mut net, CONVERGENCE_TIME);
     assert!(net.all_see(Health::Up, 8));
     assert_eq!(revisions(&net), [7; 8]);
     let digests: Vec<u64> = net.entries.values().map(member::Registry::digest).collect();
