--- a/coordination/member/src/announcer.rs
+++ b/coordination/member/src/announcer.rs
@@ -24,9 +24,9 @@
 use crate::message::Ack;
 use crate::message::Heartbeat;
 use crate::message::Members;
-use crate::message::Roll;
 use crate::message::Sequence;
 use crate::message::Subject;
+use crate::message::TargetList;
 use watchers::Watchers;
 
 /// Heartbeats that announce a departure before the agent stops sending.
@@ -186,7 +186,7 @@
             Message::Ack(ack) => self.receive_ack(now, from, ack, actions),
             Message::Probe => self.send_heartbeat(&[from], actions),
             Message::Members(members) if members.address == service => self.merge_members(members),
-            Message::Roll(roll) if roll.address == service => self.receive_roll(&roll),
+            Message::TargetList(list) if list.address == service => self.receive_target_list(&list),
             Message::Offer(offer) if offer.address == service => {
                 self.receive_offer(now, from, offer, actions);
             }
@@ -210,7 +210,7 @@
                 self.startup_heartbeats -= 1;
                 STARTUP_INTERVAL
             }
-            None => self.settings.heartbeat,
+            None => self.settings.heartbeat_interval,
         };
         self.next_heartbeat = now + interval.mul_f64(1.0 - self.rng.f64() * JITTER);
         if self.finished() {
@@ -379,12 +379,12 @@
     }
 
     /// Removes the departed and silent targets that the entry no longer lists.
-    fn receive_roll(&mut self, roll: &Roll) {
-        let part = self.view.part(roll.part.into()).iter();
+    fn receive_target_list(&mut self, list: &TargetList) {
+        let part = self.view.part(list.part.into()).iter();
         let rereceivers: Vec<u64> = part
             .filter(|member| member.target.state == State::Left || member.health != Health::Up)
             .map(|member| member.target.id)
-            .filter(|id| *id != self.target.id && !roll.targets.contains(id))
+            .filter(|id| *id != self.target.id && !list.targets.contains(id))
             .collect();
         for id in rereceivers {
             self.changed |= self.view.remove(id);
--- a/coordination/member/src/announcer/watchers.rs
+++ b/coordination/member/src/announcer/watchers.rs
@@ -18,7 +18,7 @@
 /// answers.
 const MAX_FALLBACKS: usize = 3;
 
-/// Multiple of the silence setting after which an unresponsive entry is tried
+/// Multiple of the silence timeout after which an unresponsive entry is tried
 /// again.
 const RETRY_SILENCES: u32 = 10;
 
@@ -131,7 +131,7 @@
     /// Marks the watchers that do not answer as unresponsive. Where no watcher
     /// answers, chooses other entries that receive heartbeats too.
     pub fn check_answers(&mut self, now: Duration, rng: &mut Rng) {
-        let silence = self.settings.silence;
+        let silence = self.settings.silence_timeout;
         let retry_after = silence * RETRY_SILENCES;
         self.unresponsive
             .retain(|_, since| now.saturating_sub(*since) < retry_after);
@@ -182,7 +182,7 @@
         // forth.
         let is_early = self
             .last_change
-            .is_some_and(|changed| now < changed + self.settings.heartbeat);
+            .is_some_and(|changed| now < changed + self.settings.heartbeat_interval);
         if is_early || !(is_agreed || needs_change) {
             self.suggestion = Some(Suggestion {
                 from,
--- a/coordination/member/src/directory.rs
+++ b/coordination/member/src/directory.rs
@@ -28,11 +28,11 @@
 use crate::digest::Digest;
 use crate::record::Key;
 use crate::record::Report;
+use crate::record::Statement;
 use crate::record::SubjectId;
-use crate::record::Suspicion;
 use crate::record::report_key;
 use crate::record::service_key;
-use crate::record::suspicion_key;
+use crate::record::statement_key;
 use crate::rendezvous::Candidate;
 use crate::statements::Statements;
 use crate::tree::Tree;
@@ -101,12 +101,12 @@
     Service(ServiceIndex),
     Target(ServiceIndex),
     Entry,
-    Suspicion(Box<SuspicionLocation>),
+    Statement(Box<StatementLocation>),
     Report(Box<ReportLocation>),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct SuspicionLocation {
+struct StatementLocation {
     subject: SubjectId,
     observer: SocketAddr,
 }
@@ -147,7 +147,7 @@
             }
             Record::Target(target) => self.merge_target(target)?,
             Record::Entry(entry) => self.merge_entry(key, entry)?,
-            Record::Suspicion(suspicion) => self.merge_suspicion(suspicion)?,
+            Record::Statement(statement) => self.merge_statement(statement)?,
             Record::Report(report) => self.merge_report(report)?,
             Record::Removal(removal) => return self.merge_removal(&removal),
         };
@@ -185,18 +185,18 @@
         Ok(Location::Entry)
     }
 
-    fn merge_suspicion(&mut self, suspicion: Suspicion) -> Result<Location, Refusal> {
-        let (subject, observer) = (suspicion.subject, suspicion.observer);
+    fn merge_statement(&mut self, statement: Statement) -> Result<Location, Refusal> {
+        let (subject, observer) = (statement.subject, statement.observer);
         match self.incarnation(subject) {
             None => return Err(Refusal::UnknownSubject),
-            Some(held) if held != suspicion.incarnation => return Err(Refusal::OldIncarnation),
+            Some(held) if held != statement.incarnation => return Err(Refusal::OldIncarnation),
             Some(_) => {}
         }
-        for replaced in self.statements.merge(suspicion)? {
-            self.unindex_record(suspicion_key(replaced.subject, replaced.observer));
+        for replaced in self.statements.merge(statement)? {
+            self.unindex_record(statement_key(replaced.subject, replaced.observer));
         }
         self.mark_dirty(subject);
-        Ok(Location::Suspicion(Box::new(SuspicionLocation {
+        Ok(Location::Statement(Box::new(StatementLocation {
             subject,
             observer,
         })))
@@ -226,9 +226,9 @@
                 Record::Target(member.target.clone())
             }
             Location::Entry => Record::Entry(self.entry(key)?.clone()),
-            Location::Suspicion(location) => {
+            Location::Statement(location) => {
                 let held = self.statements.get(location.subject, location.observer)?;
-                Record::Suspicion(held.clone())
+                Record::Statement(held.clone())
             }
             Location::Report(location) => {
                 Record::Report(self.zones.get(location.zone, location.observer)?.clone())
@@ -404,7 +404,7 @@
 
     fn forget_statements(&mut self, subject: SubjectId) {
         for statement in self.statements.remove(subject) {
-            self.unindex_record(suspicion_key(subject, statement.observer));
+            self.unindex_record(statement_key(subject, statement.observer));
         }
         self.mark_dirty(subject);
     }
--- a/coordination/member/src/message.rs
+++ b/coordination/member/src/message.rs
@@ -46,7 +46,7 @@
     /// Part of the view of a service, sent to an agent.
     Members(Members),
     /// List of all targets in one part of a view, sent to an agent.
-    Roll(Roll),
+    TargetList(TargetList),
     /// Records of the sender, sent to an entry.
     Push(Push),
     /// Offer of a configuration that is too large to be pushed.
@@ -62,7 +62,7 @@
     /// Request for the records with these keys.
     Pull(Vec<Key>),
     /// Request for all records of a service.
-    Need(ServiceAddress),
+    PullService(ServiceAddress),
 }
 
 /// Heartbeat of a process.
@@ -120,7 +120,7 @@
 
 /// List of all targets in one part of a view.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Roll {
+pub struct TargetList {
     /// Address of the service.
     pub address: ServiceAddress,
     /// Number of the part.
@@ -155,12 +155,12 @@
     /// Last key of the range.
     pub last: Key,
     /// Records, in the order of their keys.
-    pub items: Vec<Item>,
+    pub records: Vec<RecordDigest>,
 }
 
 /// Key and digest of a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Item {
+pub struct RecordDigest {
     /// Key of the record.
     pub key: Key,
     /// Lower half of the digest of its version.
--- a/coordination/member/src/record.rs
+++ b/coordination/member/src/record.rs
@@ -46,7 +46,7 @@
 
 /// Statement of one watcher about one process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Suspicion {
+pub struct Statement {
     /// The process.
     pub subject: SubjectId,
     /// Incarnation that the statement is about; it does not apply to others.
@@ -70,7 +70,7 @@
     /// UDP address of the observer.
     pub observer: SocketAddr,
     /// Zone of the observer.
-    pub from: ZoneId,
+    pub observer_zone: ZoneId,
     /// Incarnation of the observer.
     pub incarnation: Incarnation,
     /// Number of the observer's report on this zone.
@@ -91,7 +91,7 @@
     /// Entry process.
     Entry(Entry),
     /// Statement of a watcher about a process.
-    Suspicion(Suspicion),
+    Statement(Statement),
     /// Report of an observer on a zone.
     Report(Report),
     /// Removal of a process that was silent or departed for long.
@@ -119,7 +119,7 @@
     }
 }
 
-impl Suspicion {
+impl Statement {
     /// Returns the position of this statement among those of one watcher about
     /// one process. Silence after a heartbeat is later than that heartbeat.
     #[must_use]
@@ -159,7 +159,7 @@
 enum KeyInput {
     Service(ServiceAddress),
     Entry(SocketAddr),
-    Suspicion(SubjectId, SocketAddr),
+    Statement(SubjectId, SocketAddr),
     Report(ZoneId, SocketAddr),
 }
 
@@ -171,7 +171,7 @@
             Self::Service(service) => service_key(service.address),
             Self::Target(target) => target.id,
             Self::Entry(entry) => entry_key(entry.address),
-            Self::Suspicion(suspicion) => suspicion_key(suspicion.subject, suspicion.observer),
+            Self::Statement(statement) => statement_key(statement.subject, statement.observer),
             Self::Report(report) => report_key(report.zone, report.observer),
             Self::Removal(removal) => removal.subject,
         }
@@ -192,8 +192,8 @@
 
 /// Returns the key of the statement of a watcher about a process.
 #[must_use]
-pub fn suspicion_key(subject: SubjectId, observer: SocketAddr) -> Key {
-    digest::of(&KeyInput::Suspicion(subject, observer))
+pub fn statement_key(subject: SubjectId, observer: SocketAddr) -> Key {
+    digest::of(&KeyInput::Statement(subject, observer))
 }
 
 /// Returns the key of the report of an observer on a zone.
--- a/coordination/member/src/registry.rs
+++ b/coordination/member/src/registry.rs
@@ -83,7 +83,7 @@
     rumors: Rumors,
     link: Link,
     assembler: Assembler,
-    fleet: Fleet,
+    live_set: LiveSet,
     own_heartbeat: OwnHeartbeat,
     seeds: Vec<SocketAddr>,
     needs: BTreeMap<ServiceAddress, Need>,
@@ -109,7 +109,7 @@
 
 /// Values derived from the set of running entries, until that set changes.
 #[derive(Debug, Default)]
-struct Fleet {
+struct LiveSet {
     generation: Option<u64>,
     candidates: Vec<Candidate>,
     peers: Peers,
@@ -145,7 +145,7 @@
             rumors: Rumors::default(),
             link: Link::new(settings.send_rate, now),
             assembler: Assembler::default(),
-            fleet: Fleet::default(),
+            live_set: LiveSet::default(),
             own_heartbeat: OwnHeartbeat {
                 next: now,
                 ..OwnHeartbeat::default()
@@ -236,11 +236,11 @@
             Message::Compare(compare) => self.receive_compare(from, &compare, actions),
             Message::Leaf(leaf) => self.receive_leaf(from, &leaf, actions),
             Message::Pull(keys) => self.send_requested(from, &keys, actions),
-            Message::Need(address) => self.send_service_records(from, address, actions),
+            Message::PullService(address) => self.send_service_records(from, address, actions),
             // An entry uses an acknowledgement only as a sign that it can still
             // receive.
             Message::Ack(_) => {}
-            Message::Members(_) | Message::Roll(_) => self.link.refuse(Refusal::Unexpected),
+            Message::Members(_) | Message::TargetList(_) => self.link.refuse(Refusal::Unexpected),
         }
     }
 
@@ -250,15 +250,15 @@
         if now < self.next_round {
             return;
         }
-        if now > self.next_round + self.settings.pause() {
+        if now > self.next_round + self.settings.max_tick_delay() {
             self.link.status.self_doubts += 1;
             self.watches.reset_silence(now, |_| true);
             self.directory.reset_silence(now);
         }
         self.directory.set_now(now);
-        self.next_round = now + self.settings.round;
+        self.next_round = now + self.settings.round_interval;
         self.link.refill(now);
-        self.refresh_fleet();
+        self.refresh_live_set();
         self.send_heartbeat_if_due(now, actions);
         self.audit(now, actions);
         self.detect_failures(now, actions);
@@ -381,8 +381,8 @@
 
     /// Starts to gossip a record.
     fn start_gossip(&mut self, record: &Record) {
-        self.rumors.insert(record, self.fleet.candidates.len());
-        let earliest = self.last_push + self.settings.pace;
+        self.rumors.insert(record, self.live_set.candidates.len());
+        let earliest = self.last_push + self.settings.push_interval;
         self.next_push.get_or_insert(earliest);
     }
 
@@ -390,9 +390,9 @@
         let lost: BTreeSet<ZoneId> = self.directory.zones().lost().collect();
         let scope = Scope {
             region: region(self.identity.zone),
-            zones: self.fleet.zones.clone(),
-            settle_wait: self.settings.settle * 2,
-            answer_wait: self.settings.silence * 2,
+            zones: self.live_set.zones.clone(),
+            settle_wait: self.settings.suspicion_delay * 2,
+            answer_wait: self.settings.silence_timeout * 2,
         };
         self.directory.update_verdicts(now, &scope);
         let zones = self.directory.zones();
@@ -400,9 +400,9 @@
         self.watches.reset_silence(now, |watch| is_back(watch.zone));
     }
 
-    fn refresh_fleet(&mut self) {
+    fn refresh_live_set(&mut self) {
         let generation = self.directory.generation();
-        if self.fleet.generation == Some(generation) {
+        if self.live_set.generation == Some(generation) {
             return;
         }
         let own = &self.identity;
@@ -413,7 +413,7 @@
         let zones = near.map(|entry| entry.zone).collect();
         let candidates: Vec<Candidate> = self.directory.live_entries().collect();
         let peers = Peers::new(own.address, own.zone, candidates.iter().copied());
-        self.fleet = Fleet {
+        self.live_set = LiveSet {
             generation: Some(generation),
             candidates,
             peers,
--- a/coordination/member/src/registry/anti_entropy.rs
+++ b/coordination/member/src/registry/anti_entropy.rs
@@ -12,8 +12,8 @@
 use crate::Refusal;
 use crate::digest::lower_half;
 use crate::message::Compare;
-use crate::message::Item;
 use crate::message::Leaf;
+use crate::message::RecordDigest;
 use crate::record::Key;
 use crate::tree::BRANCHES;
 use crate::tree::LEAF_LEVEL;
@@ -35,7 +35,7 @@
 const MAX_LEAVES: usize = 8;
 
 /// Largest number of records that one message lists.
-const MAX_ITEMS: usize = 64;
+const MAX_LISTED_RECORDS: usize = 64;
 
 /// One in this many comparisons goes to a seed, so that partitions which lost
 /// contact find each other again.
@@ -48,14 +48,14 @@
             return;
         }
         let interval = if self.is_behind {
-            self.settings.round
+            self.settings.round_interval
         } else {
-            self.settings.compare
+            self.settings.compare_interval
         };
         self.is_behind = false;
         self.next_compare = now + interval;
         let seed = self.rng.choice(&self.seeds).copied();
-        let peer = match self.fleet.peers.choose_one(&mut self.rng) {
+        let peer = match self.live_set.peers.choose_one(&mut self.rng) {
             Some(peer) if self.rng.usize(..SEED_ONE_IN) > 0 => Some(peer),
             peer => seed.or(peer),
         };
@@ -104,7 +104,7 @@
         leaf: &Leaf,
         actions: &mut Vec<Action>,
     ) {
-        if leaf.first > leaf.last || leaf.items.len() > MAX_ITEMS {
+        if leaf.first > leaf.last || leaf.records.len() > MAX_LISTED_RECORDS {
             return self.link.refuse(Refusal::Malformed);
         }
         let own: BTreeMap<Key, u32> = self
@@ -113,15 +113,18 @@
             .map(|(key, digest)| (key, lower_half(digest)))
             .collect();
         let theirs: BTreeMap<Key, u32> = leaf
-            .items
+            .records
             .iter()
-            .map(|item| (item.key, item.digest))
+            .map(|record| (record.key, record.digest))
             .collect();
         let lacking = |from: &BTreeMap<Key, u32>, to: &BTreeMap<Key, u32>| -> Vec<Key> {
             let differing = from
                 .iter()
                 .filter(|(key, digest)| to.get(key) != Some(digest));
-            differing.map(|(key, _)| *key).take(MAX_ITEMS).collect()
+            differing
+                .map(|(key, _)| *key)
+                .take(MAX_LISTED_RECORDS)
+                .collect()
         };
         let wanted = lacking(&theirs, &own);
         let offered = lacking(&own, &theirs);
@@ -147,7 +150,7 @@
     /// Allows records to be requested again, once in each comparison interval.
     pub(super) fn reset_requested(&mut self, now: Duration) {
         if now >= self.next_request_reset {
-            self.next_request_reset = now + self.settings.compare;
+            self.next_request_reset = now + self.settings.compare_interval;
             self.requested_keys.clear();
         }
     }
@@ -159,7 +162,7 @@
         keys: &[Key],
         actions: &mut Vec<Action>,
     ) {
-        let known = keys.iter().take(MAX_ITEMS);
+        let known = keys.iter().take(MAX_LISTED_RECORDS);
         let records = known
             .filter_map(|key| self.directory.record(*key))
             .collect();
@@ -177,21 +180,22 @@
         for (address, need) in &mut self.needs {
             if now >= need.next {
                 need.tries += 1;
-                need.next = now + self.settings.round * need.tries;
+                need.next = now + self.settings.round_interval * need.tries;
                 due.push(*address);
             }
         }
         if due.is_empty() {
             return;
         }
-        let mut peers = self.fleet.peers.choose(ASKED_PEERS, &mut self.rng);
+        let mut peers = self.live_set.peers.choose(ASKED_PEERS, &mut self.rng);
         if peers.is_empty() {
             peers.clone_from(&self.seeds);
             peers.truncate(ASKED_PEERS);
         }
         for address in due {
             for peer in &peers {
-                self.link.send(*peer, Message::Need(address), actions);
+                self.link
+                    .send(*peer, Message::PullService(address), actions);
             }
             self.asked_peers.extend(&peers);
         }
@@ -221,33 +225,33 @@
 
     /// Returns the messages that list the records of a leaf.
     fn leaf_messages(&self, node: Node) -> Vec<Message> {
-        let items: Vec<Item> = self
+        let records: Vec<RecordDigest> = self
             .directory
             .range(node.first(), node.last())
-            .map(|(key, digest)| Item {
+            .map(|(key, digest)| RecordDigest {
                 key,
                 digest: lower_half(digest),
             })
             .collect();
-        if items.is_empty() {
+        if records.is_empty() {
             return vec![Message::Leaf(Leaf {
                 first: node.first(),
                 last: node.last(),
-                items,
+                records,
             })];
         }
         let mut first = node.first();
         let mut messages = Vec::new();
-        let count = items.len().div_ceil(MAX_ITEMS);
-        for (number, chunk) in (1..).zip(items.chunks(MAX_ITEMS)) {
+        let count = records.len().div_ceil(MAX_LISTED_RECORDS);
+        for (number, chunk) in (1..).zip(records.chunks(MAX_LISTED_RECORDS)) {
             let last = match chunk.last() {
-                Some(item) if number < count => item.key,
+                Some(record) if number < count => record.key,
                 _ => node.last(),
             };
             messages.push(Message::Leaf(Leaf {
                 first,
                 last,
-                items: chunk.to_vec(),
+                records: chunk.to_vec(),
             }));
             first = last.saturating_add(1);
         }
--- a/coordination/member/src/registry/audit.rs
+++ b/coordination/member/src/registry/audit.rs
@@ -21,7 +21,7 @@
     /// does not. A process that others watch names them in its heartbeat, which
     /// ends the watch here.
     pub(super) fn audit(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        let rounds = AUDIT_PERIOD.as_millis() / self.settings.round.as_millis().max(1);
+        let rounds = AUDIT_PERIOD.as_millis() / self.settings.round_interval.as_millis().max(1);
         let rounds = usize::try_from(rounds).unwrap_or(usize::MAX);
         let count = self.directory.len() / rounds.max(1) + 1;
         let keys = self.directory.keys_after(self.last_audited, count);
@@ -54,7 +54,7 @@
     /// is known to watch it.
     fn should_watch(&self, subject: SubjectId, process: &Process) -> bool {
         let is_live = |address: &SocketAddr| {
-            let mut live = self.fleet.candidates.iter();
+            let mut live = self.live_set.candidates.iter();
             live.any(|candidate| candidate.address == *address)
         };
         let latest = self.directory.statements().latest(subject);
@@ -76,14 +76,14 @@
     /// entries.
     fn is_outscored(&self, subject: SubjectId) -> bool {
         let own = score(subject, self.key);
-        let mut rivals = self.fleet.candidates.iter();
-        self.fleet.zones.len() >= self.settings.watchers
+        let mut rivals = self.live_set.candidates.iter();
+        self.live_set.zones.len() >= self.settings.watchers
             && rivals
                 .any(|rival| rival.zone == self.identity.zone && score(subject, rival.key) > own)
     }
 
     fn local_watchers(&self, subject: SubjectId, process: &Process) -> Vec<SocketAddr> {
-        let candidates = &self.fleet.candidates;
+        let candidates = &self.live_set.candidates;
         rendezvous::local(subject, process.zone, candidates, self.settings.watchers)
     }
 }
--- a/coordination/member/src/registry/failure.rs
+++ b/coordination/member/src/registry/failure.rs
@@ -10,8 +10,8 @@
 use crate::Record;
 use crate::record::Key;
 use crate::record::Report;
+use crate::record::Statement;
 use crate::record::SubjectId;
-use crate::record::Suspicion;
 use crate::rendezvous::score;
 use crate::watches::Tally;
 use crate::watches::Watch;
@@ -42,7 +42,7 @@
             let stated = statements.get(subject, own);
             stated.is_some_and(|stated| stated.silent)
         };
-        let silence = self.settings.silence;
+        let silence = self.settings.silence_timeout;
         let tallies = self.watches.tallies(now, silence, is_suspected);
         let is_deaf = now.saturating_sub(self.link.last_received) > silence;
         let was_doubtful = self.is_doubtful;
@@ -62,7 +62,7 @@
     }
 
     fn suspect(&mut self, now: Duration, tallies: &BTreeMap<ZoneId, Tally>) {
-        let wait = self.settings.silence + self.settings.settle;
+        let wait = self.settings.silence_timeout + self.settings.suspicion_delay;
         let due = self.watches.iter().filter(|(subject, watch)| {
             let silence = now.saturating_sub(watch.last_heard);
             let mostly_silent = tallies
@@ -76,11 +76,11 @@
                 && self.directory.incarnation(*subject) == Some(watch.incarnation)
                 && !self.has_stated(*subject, watch)
         });
-        let due: Vec<Suspicion> = due
+        let due: Vec<Statement> = due
             .map(|(subject, watch)| self.statement(subject, watch, true))
             .collect();
         for suspicion in due {
-            if self.publish(&Record::Suspicion(suspicion)) {
+            if self.publish(&Record::Statement(suspicion)) {
                 self.link.status.suspicions += 1;
             }
         }
@@ -107,7 +107,7 @@
             && (is_contested || is_refuted || is_superseded)
         {
             let statement = self.statement(subject, watch, false);
-            self.publish(&Record::Suspicion(statement));
+            self.publish(&Record::Statement(statement));
         }
     }
 
@@ -145,7 +145,7 @@
         Report {
             zone,
             observer: self.identity.address,
-            from: self.identity.zone,
+            observer_zone: self.identity.zone,
             incarnation: self.identity.incarnation,
             version: last.map_or(0, |last| last.version + 1),
             silent: tally.silent,
@@ -157,7 +157,7 @@
     /// zone in its region.
     fn observes(&self, zone: ZoneId) -> bool {
         let own = score(Key::from(zone), self.key);
-        let rivals = self.fleet.candidates.iter().filter(|other| {
+        let rivals = self.live_set.candidates.iter().filter(|other| {
             other.zone != zone
                 && region(other.zone) == region(self.identity.zone)
                 && score(Key::from(zone), other.key) > own
@@ -171,8 +171,8 @@
         stated.is_some_and(|stated| stated.silent && stated.sequence >= watch.sequence)
     }
 
-    fn statement(&self, subject: SubjectId, watch: &Watch, silent: bool) -> Suspicion {
-        Suspicion {
+    fn statement(&self, subject: SubjectId, watch: &Watch, silent: bool) -> Statement {
+        Statement {
             subject,
             incarnation: watch.incarnation,
             observer: self.identity.address,
--- a/coordination/member/src/registry/gossip.rs
+++ b/coordination/member/src/registry/gossip.rs
@@ -29,7 +29,7 @@
         self.last_push = now;
         self.next_push = match self.rumors.len() {
             0 => None,
-            _ => Some(now + self.settings.pace),
+            _ => Some(now + self.settings.push_interval),
         };
     }
 
@@ -39,7 +39,10 @@
         if keys.is_empty() {
             return;
         }
-        let peers = self.fleet.peers.choose(self.settings.fanout, &mut self.rng);
+        let peers = self
+            .live_set
+            .peers
+            .choose(self.settings.fanout, &mut self.rng);
         if peers.is_empty() {
             return;
         }
@@ -143,7 +146,7 @@
             return Ok(());
         }
         let suspected = match record {
-            Record::Suspicion(suspicion) => Some(suspicion.subject),
+            Record::Statement(statement) => Some(statement.subject),
             _ => None,
         };
         if let Record::Target(target) = record {
--- a/coordination/member/src/registry/heartbeat.rs
+++ b/coordination/member/src/registry/heartbeat.rs
@@ -19,8 +19,8 @@
 use crate::message::Ack;
 use crate::message::Heartbeat;
 use crate::message::Members;
-use crate::message::Roll;
 use crate::message::Subject;
+use crate::message::TargetList;
 use crate::message::pack;
 use crate::record::SubjectId;
 use crate::record::entry_key;
@@ -106,7 +106,7 @@
             watchers: heartbeat.watchers,
         };
         self.update_watch(&sender, watch, heartbeat.observe);
-        self.refresh_fleet();
+        self.refresh_live_set();
         let view = sender.service.and_then(|address| self.service(&address));
         let digest = view.map_or(0, View::digest);
         let ack = Ack {
@@ -171,12 +171,12 @@
         if sender.service.is_none() {
             return Vec::new();
         }
-        if self.fleet.chosen_watchers.len() >= MAX_CHOICES {
-            self.fleet.chosen_watchers.clear();
+        if self.live_set.chosen_watchers.len() >= MAX_CHOICES {
+            self.live_set.chosen_watchers.clear();
         }
         let count = self.settings.watchers + SPARE_WATCHERS;
-        let candidates = &self.fleet.candidates;
-        let chosen_watchers = &mut self.fleet.chosen_watchers;
+        let candidates = &self.live_set.candidates;
+        let chosen_watchers = &mut self.live_set.chosen_watchers;
         let watchers = chosen_watchers
             .entry(sender.id)
             .or_insert_with(|| rendezvous::local(sender.id, sender.zone, candidates, count));
@@ -228,8 +228,8 @@
         if now < self.own_heartbeat.next {
             return;
         }
-        self.own_heartbeat.next = now + self.settings.heartbeat;
-        let candidates = &self.fleet.candidates;
+        self.own_heartbeat.next = now + self.settings.heartbeat_interval;
+        let candidates = &self.live_set.candidates;
         let zone = self.identity.zone;
         let watchers = rendezvous::local(self.key, zone, candidates, self.settings.watchers);
         let observers =
@@ -286,12 +286,12 @@
 fn part_messages(view: &View, number: usize) -> Vec<Message> {
     let part = view.part(number);
     let targets = part.iter().map(|member| member.target.id).collect();
-    let roll = Roll {
+    let list = TargetList {
         address: view.address,
         part: u8::try_from(number).unwrap_or(u8::MAX),
         targets,
     };
-    let mut messages = vec![Message::Roll(roll)];
+    let mut messages = vec![Message::TargetList(list)];
     messages.extend(member_messages(view.address, part.iter().cloned()));
     messages
 }
--- a/coordination/member/src/rumors.rs
+++ b/coordination/member/src/rumors.rs
@@ -22,7 +22,7 @@
     Service,
     Report,
     Entry,
-    Suspicion,
+    Statement,
     Target,
     Removal,
 }
@@ -46,7 +46,7 @@
             Record::Service(_) => Urgency::Service,
             Record::Report(_) => Urgency::Report,
             Record::Entry(_) => Urgency::Entry,
-            Record::Suspicion(_) => Urgency::Suspicion,
+            Record::Statement(_) => Urgency::Statement,
             Record::Target(_) => Urgency::Target,
             Record::Removal(_) => Urgency::Removal,
         };
--- a/coordination/member/src/settings.rs
+++ b/coordination/member/src/settings.rs
@@ -5,24 +5,24 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// Time between two heartbeats of a process.
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
     /// Number of entries in its region that watch one process.
     pub watchers: usize,
     /// Silence after which a watcher probes a process.
-    pub probe: Duration,
+    pub probe_after: Duration,
     /// Silence after which a process counts as silent.
-    pub silence: Duration,
+    pub silence_timeout: Duration,
     /// Further delay before a watcher states its suspicion, in which the
     /// failure of a whole zone can be recognised as such.
-    pub settle: Duration,
+    pub suspicion_delay: Duration,
     /// Time between two rounds of periodic work.
-    pub round: Duration,
+    pub round_interval: Duration,
     /// Time between two gossip pushes.
-    pub pace: Duration,
+    pub push_interval: Duration,
     /// Number of peers that receive each gossip push.
     pub fanout: usize,
     /// Time between two comparisons of digests with a peer.
-    pub compare: Duration,
+    pub compare_interval: Duration,
     /// Budget of bytes per second in each direction.
     pub send_rate: u32,
     /// Time for which departed and silent processes are kept. Longer than
@@ -33,15 +33,15 @@
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            heartbeat: Duration::from_secs(1),
+            heartbeat_interval: Duration::from_secs(1),
             watchers: 3,
-            probe: Duration::from_millis(1_500),
-            silence: Duration::from_millis(2_500),
-            settle: Duration::from_secs(1),
-            round: Duration::from_millis(250),
-            pace: Duration::from_millis(50),
+            probe_after: Duration::from_millis(1_500),
+            silence_timeout: Duration::from_millis(2_500),
+            suspicion_delay: Duration::from_secs(1),
+            round_interval: Duration::from_millis(250),
+            push_interval: Duration::from_millis(50),
             fanout: 3,
-            compare: Duration::from_secs(1),
+            compare_interval: Duration::from_secs(1),
             send_rate: 12_000,
             retention: Duration::from_hours(3),
         }
@@ -52,7 +52,7 @@
     /// Returns the delay of a tick beyond which a process disregards the
     /// silences that it measured.
     #[must_use]
-    pub fn pause(&self) -> Duration {
-        self.heartbeat / 2
+    pub fn max_tick_delay(&self) -> Duration {
+        self.heartbeat_interval / 2
     }
 }
--- a/coordination/member/src/statements.rs
+++ b/coordination/member/src/statements.rs
@@ -8,13 +8,13 @@
 
 use crate::Refusal;
 use crate::message::Sequence;
+use crate::record::Statement;
 use crate::record::SubjectId;
-use crate::record::Suspicion;
 
 /// Statements by the process that they are about.
 #[derive(Debug, Default)]
 pub struct Statements {
-    subjects: BTreeMap<SubjectId, Vec<Suspicion>>,
+    subjects: BTreeMap<SubjectId, Vec<Statement>>,
 }
 
 impl Statements {
@@ -25,7 +25,7 @@
     ///
     /// [`Refusal::Stale`], or [`Refusal::NotWatcher`] where its observer is not
     /// a watcher of the process.
-    pub fn merge(&mut self, new: Suspicion) -> Result<Vec<Suspicion>, Refusal> {
+    pub fn merge(&mut self, new: Statement) -> Result<Vec<Statement>, Refusal> {
         if !new.watchers.contains(&new.observer) {
             return Err(Refusal::NotWatcher);
         }
@@ -62,14 +62,14 @@
 
     /// Returns the statement of one watcher.
     #[must_use]
-    pub fn get(&self, subject: SubjectId, observer: SocketAddr) -> Option<&Suspicion> {
+    pub fn get(&self, subject: SubjectId, observer: SocketAddr) -> Option<&Statement> {
         let held = self.subjects.get(&subject)?;
         held.iter().find(|held| held.observer == observer)
     }
 
     /// Returns the statement that names the current watchers.
     #[must_use]
-    pub fn latest(&self, subject: SubjectId) -> Option<&Suspicion> {
+    pub fn latest(&self, subject: SubjectId) -> Option<&Statement> {
         latest(self.subjects.get(&subject)?)
     }
 
@@ -111,7 +111,7 @@
     }
 
     /// Removes all statements about a process and returns them.
-    pub fn remove(&mut self, subject: SubjectId) -> Vec<Suspicion> {
+    pub fn remove(&mut self, subject: SubjectId) -> Vec<Statement> {
         self.subjects.remove(&subject).unwrap_or_default()
     }
 
@@ -121,6 +121,6 @@
     }
 }
 
-fn latest(statements: &[Suspicion]) -> Option<&Suspicion> {
+fn latest(statements: &[Statement]) -> Option<&Statement> {
     statements.iter().max_by_key(|held| held.sequence)
 }
--- a/coordination/member/src/view.rs
+++ b/coordination/member/src/view.rs
@@ -114,7 +114,7 @@
             Some(held) if held.target.incarnation == target.incarnation => held.health,
             _ => Health::Up,
         };
-        self.put_member(Member { target, health });
+        self.set_member(Member { target, health });
         Ok(())
     }
 
@@ -124,7 +124,7 @@
             return false;
         };
         let target = held.target.clone();
-        self.put_member(Member { target, health });
+        self.set_member(Member { target, health });
         true
     }
 
@@ -176,7 +176,7 @@
 
     /// Inserts a member in place of the one with the same target id, even if
     /// that one is newer.
-    pub fn put_member(&mut self, member: Member) {
+    pub fn set_member(&mut self, member: Member) {
         let old = self.targets.get(&member.target.id).map_or(0, digest::of);
         self.replace_digest(old, digest::of(&member));
         self.targets.insert(member);
--- a/coordination/member/src/watches.rs
+++ b/coordination/member/src/watches.rs
@@ -102,12 +102,12 @@
         let mut due = Vec::new();
         for watch in self.watches.values_mut() {
             let silence = now.saturating_sub(watch.last_heard);
-            let pause = if silence > settings.silence + settings.settle {
-                settings.heartbeat * 4
+            let pause = if silence > settings.silence_timeout + settings.suspicion_delay {
+                settings.heartbeat_interval * 4
             } else {
-                settings.round
+                settings.round_interval
             };
-            if silence > settings.probe && now >= watch.last_probed + pause {
+            if silence > settings.probe_after && now >= watch.last_probed + pause {
                 watch.last_probed = now;
                 due.push(watch.address);
             }
--- a/coordination/member/src/zones.rs
+++ b/coordination/member/src/zones.rs
@@ -72,9 +72,11 @@
             return Err(Refusal::Stale);
         }
         let observer = new.observer;
-        let from = region(new.from);
+        let from = region(new.observer_zone);
         let mut replaced: Vec<Report> = reports.insert(observer, new).into_iter().collect();
-        let peers = reports.values().filter(|held| region(held.from) == from);
+        let peers = reports
+            .values()
+            .filter(|held| region(held.observer_zone) == from);
         let ranks: Vec<SocketAddr> = peers.map(|held| held.observer).collect();
         if ranks.len() > MAX_OBSERVERS {
             let last = ranks.into_iter().min_by_key(|peer| rank(zone, *peer));
@@ -120,7 +122,9 @@
         let mut changed = Vec::new();
         for (zone, reports) in &self.reports {
             let heard = reports.values().filter(|report| {
-                region(report.from) == scope.region && report.from != *zone && is_current(report)
+                region(report.observer_zone) == scope.region
+                    && report.observer_zone != *zone
+                    && is_current(report)
             });
             let tally = Tally::of(heard);
             if tally.silent == 0 {
@@ -170,7 +174,7 @@
             tally.silent += u32::from(report.silent);
             tally.watched += u32::from(report.watched);
             tally.reports += 1;
-            tally.zones.insert(report.from);
+            tally.zones.insert(report.observer_zone);
         }
         tally
     }
--- a/coordination/member/tests/cold.rs
+++ b/coordination/member/tests/cold.rs
@@ -109,7 +109,12 @@
     let mut actions = Vec::new();
     for number in 0..SERVICES {
         let from = entry(100 + number % 50);
-        held.handle(now, from, Message::Need(address(number)), &mut actions);
+        held.handle(
+            now,
+            from,
+            Message::PullService(address(number)),
+            &mut actions,
+        );
     }
     let status = held.status();
     assert!(!actions.is_empty());
--- a/coordination/member/tests/merge.rs
+++ b/coordination/member/tests/merge.rs
@@ -14,7 +14,7 @@
 use member::Settings;
 use member::message::Push;
 use member::record::Report;
-use member::record::Suspicion;
+use member::record::Statement;
 use member::record::report_key;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -52,10 +52,10 @@
     }
 }
 
-fn suspicion(subject: u8, observer: u8, sequence: u64, silent: bool) -> Suspicion {
+fn statement(subject: u8, observer: u8, sequence: u64, silent: bool) -> Statement {
     // Heartbeats from number 4 on name other watchers.
     let watchers = if sequence < 4 { 1..=3 } else { 2..=4 };
-    Suspicion {
+    Statement {
         subject: target(subject, 1, 2).id,
         incarnation: 2,
         observer: entry(observer),
@@ -81,23 +81,23 @@
             left,
         })
     });
-    let suspicions = (1..4_u8, 1..6_u8, 0..8_u64, any::<bool>()).prop_map(
+    let statements = (1..4_u8, 1..6_u8, 0..8_u64, any::<bool>()).prop_map(
         |(subject, observer, sequence, silent)| {
-            Record::Suspicion(suspicion(subject, observer, sequence, silent))
+            Record::Statement(statement(subject, observer, sequence, silent))
         },
     );
     let reports = (1..6_u8, 0..4_u32, 0..3_u16).prop_map(|(observer, version, silent)| {
         Record::Report(Report {
             zone: 2,
             observer: entry(observer),
-            from: 1,
+            observer_zone: 1,
             incarnation: 1,
             version,
             silent,
             watched: 3,
         })
     });
-    prop_oneof![services, targets, entries, suspicions, reports]
+    prop_oneof![services, targets, entries, statements, reports]
 }
 
 /// Returns the records without reports that have the key and version of an
@@ -230,7 +230,7 @@
     let report = |observer| Report {
         zone: 2,
         observer: entry(observer),
-        from: 1,
+        observer_zone: 1,
         incarnation: 1,
         version: 1,
         silent: 1,
--- a/coordination/member/tests/registry.rs
+++ b/coordination/member/tests/registry.rs
@@ -177,7 +177,12 @@
     let now = net.now;
     let mut actions = Vec::new();
     let agent = net.agents.get_mut(&agent(1)).unwrap();
-    agent.handle(now, entry(1), Message::Need(shared_service()), &mut actions);
+    agent.handle(
+        now,
+        entry(1),
+        Message::PullService(shared_service()),
+        &mut actions,
+    );
     assert_eq!(agent.status().refusals[&Refusal::Unexpected], 1);
     assert!(actions.is_empty());
 }
--- a/coordination/member/tests/zones.rs
+++ b/coordination/member/tests/zones.rs
@@ -135,7 +135,7 @@
         Record::Report(Report {
             zone: 0,
             observer: entry(number),
-            from: ZoneId::from(number % ZONES),
+            observer_zone: ZoneId::from(number % ZONES),
             incarnation: 1,
             version: 1,
             silent: 3,
@@ -152,10 +152,10 @@
         let held = net.entries.get_mut(&entry(1)).unwrap();
         held.handle(start, entry(2), Message::Push(push), &mut Vec::new());
         for round in 1..=12 {
-            let now = start + net.settings.round * round;
+            let now = start + net.settings.round_interval * round;
             held.tick(now, &mut Vec::new());
         }
-        net.now = start + net.settings.round * 12;
+        net.now = start + net.settings.round_interval * 12;
         net.entries[&entry(1)].status().lost_zones
     };
     assert_eq!(lost_zones(&mut net, &[1, 4, 7]), 0);
