--- a/coordination/member/src/registry.rs
+++ b/coordination/member/src/registry.rs
@@ -107,7 +107,8 @@
     next_expiry: Duration,
 }
 
-/// Values derived from the set of running entries, until that set changes.
+/// Values derived from the entries, cached until an entry or its liveness
+/// changes.
 #[derive(Debug, Default)]
 struct LiveSet {
     generation: Option<u64>,
--- a/coordination/member/tests/cold.rs
+++ b/coordination/member/tests/cold.rs
@@ -56,6 +56,9 @@
     view.is_some_and(|view| view.config.is_some() && view.targets.len() == usize::from(TARGETS))
 }
 
+/// An entry that starts while the store is unavailable needs the requested
+/// service soon. Transferring the whole directory first would delay it, and at
+/// once would exceed the budget.
 #[test]
 fn an_empty_entry_learns_a_requested_service_first_and_the_rest_within_its_budget() {
     let mut net = region(4, 2, 4);
@@ -85,6 +88,7 @@
     assert_eq!(digests, [digests[0]; 5]);
 }
 
+/// Requests for a service that no entry knows must not go on for ever.
 #[test]
 fn requests_for_an_unknown_service_are_bounded() {
     let mut net = region(3, 2, 3);
@@ -98,6 +102,7 @@
     assert!(net.entries[&entry(1)].service(&address(1)).is_none());
 }
 
+/// After a failure many entries may request services from one peer at once.
 #[test]
 fn replies_to_many_peers_at_once_stay_within_the_budget() {
     let mut net = region(1, 1, 1);
--- a/coordination/member/tests/failure.rs
+++ b/coordination/member/tests/failure.rs
@@ -51,6 +51,8 @@
     net.run_until(CONVERGENCE_TIME, |net| net.all_see(Health::Up, 4));
 }
 
+/// A target is watched from its first heartbeat on, so a failure right after it
+/// must be detected.
 #[test]
 fn a_target_that_fails_after_its_first_heartbeat_goes_down() {
     let mut net = region(3, 4, 3);
@@ -60,6 +62,8 @@
     net.run_until(CONVERGENCE_TIME, |net| net.all_see(Health::Down, 1));
 }
 
+/// A restarted entry has no statements about the target; if it did not learn
+/// them from its peers, the failed target would be up again.
 #[test]
 fn a_failed_target_stays_down_when_every_entry_restarts_in_turn() {
     let mut net = region(4, 5, 4);
@@ -75,6 +79,8 @@
     assert!(net.all_see(Health::Down, 1));
 }
 
+/// An entry that was frozen missed heartbeats, and must not take their senders
+/// for silent when it resumes.
 fn frozen_entries_take_no_target_down(frozen: &[u8]) {
     let mut net = region(7, 5, 4);
     let frozen: Vec<SocketAddr> = frozen.iter().map(|number| entry(*number)).collect();
@@ -90,6 +96,8 @@
     three_of_seven_frozen_entries_take_no_target_down: &[1, 2, 3],
 }
 
+/// Frozen watchers do not answer. The agent must find others, and the former
+/// watchers must not suspect its target when they resume.
 #[test]
 fn a_target_whose_watchers_all_freeze_stays_up() {
     let mut net = region(7, 5, 4);
@@ -103,6 +111,8 @@
     net.run_checked(MINUTE, assert_no_target_is_silent);
 }
 
+/// Watchers that resume discard the silences that they measured, but must still
+/// detect a failure from before.
 #[test]
 fn a_target_that_fails_while_its_watchers_are_frozen_goes_down_after_they_thaw() {
     let mut net = region(7, 5, 4);
@@ -116,6 +126,8 @@
     net.run_until(CONVERGENCE_TIME, |net| net.all_see(Health::Down, 1));
 }
 
+/// An entry that cannot receive sees the same as if everything that it watches
+/// had failed.
 #[test]
 fn an_entry_that_receives_nothing_doubts_itself_and_states_no_suspicion() {
     let mut net = region(5, 6, 4);
@@ -135,6 +147,8 @@
     net.run_checked(MINUTE, assert_no_target_is_silent);
 }
 
+/// Where most targets of a service are silent, the observers are more likely at
+/// fault, and callers must still find targets.
 #[test]
 fn never_more_than_half_of_a_service_is_down() {
     let mut net = region(4, 5, 5);
@@ -160,6 +174,8 @@
     net.run_checked(MINUTE, assert_no_target_is_silent);
 }
 
+/// Heartbeats from an address must not count for the target that used the
+/// address before.
 #[test]
 fn another_target_at_the_same_address_leaves_the_old_one_down() {
     let mut net = region(4, 5, 4);
@@ -219,6 +235,7 @@
     });
 }
 
+/// Without removal, targets that never return would stay in every directory.
 #[test]
 fn a_target_silent_for_the_retention_time_is_removed_everywhere() {
     let mut net = Net::default();
@@ -250,6 +267,8 @@
     );
 }
 
+/// No watcher is left to suspect the target, so the audit of another entry must
+/// find it.
 #[test]
 fn a_target_that_fails_with_all_its_watchers_goes_down() {
     let mut net = region(7, 5, 4);
@@ -271,6 +290,8 @@
     net.run_checked(MINUTE, |net| assert!(net.all_see(Health::Down, 1)));
 }
 
+/// The watchers of an entry may fail together with it, which leaves no majority
+/// of its watchers to suspect it.
 #[test]
 fn the_failure_of_most_entries_is_detected_by_the_others() {
     let mut net = region(5, 5, 4);
@@ -282,6 +303,8 @@
     net.run_checked(MINUTE, assert_no_target_is_silent);
 }
 
+/// Partitioned watchers hear nothing from the target, while the other entries
+/// still do.
 #[test]
 fn temporarily_partitioned_watchers_take_no_target_down() {
     let mut net = region(7, 5, 4);
--- a/coordination/member/tests/registry.rs
+++ b/coordination/member/tests/registry.rs
@@ -72,6 +72,8 @@
     a_configuration_larger_than_a_datagram_reaches_every_process: 20_000,
 }
 
+/// A peer that missed an update, or an older revision read from the store, must
+/// not replace the newer configuration.
 #[test]
 fn a_stale_peer_does_not_revert_a_configuration() {
     let mut net = region(4, 2, 4);
--- a/coordination/member/tests/zones.rs
+++ b/coordination/member/tests/zones.rs
@@ -58,6 +58,8 @@
     );
 }
 
+/// The loss of a zone must be handled by reports on the zone, since a suspicion
+/// for each of its processes would use up the budget.
 #[test]
 fn a_lost_zone_raises_no_suspicions_and_returns() {
     let mut net = region(ENTRIES, AGENTS, ZONES);
@@ -74,6 +76,8 @@
     assert_eq!(suspicions(&net), 0);
 }
 
+/// Processes of a lost zone that are still silent must not be suspected while
+/// others of the zone return.
 #[test]
 fn a_zone_that_returns_gradually_raises_no_suspicions() {
     let mut net = region(ENTRIES, AGENTS, ZONES);
@@ -128,6 +132,7 @@
     assert!(net.all_see(Health::Up, 12));
 }
 
+/// Observers in one zone may be cut off from another zone that is running.
 #[test]
 fn reports_from_one_zone_alone_do_not_mark_another_as_lost() {
     let mut net = region(ENTRIES, 1, ZONES);
@@ -206,6 +211,8 @@
     held.put(now, service);
 }
 
+/// A partition between regions is expected to be shorter than the retention
+/// time, so it must not remove any record.
 #[test]
 fn regions_partitioned_for_an_hour_keep_all_records_and_agree_afterwards() {
     let mut net = regions();
