--- a/coordination/member/src/registry/heartbeat.rs
+++ b/coordination/member/src/registry/heartbeat.rs
@@ -39,7 +39,7 @@
 const REMOTE_OBSERVERS: usize = 2;
 
 /// Largest number of processes whose chosen watchers are cached.
-const MAX_CHOICES: usize = 4_096;
+const MAX_CACHED_CHOICES: usize = 4_096;
 
 /// Properties that both kinds of subjects have in common.
 struct Sender {
@@ -171,7 +171,7 @@
         if sender.service.is_none() {
             return Vec::new();
         }
-        if self.live_set.chosen_watchers.len() >= MAX_CHOICES {
+        if self.live_set.chosen_watchers.len() >= MAX_CACHED_CHOICES {
             self.live_set.chosen_watchers.clear();
         }
         let count = self.settings.watchers + SPARE_WATCHERS;
--- a/coordination/member/src/status.rs
+++ b/coordination/member/src/status.rs
@@ -4,7 +4,7 @@
 /// Reason why received data was refused, or a message was not sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Refusal {
-    /// Heartbeat whose number was seen before.
+    /// Heartbeat whose number is not larger than the last one.
     Replay,
     /// Statement about, or by, a process that has a newer incarnation.
     OldIncarnation,
