--- a/coordination/member/src/registry/repair.rs
+++ b/coordination/member/src/registry/anti_entropy.rs
@@ -1,5 +1,5 @@
 //! Anti-entropy: two entries compare digests, descend only where they differ,
-//! and exchange the records of those leaves.
+//! and exchange the records of the differing leaves.
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,63 +10,64 @@
 use crate::Action;
 use crate::Message;
 use crate::Refusal;
-use crate::digest::half;
+use crate::digest::lower_half;
 use crate::message::Compare;
-use crate::message::Item;
 use crate::message::Leaf;
+use crate::message::RecordDigest;
 use crate::record::Key;
 use crate::tree::BRANCHES;
 use crate::tree::LEAF_LEVEL;
 use crate::tree::Node;
 
-/// Services that may be asked for at a time.
+/// Largest number of services that are requested at a time.
 pub const MAX_NEEDS: usize = 1_024;
 
-/// Times that peers are asked for a service.
-const MAX_TRIES: u32 = 8;
+/// Largest number of requests to peers for one service.
+const MAX_NEED_TRIES: u32 = 8;
 
-/// Peers that are asked for a service at a time.
+/// Number of peers that a service is requested from at a time.
 const ASKED_PEERS: usize = 2;
 
-/// Differing branches that one comparison follows.
+/// Largest number of differing branches that one comparison follows.
 const MAX_BRANCHES: usize = 4;
 
-/// Differing leaves that one comparison lists.
+/// Largest number of differing leaves that one comparison lists.
 const MAX_LEAVES: usize = 8;
 
-/// Records that one message lists.
-const MAX_ITEMS: usize = 64;
+/// Largest number of records that one message lists.
+const MAX_LISTED_RECORDS: usize = 64;
 
-/// One in this many comparisons goes to an entry named at the start, so that
-/// parts that lost each other meet again.
+/// One in this many comparisons goes to a seed, so that partitions which lost
+/// contact find each other again.
 const SEED_ONE_IN: usize = 10;
 
 impl Registry {
     /// Starts a comparison with a peer when it is due.
     pub(super) fn compare_if_due(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        if now < self.next_compare || !self.link.may_ask() || !self.link.may_send() {
+        if now < self.next_compare || !self.link.may_request() || !self.link.may_send() {
             return;
         }
         let interval = if self.is_behind {
-            self.settings.round
+            self.settings.round_interval
         } else {
-            self.settings.compare
+            self.settings.compare_interval
         };
         self.is_behind = false;
         self.next_compare = now + interval;
         let seed = self.rng.choice(&self.seeds).copied();
-        let peer = match self.fleet.peers.one(&mut self.rng) {
+        let peer = match self.live_set.peers.choose_one(&mut self.rng) {
             Some(peer) if self.rng.usize(..SEED_ONE_IN) > 0 => Some(peer),
             peer => seed.or(peer),
         };
         if let Some(peer) = peer {
-            let message = self.digests(Node::ROOT);
+            let message = self.compare_message(Node::ROOT);
             self.link.send(peer, message, actions);
         }
     }
 
-    /// Answers the digests of a peer with those below, or with its leaves.
-    pub(super) fn compare(
+    /// Answers the digests of a peer with those of the differing children, or
+    /// with the records of the differing leaves.
+    pub(super) fn receive_compare(
         &mut self,
         from: SocketAddr,
         compare: &Compare,
@@ -87,8 +88,8 @@
         };
         for child in children.into_iter().take(limit) {
             let messages = match child.level {
-                LEAF_LEVEL => self.leaves(child),
-                _ => vec![self.digests(child)],
+                LEAF_LEVEL => self.leaf_messages(child),
+                _ => vec![self.compare_message(child)],
             };
             for message in messages {
                 self.link.send_bulk(from, message, actions);
@@ -97,98 +98,111 @@
     }
 
     /// Exchanges the records in which two leaves differ.
-    pub(super) fn leaf(&mut self, from: SocketAddr, leaf: &Leaf, actions: &mut Vec<Action>) {
-        if leaf.first > leaf.last || leaf.items.len() > MAX_ITEMS {
+    pub(super) fn receive_leaf(
+        &mut self,
+        from: SocketAddr,
+        leaf: &Leaf,
+        actions: &mut Vec<Action>,
+    ) {
+        if leaf.first > leaf.last || leaf.records.len() > MAX_LISTED_RECORDS {
             return self.link.refuse(Refusal::Malformed);
         }
         let own: BTreeMap<Key, u32> = self
             .directory
             .range(leaf.first, leaf.last)
-            .map(|(key, digest)| (key, half(digest)))
+            .map(|(key, digest)| (key, lower_half(digest)))
             .collect();
         let theirs: BTreeMap<Key, u32> = leaf
-            .items
+            .records
             .iter()
-            .map(|item| (item.key, item.digest))
+            .map(|record| (record.key, record.digest))
             .collect();
         let lacking = |from: &BTreeMap<Key, u32>, to: &BTreeMap<Key, u32>| -> Vec<Key> {
             let differing = from
                 .iter()
                 .filter(|(key, digest)| to.get(key) != Some(digest));
-            differing.map(|(key, _)| *key).take(MAX_ITEMS).collect()
+            differing
+                .map(|(key, _)| *key)
+                .take(MAX_LISTED_RECORDS)
+                .collect()
         };
         let wanted = lacking(&theirs, &own);
         let offered = lacking(&own, &theirs);
         self.is_behind |= !wanted.is_empty();
-        self.ask(from, wanted, actions);
-        self.pull(from, &offered, actions);
+        self.request_records(from, wanted, actions);
+        self.send_requested(from, &offered, actions);
     }
 
-    /// Asks a peer for records, but for those that a peer was asked for just
-    /// before.
-    fn ask(&mut self, from: SocketAddr, mut keys: Vec<Key>, actions: &mut Vec<Action>) {
-        keys.retain(|key| !self.asked.contains(key));
-        if keys.is_empty() || !self.link.may_ask() {
+    /// Requests records from a peer, except those that were requested recently.
+    fn request_records(&mut self, from: SocketAddr, mut keys: Vec<Key>, actions: &mut Vec<Action>) {
+        keys.retain(|key| !self.requested_keys.contains(key));
+        if keys.is_empty() || !self.link.may_request() {
             return;
         }
         if self
             .link
             .send_bulk(from, Message::Pull(keys.clone()), actions)
         {
-            self.asked.extend(keys);
+            self.requested_keys.extend(keys);
         }
     }
 
-    /// Lets records be asked for again.
-    pub(super) fn forget_asked(&mut self, now: Duration) {
-        if now >= self.next_ask {
-            self.next_ask = now + self.settings.compare;
-            self.asked.clear();
+    /// Allows records to be requested again, once in each comparison interval.
+    pub(super) fn reset_requested(&mut self, now: Duration) {
+        if now >= self.next_request_reset {
+            self.next_request_reset = now + self.settings.compare_interval;
+            self.requested_keys.clear();
         }
     }
 
-    /// Sends the records that a peer asked for.
-    pub(super) fn pull(&mut self, from: SocketAddr, keys: &[Key], actions: &mut Vec<Action>) {
-        let known = keys.iter().take(MAX_ITEMS);
+    /// Sends the records that a peer requested.
+    pub(super) fn send_requested(
+        &mut self,
+        from: SocketAddr,
+        keys: &[Key],
+        actions: &mut Vec<Action>,
+    ) {
+        let known = keys.iter().take(MAX_LISTED_RECORDS);
         let records = known
             .filter_map(|key| self.directory.record(*key))
             .collect();
         self.send_records(from, records, actions);
     }
 
-    /// Asks peers for the services that are needed.
-    pub(super) fn ask_needs(&mut self, now: Duration, actions: &mut Vec<Action>) {
+    /// Requests the needed services from peers.
+    pub(super) fn request_needed_services(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let directory = &self.directory;
         self.needs.retain(|address, need| {
             let view = directory.view(address);
-            need.tries < MAX_TRIES && view.is_none_or(|view| view.config.is_none())
+            need.tries < MAX_NEED_TRIES && view.is_none_or(|view| view.config.is_none())
         });
         let mut due = Vec::new();
         for (address, need) in &mut self.needs {
             if now >= need.next {
                 need.tries += 1;
-                need.next = now + self.settings.round * need.tries;
+                need.next = now + self.settings.round_interval * need.tries;
                 due.push(*address);
             }
         }
         if due.is_empty() {
             return;
         }
-        let mut peers = self.fleet.peers.choose(ASKED_PEERS, &mut self.rng);
+        let mut peers = self.live_set.peers.choose(ASKED_PEERS, &mut self.rng);
         if peers.is_empty() {
             peers.clone_from(&self.seeds);
             peers.truncate(ASKED_PEERS);
         }
         for address in due {
             for peer in &peers {
-                self.link.send(*peer, Message::Need(address), actions);
+                self.link
+                    .send(*peer, Message::PullService(address), actions);
             }
             self.asked_peers.extend(&peers);
         }
     }
 
-    /// Sends everything about a service.
-    pub(super) fn needed(
+    /// Sends all records of a service.
+    pub(super) fn send_service_records(
         &mut self,
         from: SocketAddr,
         address: ServiceAddress,
@@ -202,42 +216,42 @@
         self.send_records(from, records, actions);
     }
 
-    fn digests(&self, node: Node) -> Message {
+    fn compare_message(&self, node: Node) -> Message {
         Message::Compare(Compare {
             node,
             digests: self.directory.tree().children(node).to_vec(),
         })
     }
 
-    /// Lists the records of a leaf, in as many messages as they need.
-    fn leaves(&self, node: Node) -> Vec<Message> {
-        let items: Vec<Item> = self
+    /// Returns the messages that list the records of a leaf.
+    fn leaf_messages(&self, node: Node) -> Vec<Message> {
+        let records: Vec<RecordDigest> = self
             .directory
             .range(node.first(), node.last())
-            .map(|(key, digest)| Item {
+            .map(|(key, digest)| RecordDigest {
                 key,
-                digest: half(digest),
+                digest: lower_half(digest),
             })
             .collect();
-        if items.is_empty() {
+        if records.is_empty() {
             return vec![Message::Leaf(Leaf {
                 first: node.first(),
                 last: node.last(),
-                items,
+                records,
             })];
         }
         let mut first = node.first();
         let mut messages = Vec::new();
-        let count = items.len().div_ceil(MAX_ITEMS);
-        for (number, chunk) in (1..).zip(items.chunks(MAX_ITEMS)) {
+        let count = records.len().div_ceil(MAX_LISTED_RECORDS);
+        for (number, chunk) in (1..).zip(records.chunks(MAX_LISTED_RECORDS)) {
             let last = match chunk.last() {
-                Some(item) if number < count => item.key,
+                Some(record) if number < count => record.key,
                 _ => node.last(),
             };
             messages.push(Message::Leaf(Leaf {
                 first,
                 last,
-                items: chunk.to_vec(),
+                records: chunk.to_vec(),
             }));
             first = last.saturating_add(1);
         }
--- a/coordination/member/src/statements.rs
+++ b/coordination/member/src/statements.rs
@@ -1,37 +1,39 @@
-//! The statements of watchers, and whether a majority suspects a process.
+//! Statements of watchers, and whether a majority suspects a process.
 //!
 //! The statement with the largest heartbeat number names the watchers of a
-//! process; statements of others are not kept. So what is kept does not depend
-//! on the order in which statements arrive.
+//! process; statements of other entries are not kept. The kept statements
+//! therefore do not depend on the order of arrival.
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use crate::Refusal;
 use crate::message::Sequence;
+use crate::record::Statement;
 use crate::record::SubjectId;
-use crate::record::Suspicion;
 
 /// Statements by the process that they are about.
 #[derive(Debug, Default)]
 pub struct Statements {
-    subjects: BTreeMap<SubjectId, Vec<Suspicion>>,
+    subjects: BTreeMap<SubjectId, Vec<Statement>>,
 }
 
 impl Statements {
-    /// Takes a statement where it is newer; the statements that it replaces.
+    /// Merges a statement if it is newer; returns the statements that it
+    /// replaces.
     ///
     /// # Errors
     ///
-    /// [`Refusal::Stale`] or [`Refusal::NotWatcher`].
-    pub fn merge(&mut self, new: Suspicion) -> Result<Vec<Suspicion>, Refusal> {
+    /// [`Refusal::Stale`], or [`Refusal::NotWatcher`] where its observer is not
+    /// a watcher of the process.
+    pub fn merge(&mut self, new: Statement) -> Result<Vec<Statement>, Refusal> {
         if !new.watchers.contains(&new.observer) {
             return Err(Refusal::NotWatcher);
         }
         let subject = new.subject;
-        match (self.get(subject, new.observer), self.governing(subject)) {
+        match (self.get(subject, new.observer), self.latest(subject)) {
             (Some(held), _) if held.stamp() >= new.stamp() => return Err(Refusal::Stale),
-            (_, Some(rule))
-                if rule.sequence >= new.sequence && !rule.watchers.contains(&new.observer) =>
+            (_, Some(latest))
+                if latest.sequence >= new.sequence && !latest.watchers.contains(&new.observer) =>
             {
                 return Err(Refusal::NotWatcher);
             }
@@ -40,7 +42,7 @@
         let observer = new.observer;
         let held = self.subjects.entry(subject).or_default();
         held.push(new);
-        let Some(watchers) = governing(held).map(|rule| rule.watchers.clone()) else {
+        let Some(watchers) = latest(held).map(|latest| latest.watchers.clone()) else {
             return Ok(Vec::new());
         };
         let newest = held.len() - 1;
@@ -58,31 +60,32 @@
         Ok(replaced)
     }
 
-    /// The statement of one watcher.
+    /// Returns the statement of one watcher.
     #[must_use]
-    pub fn get(&self, subject: SubjectId, observer: SocketAddr) -> Option<&Suspicion> {
+    pub fn get(&self, subject: SubjectId, observer: SocketAddr) -> Option<&Statement> {
         let held = self.subjects.get(&subject)?;
         held.iter().find(|held| held.observer == observer)
     }
 
-    /// The statement that names the watchers.
+    /// Returns the statement that names the current watchers.
     #[must_use]
-    pub fn governing(&self, subject: SubjectId) -> Option<&Suspicion> {
-        governing(self.subjects.get(&subject)?)
+    pub fn latest(&self, subject: SubjectId) -> Option<&Statement> {
+        latest(self.subjects.get(&subject)?)
     }
 
-    /// Last heartbeat after which some watcher suspects the process.
+    /// Returns the number of the last heartbeat after which some watcher
+    /// suspects the process.
     #[must_use]
-    pub fn suspected(&self, subject: SubjectId) -> Option<Sequence> {
+    pub fn suspected_after(&self, subject: SubjectId) -> Option<Sequence> {
         let held = self.subjects.get(&subject)?.iter();
         let silent = held.filter(|held| held.silent);
         silent.map(|held| held.sequence).max()
     }
 
-    /// True where a majority suspects the process. Those count against it that
-    /// suspect it, and for it the running watchers that stated to have heard a
-    /// later heartbeat. While they may still do so, the other running watchers
-    /// count for it too.
+    /// Returns whether a majority suspects the process. Watchers that suspect
+    /// it count against it. Running watchers that stated to have heard a later
+    /// heartbeat count for it, and so do the other running watchers as long as
+    /// `may_answer` is true.
     #[must_use]
     pub fn is_silent(
         &self,
@@ -90,34 +93,34 @@
         may_answer: bool,
         is_live: impl Fn(SocketAddr) -> bool,
     ) -> bool {
-        let (Some(rule), Some(suspected)) = (self.governing(subject), self.suspected(subject))
+        let (Some(latest), Some(suspected)) = (self.latest(subject), self.suspected_after(subject))
         else {
             return false;
         };
-        let mut against = 0;
-        let mut others = 0;
-        for watcher in rule.watchers.iter().copied() {
+        let mut suspecting = 0;
+        let mut supporting = 0;
+        for watcher in latest.watchers.iter().copied() {
             match self.get(subject, watcher) {
-                Some(held) if held.silent => against += 1,
-                Some(held) if held.sequence > suspected && is_live(watcher) => others += 1,
-                _ if may_answer && is_live(watcher) => others += 1,
+                Some(held) if held.silent => suspecting += 1,
+                Some(held) if held.sequence > suspected && is_live(watcher) => supporting += 1,
+                _ if may_answer && is_live(watcher) => supporting += 1,
                 _ => {}
             }
         }
-        against > others
+        suspecting > supporting
     }
 
-    /// Forgets all statements about a process.
-    pub fn remove(&mut self, subject: SubjectId) -> Vec<Suspicion> {
+    /// Removes all statements about a process and returns them.
+    pub fn remove(&mut self, subject: SubjectId) -> Vec<Statement> {
         self.subjects.remove(&subject).unwrap_or_default()
     }
 
-    /// The processes that statements are about.
+    /// Returns the processes that statements are about.
     pub fn subjects(&self) -> impl Iterator<Item = SubjectId> {
         self.subjects.keys().copied()
     }
 }
 
-fn governing(statements: &[Suspicion]) -> Option<&Suspicion> {
+fn latest(statements: &[Statement]) -> Option<&Statement> {
     statements.iter().max_by_key(|held| held.sequence)
 }
