--- a/roles/entry/src/router.rs
+++ b/roles/entry/src/router.rs
@@ -25,14 +25,14 @@
 use crate::Step;
 
 /// Number of agents on the path of a packet that continues a flow.
-const CONTINUE_PATH: usize = 3;
+const CONTINUE_PATH_LENGTH: usize = 3;
 
 /// Repeats of an open or request that still start at the first agent.
-const PATIENT_ATTEMPTS: u32 = 2;
+const FIRST_AGENT_ATTEMPTS: u32 = 2;
 
 /// Milliseconds after which a caller may ask again for an unknown service or
 /// one without targets.
-const EMPTY_RETRY_MS: u32 = 1_000;
+const RETRY_AFTER_MS: u32 = 1_000;
 
 /// An immutable snapshot of all services, shared by the traffic threads.
 ///
@@ -45,7 +45,7 @@
 }
 
 /// What the entry reads of a caller's packet.
-struct Opening {
+struct Header {
     flow: FlowKey,
     request: RequestId,
     kind: Kind,
@@ -95,9 +95,9 @@
     /// send their replies to.
     #[must_use]
     pub fn route(&self, sprayed: Sprayed, entry: SocketAddr) -> Step {
-        let opening = match read(sprayed.packet.clone()) {
+        let opening = match parse(sprayed.packet.clone()) {
             Ok(opening) => opening,
-            Err(reason) => return unreadable(&sprayed, reason),
+            Err(reason) => return reject_unreadable(&sprayed, reason),
         };
         let service = match self.services.get(&sprayed.service) {
             Some(service) => service,
@@ -137,7 +137,7 @@
 /// Ranks the agents of a service for a packet.
 ///
 /// A token leads to its holder; the agents know the rest of the order.
-fn rank(service: &Service, opening: &Opening) -> Ranking {
+fn rank(service: &Service, opening: &Header) -> Ranking {
     let order = service.order();
     let holder = opening
         .holder
@@ -148,11 +148,11 @@
             .open(opening.flow, service.hunt)
             .map(Target::hop)
             .collect(),
-        (Kind::Continue, Some(_)) if opening.attempt < PATIENT_ATTEMPTS => {
+        (Kind::Continue, Some(_)) if opening.attempt < FIRST_AGENT_ATTEMPTS => {
             order.top(opening.flow, 1).map(Target::hop).collect()
         }
         (Kind::Continue, _) => order
-            .top(opening.flow, CONTINUE_PATH)
+            .top(opening.flow, CONTINUE_PATH_LENGTH)
             .map(Target::hop)
             .collect(),
     };
@@ -160,7 +160,7 @@
         Kind::Open if order.has_closed() => order.top(opening.flow, 1).next().map(Target::hop),
         Kind::Open | Kind::Continue => path.first().copied(),
     };
-    skip_silent(&mut path, opening.attempt);
+    skip_unresponsive(&mut path, opening.attempt);
     if let Some(holder) = holder {
         path.retain(|hop| hop.target != holder.target);
         path.insert(0, holder);
@@ -170,21 +170,21 @@
 
 /// Lets late repeats start further along the path, because the first agent may
 /// be dead and not yet known to be.
-fn skip_silent(path: &mut [Hop], attempt: u32) {
-    let skip = attempt.saturating_sub(PATIENT_ATTEMPTS - 1) as usize;
+fn skip_unresponsive(path: &mut [Hop], attempt: u32) {
+    let skip = attempt.saturating_sub(FIRST_AGENT_ATTEMPTS - 1) as usize;
     if let length @ 2.. = path.len() {
         path.rotate_left(skip % length);
     }
 }
 
-fn read(packet: Bytes) -> Result<Opening, Drop> {
+fn parse(packet: Bytes) -> Result<Header, Drop> {
     let packet = Packet::from_bytes(packet).map_err(|error| match error {
         caller::Error::Malformed => Drop::Malformed,
         caller::Error::Version => Drop::Version,
         caller::Error::TooLarge => Drop::TooLarge,
     })?;
     let flow = packet.flow;
-    let carry_on = |request, attempt, holder: &Bytes| Opening {
+    let carry_on = |request, attempt, holder: &Bytes| Header {
         flow,
         request,
         kind: Kind::Continue,
@@ -192,7 +192,7 @@
         holder: Token::from_bytes(holder),
     };
     match packet.body.ok_or(Drop::Malformed)? {
-        Body::Open(open) => Ok(Opening {
+        Body::Open(open) => Ok(Header {
             flow,
             request: 0,
             kind: Kind::Open,
@@ -211,7 +211,7 @@
 
 /// A packet that could not be read is answered only where the sender can match
 /// the answer to a flow.
-fn unreadable(sprayed: &Sprayed, reason: Drop) -> Step {
+fn reject_unreadable(sprayed: &Sprayed, reason: Drop) -> Step {
     let answer = match reason {
         Drop::Version => Reason::BadVersion,
         Drop::TooLarge => Reason::TooLarge,
@@ -229,7 +229,7 @@
 ///
 /// A first copy may have been relayed by another entry, so that only an open
 /// is known not to have run.
-fn refuse(sprayed: &Sprayed, opening: &Opening, reason: Reason, drop: Drop) -> Step {
+fn refuse(sprayed: &Sprayed, opening: &Header, reason: Reason, drop: Drop) -> Step {
     let outcome = match opening.kind {
         Kind::Open => Outcome::NotRun,
         Kind::Continue => Outcome::Unknown,
@@ -239,7 +239,7 @@
         opening.request,
         reason,
         outcome,
-        jitter(opening.flow),
+        retry_after_ms(opening.flow),
     );
     reply(sprayed, &packet, drop)
 }
@@ -256,7 +256,7 @@
 }
 
 /// Spreads the return of refused callers over one further interval.
-fn jitter(flow: FlowKey) -> u32 {
-    let spread = flow % u64::from(EMPTY_RETRY_MS);
-    EMPTY_RETRY_MS + u32::try_from(spread).unwrap_or(0)
+fn retry_after_ms(flow: FlowKey) -> u32 {
+    let spread = flow % u64::from(RETRY_AFTER_MS);
+    RETRY_AFTER_MS + u32::try_from(spread).unwrap_or(0)
 }
--- a/roles/forward/examples/cost.rs
+++ b/roles/forward/examples/cost.rs
@@ -88,7 +88,7 @@
 fn sidecar() {
     let settings = agent::Settings {
         max_flows: FLOWS as usize,
-        queue: u16::MAX - 2,
+        max_queued: u16::MAX - 2,
         ..agent::Settings::default()
     };
     let mut core = Agent::new(settings, hop(1), false, Duration::ZERO);
--- a/roles/forward/src/agent.rs
+++ b/roles/forward/src/agent.rs
@@ -5,15 +5,15 @@
 //! An agent that has just started relies on that: it delivers one packet of a
 //! flow that it does not know and learns from what comes back.
 mod action;
+mod admission;
 mod backend;
 mod bid;
+mod expiring_map;
 mod flow;
-mod memory;
-mod opening;
-mod query;
+mod lookup;
+mod search;
 mod server;
 mod settings;
-mod unknown;
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -41,14 +41,14 @@
 pub use backend::Backend;
 pub use backend::State;
 pub use bid::Bid;
+use expiring_map::ExpiringMap;
 use flow::Flow;
 use flow::Progress;
-use memory::Memory;
-pub use query::Peers;
-use query::Query;
+use lookup::reset_ended;
+use lookup::send_absent;
+pub use search::Peers;
+use search::PendingSearch;
 pub use settings::Settings;
-use unknown::ended;
-use unknown::not_here;
 
 /// What happens to an agent.
 #[derive(Clone, Debug)]
@@ -107,30 +107,30 @@
 pub struct Agent {
     settings: Settings,
     own: Hop,
-    started: Duration,
+    started_at: Duration,
     /// Whether the backend server may hold flows from before this process.
-    has_past: bool,
+    may_hold_prior_flows: bool,
     backend: Option<Backend>,
-    heard: Duration,
+    last_announced: Duration,
     /// When the start of the backend server was first heard of, and the longest
     /// time for which it can have run then.
-    first_heard: Duration,
-    age_then: Duration,
+    first_announced: Duration,
+    max_age_at_first: Duration,
     /// When the backend server was first sent an opening packet that it has not
     /// reacted to.
-    unanswered: Option<Duration>,
+    unanswered_since: Option<Duration>,
     is_stopping: bool,
     occupancy: Occupancy,
-    held: Held,
+    held_load: Held,
     risk: Risk,
     flows: HashMap<FlowId, Flow>,
-    passed: Memory<Open>,
-    probes: Memory<Probe>,
-    absent: Memory<()>,
-    dead: Memory<()>,
+    passed_flows: ExpiringMap<Open>,
+    probes: ExpiringMap<Probe>,
+    flows_not_held: ExpiringMap<()>,
+    ended_flows: ExpiringMap<()>,
     peers: Peers,
-    queries: HashMap<FlowId, Query>,
-    next_sweep: Duration,
+    searches: HashMap<FlowId, PendingSearch>,
+    next_sweep_at: Duration,
 }
 
 /// A packet delivered to learn whether the backend server holds its flow.
@@ -139,9 +139,9 @@
     entry: SocketAddr,
     /// Who is told that the flow is not held: the entry, or an agent that
     /// searches.
-    asker: SocketAddr,
-    at: Duration,
-    tries: u8,
+    reply_to: SocketAddr,
+    sent_at: Duration,
+    count: u8,
 }
 
 /// Number of the first announcement of a backend server. Who hears it knows of
@@ -150,7 +150,7 @@
 
 /// Packets of one unknown flow that the backend server is given to learn whether
 /// it holds the flow.
-const MAX_TRIES: u8 = 2;
+const MAX_PROBES: u8 = 2;
 
 impl Agent {
     /// Starts without a backend server. `has_past` is false where no process
@@ -159,25 +159,25 @@
     pub fn new(settings: Settings, own: Hop, has_past: bool, now: Duration) -> Self {
         Self {
             own,
-            started: now,
-            has_past,
+            started_at: now,
+            may_hold_prior_flows: has_past,
             backend: None,
-            heard: now,
-            first_heard: now,
-            age_then: Duration::ZERO,
-            unanswered: None,
+            last_announced: now,
+            first_announced: now,
+            max_age_at_first: Duration::ZERO,
+            unanswered_since: None,
             is_stopping: false,
-            occupancy: Occupancy::new(settings.assumed_slots, settings.service_time),
-            held: Held::new(settings.held, now),
+            occupancy: Occupancy::new(settings.initial_slots, settings.initial_service_time),
+            held_load: Held::new(settings.held_load, now),
             risk: Risk::new(settings.risk, now),
             flows: HashMap::new(),
-            passed: Memory::new(settings.linger),
-            probes: Memory::new(settings.oldest_flow),
-            absent: Memory::new(settings.oldest_flow),
-            dead: Memory::new(settings.oldest_flow),
+            passed_flows: ExpiringMap::new(settings.linger),
+            probes: ExpiringMap::new(settings.oldest_flow),
+            flows_not_held: ExpiringMap::new(settings.oldest_flow),
+            ended_flows: ExpiringMap::new(settings.oldest_flow),
             peers: Peers::default(),
-            queries: HashMap::new(),
-            next_sweep: now + settings.sweep,
+            searches: HashMap::new(),
+            next_sweep_at: now + settings.sweep_interval,
             settings,
         }
     }
@@ -185,27 +185,27 @@
     /// Takes an event.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::Open { open, segment } => self.open(now, open, segment, actions),
-            Event::Carry { carry, segment } => self.carry(now, carry, segment, actions),
-            Event::Search { search, segment } => self.search(now, search, segment, actions),
-            Event::Seek { seek, segment } => self.seek(now, seek, segment, actions),
-            Event::Denied(absent) => self.denied(now, &absent, actions),
+            Event::Open { open, segment } => self.handle_open(now, open, segment, actions),
+            Event::Carry { carry, segment } => self.handle_carry(now, carry, segment, actions),
+            Event::Search { search, segment } => self.handle_search(now, search, segment, actions),
+            Event::Seek { seek, segment } => self.handle_seek(now, seek, segment, actions),
+            Event::Denied(absent) => self.record_peer_denial(now, &absent, actions),
             Event::Peers(peers) => self.peers = peers,
             Event::Server { segment, packet } if segment.is_returned => {
-                self.unanswered = None;
-                self.returned(now, segment, packet, actions);
+                self.unanswered_since = None;
+                self.handle_returned(now, segment, packet, actions);
             }
             Event::Server { segment, packet } => {
-                self.unanswered = None;
-                self.sent(now, segment, packet, actions);
+                self.unanswered_since = None;
+                self.handle_sent(now, segment, packet, actions);
             }
-            Event::Backend(backend) => self.state(now, backend, actions),
-            Event::Gone => self.gone(now, actions),
+            Event::Backend(backend) => self.handle_announcement(now, backend, actions),
+            Event::Gone => self.end_server(now, actions),
             Event::Stop => self.is_stopping = true,
             Event::Tick => {}
         }
-        if now >= self.next_sweep {
-            self.next_sweep = now + self.settings.sweep;
+        if now >= self.next_sweep_at {
+            self.next_sweep_at = now + self.settings.sweep_interval;
             self.sweep(now, actions);
         }
     }
@@ -214,13 +214,15 @@
     #[must_use]
     pub fn closed(&self, now: Duration) -> Option<Closed> {
         let settings = &self.settings;
-        let most = self.occupancy.slots() + settings.queue;
-        let mute = self.unanswered.map(|since| since + settings.mute);
+        let most = self.occupancy.slots() + settings.max_queued;
+        let mute = self
+            .unanswered_since
+            .map(|since| since + settings.reaction_timeout);
         match &self.backend {
             _ if self.is_stopping => Some(Closed::Stopping),
             None if !self.assumes_ready(now) => Some(Closed::Unknown),
             Some(backend) if backend.state != State::Ready => Some(Closed::NotReady),
-            Some(_) if now >= self.heard + settings.silence => Some(Closed::Silent),
+            Some(_) if now >= self.last_announced + settings.silence => Some(Closed::Silent),
             _ if mute.is_some_and(|mute| now >= mute) => Some(Closed::Mute),
             _ if self.flows.len() >= settings.max_flows => Some(Closed::Flows),
             _ if self.occupancy.running() >= most => Some(Closed::Queue),
@@ -232,7 +234,7 @@
     /// itself to this process: one that lives beside a process that was killed
     /// serves on.
     fn assumes_ready(&self, now: Duration) -> bool {
-        self.has_past && now < self.started + self.settings.assumed
+        self.may_hold_prior_flows && now < self.started_at + self.settings.assumed
     }
 
     /// Whether the backend server is ready and was heard of lately.
@@ -272,7 +274,7 @@
     #[must_use]
     pub fn load(&self, now: Duration) -> transit::Load {
         let own = self.occupancy.load();
-        let held = self.held.bid(now, own.rate());
+        let held = self.held_load.bid(now, own.rate());
         let micros = |time: Duration| u32::try_from(time.as_micros()).unwrap_or(u32::MAX);
         transit::Load {
             held_us: micros(held),
@@ -282,26 +284,32 @@
     }
 
     /// Takes a packet that an entry believes to belong here.
-    fn carry(&mut self, now: Duration, carry: Carry, segment: Segment, actions: &mut Vec<Action>) {
+    fn handle_carry(
+        &mut self,
+        now: Duration,
+        carry: Carry,
+        segment: Segment,
+        actions: &mut Vec<Action>,
+    ) {
         let flow = segment.from_caller();
         if carry.target != self.own.target {
-            return not_here(flow, carry, &segment, None, actions);
+            return send_absent(flow, carry, &segment, None, actions);
         }
         if self.flows.contains_key(&flow) {
             return self.deliver(now, flow, carry, segment, actions);
         }
-        if let Some(open) = self.passed.get(now, &flow) {
+        if let Some(open) = self.passed_flows.get(now, &flow) {
             let to = open.path[usize::from(open.position)];
-            return follow(flow, to, carry, actions);
+            return forward_to_next_holder(flow, to, carry, actions);
         }
-        if self.dead.get(now, &flow).is_some() {
-            return ended(flow, &segment, actions);
+        if self.ended_flows.get(now, &flow).is_some() {
+            return reset_ended(flow, &segment, actions);
         }
         if self.may_hold(now, &flow) {
             let asker = carry.entry;
             return self.probe(now, flow, carry, asker, actions);
         }
-        not_here(flow, carry, &segment, self.evidence(now), actions);
+        send_absent(flow, carry, &segment, self.evidence(now), actions);
     }
 
     /// Delivers a packet of a flow that is held.
@@ -317,14 +325,14 @@
             return;
         };
         held.entry = Some(carry.entry);
-        if held.is_elsewhere(&segment) {
+        if held.is_accepted_elsewhere(&segment) {
             held.end_request(now, &mut self.occupancy);
             self.flows.remove(&flow);
-            self.absent.insert(now, flow, ());
-            return not_here(flow, carry, &segment, None, actions);
+            self.flows_not_held.insert(now, flow, ());
+            return send_absent(flow, carry, &segment, None, actions);
         }
-        match held.caller_sent(now, &segment, &mut self.occupancy) {
-            Some(Progress::Begun) => self.held.request(now),
+        match held.record_caller_packet(now, &segment, &mut self.occupancy) {
+            Some(Progress::NextRequest) => self.held_load.request(now),
             Some(Progress::Failed) => self.risk.failed(now),
             Some(Progress::Answered(_)) | None => {}
         }
@@ -337,30 +345,30 @@
         let occupancy = &mut self.occupancy;
         let risk = &mut self.risk;
         self.flows.retain(|id, flow| {
-            if flow.expire_request(now, settings.reservation, occupancy) {
+            if flow.expire_request(now, settings.reservation_timeout, occupancy) {
                 risk.failed(now);
                 actions.push(Action::Failed { flow: *id });
             }
-            let keep = !flow.is_over(now, settings.linger, settings.idle);
-            if !keep && flow.start.take().is_some() {
+            let keep = !flow.is_expired(now, settings.linger, settings.idle);
+            if !keep && flow.request_start.take().is_some() {
                 occupancy.release(now);
             }
             keep
         });
         let idle = self.flows.values().filter(|flow| flow.is_idle()).count();
-        self.held
+        self.held_load
             .observe(now, u32::try_from(idle).unwrap_or(u32::MAX));
-        self.passed.expire(now);
-        self.absent.expire(now);
-        self.dead.expire(now);
+        self.passed_flows.expire(now);
+        self.flows_not_held.expire(now);
+        self.ended_flows.expire(now);
         self.probes.expire(now);
-        self.expire_queries(now, actions);
+        self.expire_searches(now, actions);
     }
 }
 
 /// Sends a packet after its flow, which was passed on, and tells the entry where:
 /// the word of the agent that took it may have been lost.
-fn follow(flow: FlowId, to: Hop, carry: Carry, actions: &mut Vec<Action>) {
+fn forward_to_next_holder(flow: FlowId, to: Hop, carry: Carry, actions: &mut Vec<Action>) {
     let held = transit::Held {
         flow,
         holder: to,
--- a/roles/forward/src/agent/opening.rs
+++ b/roles/forward/src/agent/admission.rs
@@ -23,7 +23,7 @@
 impl Agent {
     /// Takes a new flow, passes it on, or refuses it. A copy of an opening packet
     /// follows the first one.
-    pub(super) fn open(
+    pub(super) fn handle_open(
         &mut self,
         now: Duration,
         open: Open,
@@ -32,13 +32,13 @@
     ) {
         let flow = segment.from_caller();
         if let Some(held) = self.flows.get_mut(&flow) {
-            held.used = now;
+            held.last_used = now;
             held.entry = Some(open.entry);
             actions.push(Action::Deliver(open.packet));
-            return self.tell(now, flow, open.entry, actions);
+            return self.announce_holder(now, flow, open.entry, actions);
         }
-        match self.passed.get(now, &flow) {
-            Some(passed) if !open.is_settled => return pass(passed.clone(), actions),
+        match self.passed_flows.get(now, &flow) {
+            Some(passed) if !open.is_settled => return pass_on(passed.clone(), actions),
             _ => {}
         }
         let meant = open
@@ -50,9 +50,9 @@
             _ => Err(Closed::OtherServer),
         };
         match bid::decide(open, bid.ok()) {
-            Verdict::Take(open) => self.take(now, flow, open, bid.unwrap_or_default(), actions),
+            Verdict::Take(open) => self.admit(now, flow, open, bid.unwrap_or_default(), actions),
             Verdict::Pass(open) => {
-                self.passed.insert(now, flow, open.clone());
+                self.passed_flows.insert(now, flow, open.clone());
                 actions.push(Action::Passed {
                     flow,
                     bid,
@@ -60,8 +60,8 @@
                     is_settled: open.is_settled,
                 });
                 let target = meant.unwrap_or(self.own.target);
-                self.tell_busy(now, open.entry, target, actions);
-                pass(open, actions);
+                self.report_busy(now, open.entry, target, actions);
+                pass_on(open, actions);
             }
             // The flow may have opened elsewhere by another copy.
             Verdict::Refuse(_) if segment.is_copy() => {
@@ -90,7 +90,7 @@
     }
 
     /// Hands a new flow to the backend server and says so to its entry.
-    fn take(
+    fn admit(
         &mut self,
         now: Duration,
         flow: FlowId,
@@ -106,16 +106,16 @@
             entry: open.entry,
         });
         let start = self.occupancy.begin(now);
-        self.unanswered.get_or_insert(now);
+        self.unanswered_since.get_or_insert(now);
         let entry = open.entry;
         actions.push(Action::Deliver(open.packet.clone()));
         self.flows.insert(flow, Flow::opening(now, start, open));
-        self.passed.remove(&flow);
-        self.tell(now, flow, entry, actions);
+        self.passed_flows.remove(&flow);
+        self.announce_holder(now, flow, entry, actions);
     }
 
     /// Names this agent as the holder of a flow.
-    pub(super) fn tell(
+    pub(super) fn announce_holder(
         &self,
         now: Duration,
         flow: FlowId,
@@ -125,7 +125,7 @@
         let held = transit::Held {
             flow,
             holder: self.own,
-            start: self.start(),
+            start: self.server_start(),
             load: Some(self.load(now)),
         };
         actions.push(Action::Send {
@@ -136,7 +136,7 @@
 
     /// Tells an entry that its view of the load of a backend server here is too
     /// good.
-    fn tell_busy(
+    fn report_busy(
         &self,
         now: Duration,
         entry: SocketAddr,
@@ -145,7 +145,7 @@
     ) {
         let mut load = self.load(now);
         if target != self.own.target || self.closed(now).is_some() {
-            load.running = load.running.max(load.slots + self.settings.queue);
+            load.running = load.running.max(load.slots + self.settings.max_queued);
         }
         actions.push(Action::Send {
             to: entry,
@@ -154,7 +154,7 @@
     }
 
     /// Passes on an opening packet that the backend server did not accept.
-    pub(super) fn unaccepted(
+    pub(super) fn handle_unaccepted(
         &mut self,
         now: Duration,
         flow: FlowId,
@@ -165,12 +165,12 @@
     ) {
         let is_late = held
             .as_ref()
-            .is_some_and(|flow| now >= flow.used + self.settings.refusal);
+            .is_some_and(|flow| now >= flow.last_used + self.settings.prompt_rejection);
         let open = held.and_then(|flow| flow.open);
         match open.map(|open| bid::decide(Open { packet, ..open }, None)) {
             Some(Verdict::Pass(open)) => {
-                self.passed.insert(now, flow, open.clone());
-                pass(open, actions);
+                self.passed_flows.insert(now, flow, open.clone());
+                pass_on(open, actions);
             }
             Some(_) if segment.is_copy() || is_late => {
                 actions.push(Action::Dropped(Drop::RefusedCopy));
@@ -186,7 +186,7 @@
     }
 }
 
-fn pass(open: Open, actions: &mut Vec<Action>) {
+fn pass_on(open: Open, actions: &mut Vec<Action>) {
     actions.push(Action::Send {
         to: open.path[usize::from(open.position)].address,
         transit: Transit::Open(open),
--- a/roles/forward/src/agent/bid.rs
+++ b/roles/forward/src/agent/bid.rs
@@ -7,14 +7,14 @@
 use wire::transit::Open;
 
 /// Bid of an agent that takes no flows.
-pub const NONE: u32 = u32::MAX;
+pub const NO_BID: u32 = u32::MAX;
 
 /// Expected wait up to which an agent takes a flow without asking others.
 /// About the time that passing it on takes.
-const NO_WAIT: Duration = Duration::from_millis(2);
+const NEGLIGIBLE_WAIT: Duration = Duration::from_millis(2);
 
 /// Expected loss up to which it does not either: a failure in fifty requests.
-const NO_RISK: Duration = Duration::from_millis(20);
+const NEGLIGIBLE_RISK: Duration = Duration::from_millis(20);
 
 /// What becomes of an opening packet.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -42,7 +42,7 @@
     /// The bid as a number of milliseconds.
     fn millis(self) -> u32 {
         let sum = self.wait + self.held + self.risk;
-        u32::try_from(sum.as_millis()).unwrap_or(NONE - 1)
+        u32::try_from(sum.as_millis()).unwrap_or(NO_BID - 1)
     }
 }
 
@@ -50,14 +50,16 @@
 /// flows are taken.
 #[must_use]
 pub fn decide(mut open: Open, bid: Option<Bid>) -> Verdict {
-    let bid_ms = bid.map_or(NONE, Bid::millis);
+    let bid_ms = bid.map_or(NO_BID, Bid::millis);
     match bid {
-        Some(bid) if bid.wait <= NO_WAIT && bid.risk <= NO_RISK => return Verdict::Take(open),
-        Some(bid) if open.is_settled && bid.wait <= patience(&open) => return Verdict::Take(open),
+        Some(bid) if bid.wait <= NEGLIGIBLE_WAIT && bid.risk <= NEGLIGIBLE_RISK => {
+            return Verdict::Take(open);
+        }
+        Some(bid) if open.is_settled && bid.wait <= max_wait(&open) => return Verdict::Take(open),
         // The agent that was to take it no longer can: the next best is asked.
         _ if open.is_settled => {
             if let Some(own) = open.bids.get_mut(usize::from(open.position)) {
-                *own = NONE;
+                *own = NO_BID;
             }
         }
         _ => open.bids.push(bid_ms),
@@ -66,11 +68,11 @@
         open.position = u8::try_from(open.bids.len()).unwrap_or(u8::MAX);
         return Verdict::Pass(open);
     }
-    settle(open)
+    choose_lowest_bid(open)
 }
 
 /// Chooses the least bid once all agents have bid.
-fn settle(mut open: Open) -> Verdict {
+fn choose_lowest_bid(mut open: Open) -> Verdict {
     let bids = open.bids.iter().enumerate();
     let least = bids.min_by_key(|(_, bid)| **bid);
     match least {
@@ -88,6 +90,6 @@
     }
 }
 
-const fn patience(open: &Open) -> Duration {
+const fn max_wait(open: &Open) -> Duration {
     Duration::from_millis(open.patience_ms as u64)
 }
--- a/roles/forward/src/agent/memory.rs
+++ b/roles/forward/src/agent/expiring_map.rs
@@ -9,52 +9,59 @@
 
 /// Remembers something of flows for a while.
 #[derive(Debug)]
-pub struct Memory<T> {
+pub struct ExpiringMap<T> {
     lifetime: Duration,
-    items: HashMap<FlowId, Item<T>>,
+    flows: HashMap<FlowId, Stored<T>>,
 }
 
 #[derive(Debug)]
-struct Item<T> {
-    at: Duration,
+struct Stored<T> {
+    inserted_at: Duration,
     value: T,
 }
 
-impl<T> Memory<T> {
+impl<T> ExpiringMap<T> {
     /// Remembers each flow for `lifetime`.
     pub fn new(lifetime: Duration) -> Self {
         Self {
             lifetime,
-            items: HashMap::new(),
+            flows: HashMap::new(),
         }
     }
 
     /// Remembers something of a flow; a full memory takes no more.
     pub fn insert(&mut self, now: Duration, flow: FlowId, value: T) {
-        if self.items.len() < MAX_FLOWS || self.items.contains_key(&flow) {
-            self.items.insert(flow, Item { at: now, value });
+        if self.flows.len() < MAX_FLOWS || self.flows.contains_key(&flow) {
+            self.flows.insert(
+                flow,
+                Stored {
+                    inserted_at: now,
+                    value,
+                },
+            );
         }
     }
 
     /// What is remembered of a flow.
     pub fn get(&self, now: Duration, flow: &FlowId) -> Option<&T> {
-        let item = self.items.get(flow)?;
-        (now < item.at + self.lifetime).then_some(&item.value)
+        let item = self.flows.get(flow)?;
+        (now < item.inserted_at + self.lifetime).then_some(&item.value)
     }
 
     /// Forgets a flow.
     pub fn remove(&mut self, flow: &FlowId) -> Option<T> {
-        self.items.remove(flow).map(|item| item.value)
+        self.flows.remove(flow).map(|item| item.value)
     }
 
     /// Forgets all flows.
     pub fn clear(&mut self) {
-        self.items.clear();
+        self.flows.clear();
     }
 
     /// Forgets what is too old.
     pub fn expire(&mut self, now: Duration) {
         let lifetime = self.lifetime;
-        self.items.retain(|_, item| now < item.at + lifetime);
+        self.flows
+            .retain(|_, item| now < item.inserted_at + lifetime);
     }
 }
--- a/roles/forward/src/agent/flow.rs
+++ b/roles/forward/src/agent/flow.rs
@@ -9,7 +9,7 @@
 use wire::transit::Open;
 
 /// Longest time that a request may take, where its route is not known.
-const UNKNOWN_TIMEOUT: Duration = Duration::from_secs(5);
+const DEFAULT_REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A flow that the backend server holds.
 #[derive(Debug)]
@@ -17,15 +17,15 @@
     /// The entry that its last packet came through.
     pub entry: Option<SocketAddr>,
     /// The request under way, or the slot kept for the first.
-    pub start: Option<Start>,
+    pub request_start: Option<Start>,
     /// The opening frame, until the backend server accepts the flow.
     pub open: Option<Open>,
     /// When its last packet came.
-    pub used: Duration,
+    pub last_used: Duration,
     /// Longest time that a request of the flow may take.
-    timeout: Duration,
+    request_timeout: Duration,
     /// When the request under way was last heard of, if any.
-    begun: Duration,
+    request_started: Duration,
     handshake: Handshake,
     /// Whether `start` keeps a slot for a request that is yet to come, or that
     /// may be none.
@@ -42,7 +42,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
     /// It is another request of a flow that has had one before.
-    Begun,
+    NextRequest,
     /// The backend server began to answer it, so long after it came.
     Answered(Duration),
     /// The backend server reset it, or did not answer it in its time.
@@ -64,31 +64,31 @@
 
 /// Distance between a backend server's position and what the caller may have
 /// acknowledged of it. Far less than between the positions of two servers.
-const WINDOW: u32 = 128 * 1024;
+const MAX_ACKNOWLEDGED_BYTES: u32 = 128 * 1024;
 
 impl Flow {
     /// A flow whose opening packet goes to the backend server now.
     pub fn opening(now: Duration, start: Start, open: Open) -> Self {
         Self {
             entry: Some(open.entry),
-            start: Some(start),
-            timeout: Duration::from_millis(u64::from(open.patience_ms)),
+            request_start: Some(start),
+            request_timeout: Duration::from_millis(u64::from(open.patience_ms)),
             open: Some(open),
             is_reserved: true,
             handshake: Handshake::Sent,
-            ..Self::found(now)
+            ..Self::discovered(now)
         }
     }
 
     /// A flow that the backend server turned out to hold.
-    pub const fn found(now: Duration) -> Self {
+    pub const fn discovered(now: Duration) -> Self {
         Self {
             entry: None,
-            start: None,
+            request_start: None,
             open: None,
-            used: now,
-            timeout: UNKNOWN_TIMEOUT,
-            begun: now,
+            last_used: now,
+            request_timeout: DEFAULT_REQUEST_TIMEOUT,
+            request_started: now,
             handshake: Handshake::Unseen,
             is_reserved: false,
             requests: 0,
@@ -100,12 +100,12 @@
 
     /// Whether a packet of the caller belongs to a flow that opened at another
     /// backend server, although the opening packet came here too.
-    pub fn is_elsewhere(&mut self, segment: &Segment) -> bool {
+    pub fn is_accepted_elsewhere(&mut self, segment: &Segment) -> bool {
         match self.handshake {
             Handshake::Unseen | Handshake::Done => false,
             Handshake::Sent => segment.kind != Kind::Reset,
             Handshake::Accepted(position) => {
-                let is_ours = segment.acknowledged.wrapping_sub(position) <= WINDOW;
+                let is_ours = segment.acknowledged.wrapping_sub(position) <= MAX_ACKNOWLEDGED_BYTES;
                 if is_ours {
                     self.handshake = Handshake::Done;
                 }
@@ -116,38 +116,38 @@
 
     /// Notes a packet of the caller: it may begin a request, or give one up that
     /// took too long.
-    pub fn caller_sent(
+    pub fn record_caller_packet(
         &mut self,
         now: Duration,
         segment: &Segment,
         occupancy: &mut Occupancy,
     ) -> Option<Progress> {
-        self.used = now;
+        self.last_used = now;
         self.has_caller_ended |= matches!(segment.kind, Kind::Close | Kind::Reset);
         if segment.kind == Kind::Reset {
-            let is_late = now >= self.begun + self.timeout / 2;
-            let is_failed = self.is_under_way() && is_late;
+            let is_late = now >= self.request_started + self.request_timeout / 2;
+            let is_failed = self.has_pending_request() && is_late;
             self.end_request(now, occupancy);
             return is_failed.then_some(Progress::Failed);
         }
-        let is_new = self.advance(segment);
-        let begins = is_new && (self.start.is_none() || self.is_reserved);
+        let is_new = self.advance_position(segment);
+        let begins = is_new && (self.request_start.is_none() || self.is_reserved);
         if !begins {
             return None;
         }
-        if self.start.is_none() {
-            self.start = Some(occupancy.begin(now));
+        if self.request_start.is_none() {
+            self.request_start = Some(occupancy.begin(now));
         }
-        self.start = self.start.map(|start| start.moved(now));
+        self.request_start = self.request_start.map(|start| start.moved(now));
         // The first content of a flow from before this process may be a repeat.
         self.is_reserved = self.handshake == Handshake::Unseen && self.requests == 0;
-        self.begun = now;
+        self.request_started = now;
         self.requests = self.requests.saturating_add(1);
-        (self.requests > 1).then_some(Progress::Begun)
+        (self.requests > 1).then_some(Progress::NextRequest)
     }
 
     /// Notes the position of the caller's content; true where it is new.
-    fn advance(&mut self, segment: &Segment) -> bool {
+    fn advance_position(&mut self, segment: &Segment) -> bool {
         if segment.length == 0 {
             return false;
         }
@@ -164,27 +164,27 @@
 
     /// Notes a packet of the backend server. The first with content after a
     /// request means that the request has been worked on.
-    pub fn server_sent(
+    pub fn record_server_packet(
         &mut self,
         now: Duration,
         segment: &Segment,
         occupancy: &mut Occupancy,
     ) -> Option<Progress> {
-        self.used = now;
+        self.last_used = now;
         self.open = None;
         if segment.kind == Kind::Accept && self.handshake == Handshake::Sent {
             self.handshake = Handshake::Accepted(segment.sequence);
         }
         self.has_server_ended |= matches!(segment.kind, Kind::Close | Kind::Reset);
-        match self.start {
+        match self.request_start {
             Some(start) if segment.length > 0 && self.requests > 0 => {
                 occupancy.finish(now, start);
-                self.start = None;
+                self.request_start = None;
                 self.is_reserved = false;
-                Some(Progress::Answered(now.saturating_sub(self.begun)))
+                Some(Progress::Answered(now.saturating_sub(self.request_started)))
             }
             _ if segment.kind == Kind::Reset => {
-                let is_failed = self.is_under_way();
+                let is_failed = self.has_pending_request();
                 self.end_request(now, occupancy);
                 is_failed.then_some(Progress::Failed)
             }
@@ -203,10 +203,10 @@
         let limit = if self.is_reserved {
             reserved
         } else {
-            self.timeout
+            self.request_timeout
         };
-        let is_over = self.start.is_some() && now >= self.begun + limit;
-        let is_failed = is_over && self.is_under_way();
+        let is_over = self.request_start.is_some() && now >= self.request_started + limit;
+        let is_failed = is_over && self.has_pending_request();
         if is_over {
             self.end_request(now, occupancy);
         }
@@ -214,29 +214,29 @@
     }
 
     /// Whether a request was sent that is not answered yet.
-    const fn is_under_way(&self) -> bool {
-        self.start.is_some() && !self.is_reserved
+    const fn has_pending_request(&self) -> bool {
+        self.request_start.is_some() && !self.is_reserved
     }
 
     /// Whether the flow is kept open between two requests.
     pub const fn is_idle(&self) -> bool {
         self.requests > 0
-            && self.start.is_none()
+            && self.request_start.is_none()
             && !self.has_caller_ended
             && !self.has_server_ended
     }
 
     /// Whether the flow has ended and nothing more of it is expected.
-    pub fn is_over(&self, now: Duration, linger: Duration, idle: Duration) -> bool {
+    pub fn is_expired(&self, now: Duration, linger: Duration, idle: Duration) -> bool {
         let has_ended = self.has_caller_ended && self.has_server_ended;
         let limit = if has_ended { linger } else { idle };
-        now >= self.used + limit
+        now >= self.last_used + limit
     }
 
     /// Gives up the request or the slot kept for one.
     pub fn end_request(&mut self, now: Duration, occupancy: &mut Occupancy) {
         self.is_reserved = false;
-        if self.start.take().is_some() {
+        if self.request_start.take().is_some() {
             occupancy.release(now);
         }
     }
--- a/roles/forward/src/agent/unknown.rs
+++ b/roles/forward/src/agent/lookup.rs
@@ -14,7 +14,7 @@
 use super::Action;
 use super::Agent;
 use super::Drop;
-use super::MAX_TRIES;
+use super::MAX_PROBES;
 use super::Probe;
 use super::Refusal;
 use super::backend::Start;
@@ -23,26 +23,26 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Evidence {
     /// Longest time for which it can have run.
-    pub age: Duration,
+    pub max_age: Duration,
     /// When it started, by its own clock.
-    pub start: Start,
+    pub server_start: Start,
 }
 
 impl Agent {
     /// Whether the backend server may hold an unknown flow from before this
     /// process started.
     pub(super) fn may_hold(&self, now: Duration, flow: &FlowId) -> bool {
-        self.has_past
-            && now < self.started + self.settings.oldest_flow
-            && self.absent.get(now, flow).is_none()
-            && self.passed.get(now, flow).is_none()
-            && self.dead.get(now, flow).is_none()
+        self.may_hold_prior_flows
+            && now < self.started_at + self.settings.oldest_flow
+            && self.flows_not_held.get(now, flow).is_none()
+            && self.passed_flows.get(now, flow).is_none()
+            && self.ended_flows.get(now, flow).is_none()
     }
 
     /// Takes a packet whose holder is not known. Who does not hold the flow says
     /// nothing, which saves an answer from each of many agents, unless its
     /// backend server is young enough for the answer to say something.
-    pub(super) fn seek(
+    pub(super) fn handle_seek(
         &mut self,
         now: Duration,
         seek: Seek,
@@ -54,7 +54,7 @@
             return;
         }
         let (target, asker) = (seek.target, seek.asker);
-        if self.ask_here(now, seek, segment, actions).is_none() {
+        if self.look_up_locally(now, seek, segment, actions).is_none() {
             return;
         }
         let carry = Carry {
@@ -62,12 +62,12 @@
             entry: asker,
             packet: Bytes::new(),
         };
-        not_here(flow, carry, &segment, self.evidence(now), actions);
+        send_absent(flow, carry, &segment, self.evidence(now), actions);
     }
 
     /// Delivers or tries a packet whose holder is not known; the age of the
     /// backend server where it surely does not hold the flow and is young.
-    pub(super) fn ask_here(
+    pub(super) fn look_up_locally(
         &mut self,
         now: Duration,
         seek: Seek,
@@ -85,12 +85,12 @@
             let entry = carry.entry;
             self.deliver(now, flow, carry, segment, actions);
             if self.flows.contains_key(&flow) {
-                self.tell(now, flow, entry, actions);
+                self.announce_holder(now, flow, entry, actions);
             }
             return None;
         }
-        if self.dead.get(now, &flow).is_some() {
-            ended(flow, &segment, actions);
+        if self.ended_flows.get(now, &flow).is_some() {
+            reset_ended(flow, &segment, actions);
             return None;
         }
         if self.may_hold(now, &flow) {
@@ -99,7 +99,7 @@
             }
             return None;
         }
-        let age = self.age(now)?;
+        let age = self.max_server_age(now)?;
         (millis(age) <= terms.max_age_ms).then_some(age)
     }
 
@@ -113,16 +113,17 @@
         actions: &mut Vec<Action>,
     ) {
         let before = self.probes.get(now, &flow).copied();
-        let is_waiting = before
-            .is_some_and(|probe| probe.tries >= MAX_TRIES || now < probe.at + self.settings.probe);
+        let is_waiting = before.is_some_and(|probe| {
+            probe.count >= MAX_PROBES || now < probe.sent_at + self.settings.probe_interval
+        });
         if is_waiting {
             return actions.push(Action::Dropped(Drop::Probing));
         }
         let probe = Probe {
             entry: carry.entry,
-            asker,
-            at: now,
-            tries: before.map_or(1, |probe| probe.tries + 1),
+            reply_to: asker,
+            sent_at: now,
+            count: before.map_or(1, |probe| probe.count + 1),
         };
         self.probes.insert(now, flow, probe);
         actions.push(Action::Probed { flow });
@@ -131,7 +132,7 @@
 }
 
 /// Tells the caller that the backend server of its flow has ended.
-pub(super) fn ended(flow: FlowId, segment: &Segment, actions: &mut Vec<Action>) {
+pub(super) fn reset_ended(flow: FlowId, segment: &Segment, actions: &mut Vec<Action>) {
     if segment.kind != Kind::Reset {
         actions.push(Action::Reset {
             flow,
@@ -144,7 +145,7 @@
 
 /// Says to an entry that a flow is not held here, or returns its packet for
 /// which the entry searches on.
-pub(super) fn not_here(
+pub(super) fn send_absent(
     flow: FlowId,
     carry: Carry,
     segment: &Segment,
@@ -159,8 +160,8 @@
             flow,
             target: carry.target,
             acknowledged: segment.acknowledged,
-            age_ms: evidence.map(|evidence| millis(evidence.age)),
-            start: evidence.map(|evidence| evidence.start),
+            age_ms: evidence.map(|evidence| millis(evidence.max_age)),
+            start: evidence.map(|evidence| evidence.server_start),
             packet: carry.packet,
         }),
     });
--- a/roles/forward/src/agent/query.rs
+++ b/roles/forward/src/agent/search.rs
@@ -19,7 +19,7 @@
 use super::Drop;
 
 /// Searches of one agent at a time; others find their entry asking elsewhere.
-const MAX_QUERIES: usize = 4 * 1024;
+const MAX_SEARCHES: usize = 4 * 1024;
 
 /// The other agents of the service.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -32,8 +32,8 @@
 
 /// A search under way.
 #[derive(Debug)]
-pub(super) struct Query {
-    at: Duration,
+pub(super) struct PendingSearch {
+    started_at: Duration,
     entry: SocketAddr,
     acknowledged: u32,
     /// Time for which a backend server has run at most whose denial counts.
@@ -46,7 +46,7 @@
 
 impl Agent {
     /// Asks all other agents of the service for the holder of a flow.
-    pub(super) fn search(
+    pub(super) fn handle_search(
         &mut self,
         now: Duration,
         search: Search,
@@ -57,7 +57,7 @@
         if search.target != self.own.target {
             return;
         }
-        if self.queries.len() >= MAX_QUERIES {
+        if self.searches.len() >= MAX_SEARCHES {
             return actions.push(Action::Dropped(Drop::Searches));
         }
         let known = self.peers.hops.len() + 1;
@@ -65,15 +65,15 @@
         let is_complete = knows_all && !self.peers.has_silent;
         let mut terms = search.terms;
         terms.may_try &= knows_all;
-        let query = Query {
-            at: now,
+        let query = PendingSearch {
+            started_at: now,
             entry: search.entry,
             acknowledged: segment.acknowledged,
             max_age_ms: terms.max_age_ms,
             is_complete,
             denied: Vec::new(),
         };
-        self.queries.insert(flow, query);
+        self.searches.insert(flow, query);
         let seek = Seek {
             target: search.target,
             entry: search.entry,
@@ -82,9 +82,9 @@
             packet: search.packet,
         };
         let is_held = self.flows.contains_key(&flow);
-        let age = self.ask_here(now, seek.clone(), segment, actions);
-        if is_held || self.dead.get(now, &flow).is_some() {
-            self.queries.remove(&flow);
+        let age = self.look_up_locally(now, seek.clone(), segment, actions);
+        if is_held || self.ended_flows.get(now, &flow).is_some() {
+            self.searches.remove(&flow);
             return;
         }
         for hop in self.peers.hops.iter() {
@@ -97,23 +97,33 @@
             });
         }
         if age.is_some() {
-            self.denied_here(now, flow, actions);
+            self.record_own_denial(now, flow, actions);
         }
     }
 
     /// Notes that another agent does not hold a flow.
-    pub(super) fn denied(&mut self, now: Duration, absent: &Absent, actions: &mut Vec<Action>) {
-        self.deny(now, absent.flow, absent.target, absent.age_ms, actions);
+    pub(super) fn record_peer_denial(
+        &mut self,
+        now: Duration,
+        absent: &Absent,
+        actions: &mut Vec<Action>,
+    ) {
+        self.record_denial(now, absent.flow, absent.target, absent.age_ms, actions);
     }
 
     /// Notes that the backend server here does not hold a flow.
-    pub(super) fn denied_here(&mut self, now: Duration, flow: FlowId, actions: &mut Vec<Action>) {
-        let age = self.age(now).map(super::unknown::millis);
-        self.deny(now, flow, self.own.target, age, actions);
+    pub(super) fn record_own_denial(
+        &mut self,
+        now: Duration,
+        flow: FlowId,
+        actions: &mut Vec<Action>,
+    ) {
+        let age = self.max_server_age(now).map(super::lookup::millis);
+        self.record_denial(now, flow, self.own.target, age, actions);
     }
 
     /// Tells the entry once nobody holds the flow.
-    fn deny(
+    fn record_denial(
         &mut self,
         now: Duration,
         flow: FlowId,
@@ -121,7 +131,7 @@
         age_ms: Option<u32>,
         actions: &mut Vec<Action>,
     ) {
-        let Some(query) = self.queries.get_mut(&flow) else {
+        let Some(query) = self.searches.get_mut(&flow) else {
             return;
         };
         let is_young = age_ms.is_some_and(|age| age <= query.max_age_ms);
@@ -138,7 +148,7 @@
         actions.push(Action::Unheld {
             flow,
             agents: query.denied.len(),
-            took: now.saturating_sub(query.at),
+            took: now.saturating_sub(query.started_at),
         });
         actions.push(Action::Send {
             to: query.entry,
@@ -148,15 +158,15 @@
                 acknowledged: query.acknowledged,
             }),
         });
-        self.queries.remove(&flow);
+        self.searches.remove(&flow);
     }
 
     /// Forgets searches that nobody waits for any more.
-    pub(super) fn expire_queries(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        let limit = self.settings.query;
+    pub(super) fn expire_searches(&mut self, now: Duration, actions: &mut Vec<Action>) {
+        let limit = self.settings.search_timeout;
         let agents = self.peers.hops.len() + 1;
-        self.queries.retain(|flow, query| {
-            let is_waiting = now < query.at + limit;
+        self.searches.retain(|flow, query| {
+            let is_waiting = now < query.started_at + limit;
             // A search that wants no denials ends with its holder or with none.
             if !is_waiting && query.max_age_ms > 0 {
                 actions.push(Action::Undecided {
--- a/roles/forward/src/agent/server.rs
+++ b/roles/forward/src/agent/server.rs
@@ -16,12 +16,12 @@
 use super::backend::Start;
 use super::flow::Flow;
 use super::flow::Progress;
-use super::unknown::Evidence;
-use super::unknown::not_here;
+use super::lookup::Evidence;
+use super::lookup::send_absent;
 
 impl Agent {
     /// Takes a packet that the backend server handed back.
-    pub(super) fn returned(
+    pub(super) fn handle_returned(
         &mut self,
         now: Duration,
         segment: Segment,
@@ -31,36 +31,39 @@
         let flow = segment.from_caller();
         let probe = self.probes.remove(&flow);
         let held = self.flows.remove(&flow);
-        if held.as_ref().is_some_and(|flow| flow.start.is_some()) {
+        if held
+            .as_ref()
+            .is_some_and(|flow| flow.request_start.is_some())
+        {
             self.occupancy.release(now);
         }
         if segment.kind == Kind::Open {
-            return self.unaccepted(now, flow, segment, held, packet, actions);
+            return self.handle_unaccepted(now, flow, segment, held, packet, actions);
         }
-        self.absent.insert(now, flow, ());
+        self.flows_not_held.insert(now, flow, ());
         actions.push(Action::Returned {
             flow,
             was_held: held.is_some(),
         });
         let asker = probe
-            .map(|probe| probe.asker)
+            .map(|probe| probe.reply_to)
             .or(held.and_then(|flow| flow.entry));
         let Some(asker) = asker else {
             return;
         };
         if asker == self.own.address {
-            return self.denied_here(now, flow, actions);
+            return self.record_own_denial(now, flow, actions);
         }
         let carry = Carry {
             target: self.own.target,
             entry: asker,
             packet,
         };
-        not_here(flow, carry, &segment, self.evidence(now), actions);
+        send_absent(flow, carry, &segment, self.evidence(now), actions);
     }
 
     /// Takes a packet that the backend server sent to a caller.
-    pub(super) fn sent(
+    pub(super) fn handle_sent(
         &mut self,
         now: Duration,
         segment: Segment,
@@ -69,8 +72,11 @@
     ) {
         let flow = segment.from_server();
         let probe = self.probes.remove(&flow);
-        let held = self.flows.entry(flow).or_insert_with(|| Flow::found(now));
-        match held.server_sent(now, &segment, &mut self.occupancy) {
+        let held = self
+            .flows
+            .entry(flow)
+            .or_insert_with(|| Flow::discovered(now));
+        match held.record_server_packet(now, &segment, &mut self.occupancy) {
             Some(Progress::Answered(took)) => {
                 self.risk.answered(now);
                 actions.push(Action::Answered { took });
@@ -79,7 +85,7 @@
                 self.risk.failed(now);
                 actions.push(Action::Failed { flow });
             }
-            Some(Progress::Begun) | None => {}
+            Some(Progress::NextRequest) | None => {}
         }
         actions.push(Action::ToCaller {
             caller: flow.caller,
@@ -87,13 +93,18 @@
         });
         if let Some(probe) = probe {
             held.entry = Some(probe.entry);
-            self.tell(now, flow, probe.entry, actions);
+            self.announce_holder(now, flow, probe.entry, actions);
         }
     }
 
     /// Takes what the backend server tells of itself; what an earlier one said
     /// is no longer true.
-    pub(super) fn state(&mut self, now: Duration, backend: Backend, actions: &mut Vec<Action>) {
+    pub(super) fn handle_announcement(
+        &mut self,
+        now: Duration,
+        backend: Backend,
+        actions: &mut Vec<Action>,
+    ) {
         let held = self.backend.as_ref();
         if held.is_some_and(|held| backend.is_older_than(held)) {
             return actions.push(Action::Dropped(Drop::OldAnnouncement));
@@ -101,26 +112,26 @@
         let is_first = held.is_none();
         if held.is_none_or(|held| held.start != backend.start) {
             if !is_first {
-                self.gone(now, actions);
+                self.end_server(now, actions);
                 self.risk = Risk::new(self.settings.risk, now);
             }
             // This process hears of all flows of a start that it saw begin.
-            self.has_past &= is_first && backend.sequence > FIRST_SEQUENCE;
-            self.first_heard = now;
+            self.may_hold_prior_flows &= is_first && backend.sequence > FIRST_SEQUENCE;
+            self.first_announced = now;
             // The first announcement is sent with the start.
             let before = backend.sequence.saturating_sub(FIRST_SEQUENCE);
             let before = u32::try_from(before).unwrap_or(u32::MAX);
-            self.age_then = self.settings.heartbeat.saturating_mul(before);
+            self.max_age_at_first = self.settings.heartbeat.saturating_mul(before);
         }
-        self.heard = now;
-        self.unanswered = None;
+        self.last_announced = now;
+        self.unanswered_since = None;
         self.own.target = backend.target;
         self.occupancy.set_slots(backend.slots);
         self.backend = Some(backend);
     }
 
     /// Gives up the flows of a backend server that has ended.
-    pub(super) fn gone(&mut self, now: Duration, actions: &mut Vec<Action>) {
+    pub(super) fn end_server(&mut self, now: Duration, actions: &mut Vec<Action>) {
         if let Some(backend) = &mut self.backend {
             backend.state = State::Gone;
         }
@@ -130,29 +141,32 @@
             });
         }
         for (flow, held) in self.flows.drain() {
-            if held.start.is_some() {
+            if held.request_start.is_some() {
                 self.occupancy.release(now);
             }
-            self.dead.insert(now, flow, ());
+            self.ended_flows.insert(now, flow, ());
         }
         self.probes.clear();
     }
 
     /// What proves that the backend server does not hold a flow.
     pub(super) fn evidence(&self, now: Duration) -> Option<Evidence> {
-        let (age, start) = (self.age(now)?, self.start()?);
-        Some(Evidence { age, start })
+        let (age, start) = (self.max_server_age(now)?, self.server_start()?);
+        Some(Evidence {
+            max_age: age,
+            server_start: start,
+        })
     }
 
     /// When the backend server started, by its own clock, if it said so.
-    pub(super) fn start(&self) -> Option<Start> {
+    pub(super) fn server_start(&self) -> Option<Start> {
         self.backend.as_ref().map(|backend| backend.start)
     }
 
     /// Longest time for which the backend server can have run; its announcements
     /// count its time.
-    pub(super) fn age(&self, now: Duration) -> Option<Duration> {
+    pub(super) fn max_server_age(&self, now: Duration) -> Option<Duration> {
         self.backend.as_ref()?;
-        Some(self.age_then + now.saturating_sub(self.first_heard))
+        Some(self.max_age_at_first + now.saturating_sub(self.first_announced))
     }
 }
--- a/roles/forward/src/entry.rs
+++ b/roles/forward/src/entry.rs
@@ -74,19 +74,19 @@
     routes: Arc<Routes>,
     flows: HashMap<FlowId, Flow>,
     place: Place,
-    started: Duration,
-    known: HashSet<TargetId>,
+    started_at: Duration,
+    known_targets: HashSet<TargetId>,
     /// When a backend server was last heard of for the first time.
-    grown: Duration,
+    last_target_added: Duration,
     /// Flows whose holder is searched for, in the order in which agents were
     /// asked.
     searches: VecDeque<FlowId>,
     random: fastrand::Rng,
-    next_sweep: Duration,
+    next_sweep_at: Duration,
 }
 
 /// A packet on its way through the decisions.
-struct Passing<'a> {
+struct PacketContext<'a> {
     now: Duration,
     segment: Segment,
     packet: Bytes,
@@ -110,11 +110,11 @@
             zone,
             routes: Arc::default(),
             flows: HashMap::new(),
-            started: now,
-            known: HashSet::new(),
-            grown: now,
+            started_at: now,
+            known_targets: HashSet::new(),
+            last_target_added: now,
             searches: VecDeque::new(),
-            next_sweep: now + settings.sweep,
+            next_sweep_at: now + settings.sweep_interval,
             settings,
         }
     }
@@ -123,24 +123,24 @@
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Packet { segment, packet } => {
-                let passing = Passing {
+                let passing = PacketContext {
                     now,
                     segment,
                     packet,
                     actions,
                 };
-                self.packet(passing);
+                self.handle_packet(passing);
             }
-            Event::Held(held) => self.held(now, &held, actions),
-            Event::Absent(absent) => self.absent(now, absent, actions),
-            Event::Unheld(unheld) => self.unheld(now, unheld, actions),
+            Event::Held(held) => self.record_holder(now, &held, actions),
+            Event::Absent(absent) => self.handle_absent(now, absent, actions),
+            Event::Unheld(unheld) => self.handle_unheld(now, unheld, actions),
             Event::Busy(busy) => self.place.learn(now, busy.target, busy.load),
-            Event::Routes(routes) => self.replace(now, routes),
+            Event::Routes(routes) => self.replace_routes(now, routes),
             Event::Tick => {}
         }
-        self.search_on(now, actions);
-        if now >= self.next_sweep {
-            self.next_sweep = now + self.settings.sweep;
+        self.retry_searches(now, actions);
+        if now >= self.next_sweep_at {
+            self.next_sweep_at = now + self.settings.sweep_interval;
             self.sweep(now);
         }
     }
@@ -164,41 +164,42 @@
     }
 
     /// Takes new routes and backend servers.
-    fn replace(&mut self, now: Duration, routes: Arc<Routes>) {
+    fn replace_routes(&mut self, now: Duration, routes: Arc<Routes>) {
         let targets = routes.targets.values().flat_map(|targets| targets.iter());
         let known: HashSet<TargetId> = targets.map(|target| target.id).collect();
-        if !known.is_subset(&self.known) {
-            self.grown = now;
+        if !known.is_subset(&self.known_targets) {
+            self.last_target_added = now;
         }
         self.place.retain(|target| known.contains(&target));
-        self.known = known;
+        self.known_targets = known;
         self.routes = routes;
     }
 
     /// Whether all agents are likely to be known, so that a packet which each
     /// may try reaches the holder too.
-    fn knows_all(&self, now: Duration) -> bool {
+    fn knows_all_agents(&self, now: Duration) -> bool {
         let settings = &self.settings;
-        let is_complete = self.routes.is_complete || now >= self.started + settings.untold;
+        let is_complete =
+            self.routes.is_complete || now >= self.started_at + settings.max_discovery;
         is_complete
-            && now >= self.started + settings.first_view
-            && now >= self.grown + settings.quiet
+            && now >= self.started_at + settings.min_discovery
+            && now >= self.last_target_added + settings.discovery_quiet
     }
 
-    fn packet(&mut self, passing: Passing<'_>) {
+    fn handle_packet(&mut self, passing: PacketContext<'_>) {
         let routes = Arc::clone(&self.routes);
         let is_routed = routes.route(passing.segment.destination).is_some();
         match passing.segment.kind {
-            _ if !is_routed => self.unrouted(&passing.segment, passing.actions),
-            Kind::Open => self.open(&routes, passing),
+            _ if !is_routed => self.handle_unrouted(&passing.segment, passing.actions),
+            Kind::Open => self.handle_open(&routes, passing),
             Kind::Accept => passing.actions.push(Action::Dropped(Drop::Direction)),
-            Kind::Data | Kind::Close | Kind::Reset => self.carry(&routes, passing),
+            Kind::Data | Kind::Close | Kind::Reset => self.handle_carry(&routes, passing),
         }
     }
 
     /// Answers a packet to an address without a route. While the configuration
     /// may have changed unseen, callers are left to repeat.
-    fn unrouted(&mut self, segment: &Segment, actions: &mut Vec<Action>) {
+    fn handle_unrouted(&mut self, segment: &Segment, actions: &mut Vec<Action>) {
         let flow = segment.from_caller();
         self.flows.remove(&flow);
         match segment.kind {
@@ -218,15 +219,17 @@
 
     /// Sends an opening packet to the agents that would answer soonest, or its
     /// copy where the packet itself went.
-    fn open(&mut self, routes: &Routes, passing: Passing<'_>) {
+    fn handle_open(&mut self, routes: &Routes, passing: PacketContext<'_>) {
         let flow = passing.segment.from_caller();
         let mut tried = Vec::new();
         match self.flows.get_mut(&flow).map(|flow| &mut flow.phase) {
             Some(Phase::Held(holder)) => {
                 let holder = *holder;
-                return self.send(holder, passing);
+                return self.send_to_holder(holder, passing);
             }
-            Some(Phase::Opening(opening)) if passing.now < opening.sent + self.settings.answer => {
+            Some(Phase::Opening(opening))
+                if passing.now < opening.sent_at + self.settings.agent_timeout =>
+            {
                 let first = opening.path[0];
                 tried.clone_from(&opening.tried);
                 return self.send_open(routes, vec![first], tried, passing);
@@ -239,15 +242,20 @@
             }
             _ => {}
         }
-        let path = self.path(routes, &passing, &tried);
+        let path = self.choose_path(routes, &passing, &tried);
         if path.is_empty() {
-            return self.unserved(routes, &passing.segment, passing.now, passing.actions);
+            return self.refuse_unserved(routes, &passing.segment, passing.now, passing.actions);
         }
         self.send_open(routes, path, tried, passing);
     }
 
     /// The agents that an opening packet visits.
-    fn path(&mut self, routes: &Routes, passing: &Passing<'_>, tried: &[TargetId]) -> Vec<Hop> {
+    fn choose_path(
+        &mut self,
+        routes: &Routes,
+        passing: &PacketContext<'_>,
+        tried: &[TargetId],
+    ) -> Vec<Hop> {
         let flow = passing.segment.from_caller();
         let route = routes.route(flow.service);
         let Some(service) = route.and_then(|route| route.service(&flow)) else {
@@ -256,10 +264,12 @@
         let untried = routes
             .open(service)
             .filter(|target| !tried.contains(&target.id));
-        let ranked = self.place.rank(passing.now, untried, self.settings.hunt);
+        let ranked = self
+            .place
+            .rank(passing.now, untried, self.settings.path_length);
         let ranked = if ranked.is_empty() {
             let all = routes.open(service);
-            self.place.rank(passing.now, all, self.settings.hunt)
+            self.place.rank(passing.now, all, self.settings.path_length)
         } else {
             ranked
         };
@@ -268,14 +278,14 @@
 
     /// Refuses a flow for which there is no backend server. A young entry may
     /// not know them yet.
-    fn unserved(
+    fn refuse_unserved(
         &self,
         routes: &Routes,
         segment: &Segment,
         now: Duration,
         actions: &mut Vec<Action>,
     ) {
-        let is_young = now < self.started + self.settings.warm_up;
+        let is_young = now < self.started_at + self.settings.startup_grace;
         let flow = segment.from_caller();
         let is_known = routes
             .route(flow.service)
@@ -299,7 +309,7 @@
         routes: &Routes,
         path: Vec<Hop>,
         tried: Vec<TargetId>,
-        passing: Passing<'_>,
+        passing: PacketContext<'_>,
     ) {
         let flow = passing.segment.from_caller();
         let first = path[0];
@@ -315,13 +325,13 @@
                 version: routes.table.version,
             });
         }
-        self.remember(
+        self.store_flow(
             passing.now,
             flow,
             Phase::Opening(flow::Opening {
                 path: path.clone(),
                 tried,
-                sent: passing.now,
+                sent_at: passing.now,
             }),
         );
         passing.actions.push(Action::Send {
@@ -339,28 +349,28 @@
     }
 
     /// Sends a packet to the agent that holds its flow, or searches for it.
-    fn carry(&mut self, routes: &Routes, passing: Passing<'_>) {
+    fn handle_carry(&mut self, routes: &Routes, passing: PacketContext<'_>) {
         let flow = passing.segment.from_caller();
         let Some(held) = self.flows.get_mut(&flow) else {
-            return self.seek(routes, None, passing);
+            return self.start_search(routes, None, passing);
         };
         let is_lost = matches!(held.phase, Phase::Lost);
-        if is_lost && passing.now >= held.since + self.settings.forget_lost {
-            return self.seek(routes, None, passing);
+        if is_lost && passing.now >= held.phase_since + self.settings.lost_retry_interval {
+            return self.start_search(routes, None, passing);
         }
-        held.used = passing.now;
+        held.last_used = passing.now;
         held.is_closing |= matches!(passing.segment.kind, Kind::Close | Kind::Reset);
         match &mut held.phase {
             Phase::Held(holder) => {
                 let holder = *holder;
-                self.send(holder, passing);
+                self.send_to_holder(holder, passing);
             }
             Phase::Opening(opening) => {
                 let first = opening.path[0];
-                self.send(first, passing);
+                self.send_to_holder(first, passing);
             }
-            Phase::Seeking(seeking) => {
-                if !seeking.wait(passing.packet) {
+            Phase::Searching(seeking) => {
+                if !seeking.enqueue(passing.packet) {
                     passing.actions.push(Action::Dropped(Drop::Crowded));
                 }
             }
@@ -369,7 +379,7 @@
     }
 
     /// Sends a packet to the holder of its flow.
-    fn send(&self, holder: Hop, passing: Passing<'_>) {
+    fn send_to_holder(&self, holder: Hop, passing: PacketContext<'_>) {
         passing.actions.push(Action::Send {
             to: holder.address,
             transit: Transit::Carry(Carry {
@@ -381,21 +391,21 @@
     }
 
     /// Notes the holder of a flow, and sends it what waits for it.
-    fn held(&mut self, now: Duration, held: &Held, actions: &mut Vec<Action>) {
+    fn record_holder(&mut self, now: Duration, held: &Held, actions: &mut Vec<Action>) {
         if let Some(load) = held.load {
             self.place.learn(now, held.holder.target, load);
         }
         let before = self.flows.remove(&held.flow);
         let is_closing = before.as_ref().is_some_and(|flow| flow.is_closing);
-        self.remember(now, held.flow, Phase::Held(held.holder));
+        self.store_flow(now, held.flow, Phase::Held(held.holder));
         if let Some(flow) = self.flows.get_mut(&held.flow) {
             flow.is_closing = is_closing;
-            flow.start = held.start;
+            flow.server_start = held.start;
         }
         let seeking = match before.map(|flow| flow.phase) {
-            Some(Phase::Seeking(seeking)) => seeking,
+            Some(Phase::Searching(seeking)) => seeking,
             Some(Phase::Opening(opening)) => {
-                let took = now.saturating_sub(opening.sent);
+                let took = now.saturating_sub(opening.sent_at);
                 return actions.push(Action::Accepted { took });
             }
             _ => return,
@@ -403,9 +413,9 @@
         actions.push(Action::Found {
             flow: held.flow,
             holder: held.holder.target,
-            took: now.saturating_sub(seeking.sent),
+            took: now.saturating_sub(seeking.asked_at),
         });
-        for packet in seeking.waiting {
+        for packet in seeking.queued {
             actions.push(Action::Send {
                 to: held.holder.address,
                 transit: Transit::Carry(Carry {
@@ -419,37 +429,37 @@
 
     /// Searches on for the holder of a flow, or gives the search up once all
     /// have answered.
-    fn absent(&mut self, now: Duration, absent: Absent, actions: &mut Vec<Action>) {
+    fn handle_absent(&mut self, now: Duration, absent: Absent, actions: &mut Vec<Action>) {
         let Some(held) = self.flows.get(&absent.flow) else {
             return;
         };
         match &held.phase {
             Phase::Held(holder) if holder.target == absent.target => {
-                let is_known = held.start.is_some() && absent.start.is_some();
-                if is_known && absent.start != held.start {
+                let is_known = held.server_start.is_some() && absent.start.is_some();
+                if is_known && absent.start != held.server_start {
                     // The holder's backend server has started anew since.
                     self.flows.remove(&absent.flow);
-                    return actions.push(search::ended(absent.flow, absent.acknowledged));
+                    return actions.push(search::reset_ended(absent.flow, absent.acknowledged));
                 }
                 let routes = Arc::clone(&self.routes);
                 let segment = Segment {
                     acknowledged: absent.acknowledged,
-                    ..header(&absent.flow)
+                    ..search_header(&absent.flow)
                 };
-                let passing = Passing {
+                let passing = PacketContext {
                     now,
                     segment,
                     packet: absent.packet,
                     actions,
                 };
-                self.seek(&routes, Some(absent.target), passing);
+                self.start_search(&routes, Some(absent.target), passing);
             }
-            Phase::Held(_) | Phase::Opening(_) | Phase::Seeking(_) | Phase::Lost => {}
+            Phase::Held(_) | Phase::Opening(_) | Phase::Searching(_) | Phase::Lost => {}
         }
     }
 
     /// Remembers a flow; a full table remembers no more, which costs searches.
-    fn remember(&mut self, now: Duration, flow: FlowId, phase: Phase) {
+    fn store_flow(&mut self, now: Duration, flow: FlowId, phase: Phase) {
         let is_full = self.flows.len() >= self.settings.max_flows;
         if is_full && !self.flows.contains_key(&flow) {
             return;
@@ -460,21 +470,25 @@
     /// Forgets flows that are over or idle.
     fn sweep(&mut self, now: Duration) {
         let settings = &self.settings;
-        let idle = self.routes.table.idle_timeout.max(settings.least_idle);
+        let idle = self
+            .routes
+            .table
+            .idle_timeout
+            .max(settings.min_idle_timeout);
         self.flows.retain(|_, flow| {
             let limit = match &flow.phase {
                 Phase::Held(_) if flow.is_closing => settings.linger,
                 Phase::Held(_) => idle,
-                Phase::Opening(_) | Phase::Seeking(_) => settings.linger,
-                Phase::Lost => settings.forget_lost,
+                Phase::Opening(_) | Phase::Searching(_) => settings.linger,
+                Phase::Lost => settings.lost_retry_interval,
             };
-            now < flow.used + limit
+            now < flow.last_used + limit
         });
     }
 }
 
 /// What a search needs of a packet's header.
-const fn header(flow: &FlowId) -> Segment {
+const fn search_header(flow: &FlowId) -> Segment {
     Segment {
         source: flow.caller,
         destination: flow.service,
--- a/roles/forward/src/entry/flow.rs
+++ b/roles/forward/src/entry/flow.rs
@@ -8,7 +8,7 @@
 
 /// Packets of one flow that wait for its holder to be found. Each end has at
 /// most this many under way.
-const MAX_WAITING: usize = 16;
+const MAX_QUEUED_PACKETS: usize = 16;
 
 /// What an entry remembers of a flow.
 #[derive(Debug)]
@@ -16,11 +16,11 @@
     /// Where it is.
     pub phase: Phase,
     /// When its last packet came.
-    pub used: Duration,
+    pub last_used: Duration,
     /// Since when it is in its phase.
-    pub since: Duration,
+    pub phase_since: Duration,
     /// When the holder's backend server started, if it said so.
-    pub start: Option<u64>,
+    pub server_start: Option<u64>,
     /// Whether the caller has ended it.
     pub is_closing: bool,
 }
@@ -33,7 +33,7 @@
     /// An agent holds it.
     Held(Hop),
     /// Agents are asked for it.
-    Seeking(Seeking),
+    Searching(Searching),
     /// No agent holds it.
     Lost,
 }
@@ -46,14 +46,14 @@
     /// Backend servers whose agents did not answer an earlier copy.
     pub tried: Vec<TargetId>,
     /// When it was sent.
-    pub sent: Duration,
+    pub sent_at: Duration,
 }
 
 /// A search for the holder of a flow.
 #[derive(Debug)]
-pub struct Seeking {
+pub struct Searching {
     /// When agents were last asked to search.
-    pub sent: Duration,
+    pub asked_at: Duration,
     /// The packet that agents are asked with; the holder delivers it.
     pub packet: Bytes,
     /// Position up to which the caller has received.
@@ -63,9 +63,9 @@
     /// How often agents were asked to search.
     pub rounds: u8,
     /// Services of which no agent holds the flow.
-    pub unheld: Vec<ServiceAddress>,
+    pub denied_by: Vec<ServiceAddress>,
     /// Packets to be sent once the holder is known.
-    pub waiting: Vec<Bytes>,
+    pub queued: Vec<Bytes>,
 }
 
 impl Flow {
@@ -73,20 +73,20 @@
     pub const fn new(now: Duration, phase: Phase) -> Self {
         Self {
             phase,
-            used: now,
-            since: now,
-            start: None,
+            last_used: now,
+            phase_since: now,
+            server_start: None,
             is_closing: false,
         }
     }
 }
 
-impl Seeking {
+impl Searching {
     /// Keeps a packet for the holder; false where too many wait.
-    pub fn wait(&mut self, packet: Bytes) -> bool {
-        let has_room = self.waiting.len() < MAX_WAITING;
+    pub fn enqueue(&mut self, packet: Bytes) -> bool {
+        let has_room = self.queued.len() < MAX_QUEUED_PACKETS;
         if has_room {
-            self.waiting.push(packet);
+            self.queued.push(packet);
         }
         has_room
     }
--- a/roles/forward/src/entry/search.rs
+++ b/roles/forward/src/entry/search.rs
@@ -16,7 +16,7 @@
 
 use super::Action;
 use super::Entry;
-use super::Passing;
+use super::PacketContext;
 use super::Refusal;
 use super::flow;
 use super::flow::Phase;
@@ -28,39 +28,44 @@
 
 impl Entry {
     /// Searches for the holder of a flow, which is not `absent`.
-    pub(super) fn seek(&mut self, routes: &Routes, absent: Option<TargetId>, passing: Passing<'_>) {
+    pub(super) fn start_search(
+        &mut self,
+        routes: &Routes,
+        absent: Option<TargetId>,
+        passing: PacketContext<'_>,
+    ) {
         let flow = passing.segment.from_caller();
-        let mut seeking = flow::Seeking {
-            sent: passing.now,
+        let mut seeking = flow::Searching {
+            asked_at: passing.now,
             packet: passing.packet,
             acknowledged: passing.segment.acknowledged,
             tried: absent.into_iter().collect(),
             rounds: 0,
-            unheld: Vec::new(),
-            waiting: Vec::new(),
+            denied_by: Vec::new(),
+            queued: Vec::new(),
         };
-        self.ask(routes, passing.now, flow, &mut seeking, passing.actions);
+        self.send_search(routes, passing.now, flow, &mut seeking, passing.actions);
         self.searches.push_back(flow);
-        self.remember(passing.now, flow, Phase::Seeking(seeking));
+        self.store_flow(passing.now, flow, Phase::Searching(seeking));
     }
 
     /// Asks one agent of each service to search.
-    fn ask(
+    fn send_search(
         &mut self,
         routes: &Routes,
         now: Duration,
         flow: FlowId,
-        seeking: &mut flow::Seeking,
+        seeking: &mut flow::Searching,
         actions: &mut Vec<Action>,
     ) {
         let Some(route) = routes.route(flow.service) else {
             return;
         };
         seeking.rounds += 1;
-        let terms = self.terms(now, route);
+        let terms = self.search_terms(now, route);
         for share in &route.shares {
             let known = routes.all(share.service).count();
-            let Some(searcher) = self.searcher(routes, share.service, &seeking.tried) else {
+            let Some(searcher) = self.choose_searcher(routes, share.service, &seeking.tried) else {
                 continue;
             };
             seeking.tried.push(searcher.id);
@@ -85,7 +90,7 @@
 
     /// The agent that is to search in a service: one of the own availability zone
     /// that was not asked before, where there is one.
-    fn searcher<'a>(
+    fn choose_searcher<'a>(
         &mut self,
         routes: &'a Routes,
         service: ServiceAddress,
@@ -102,8 +107,8 @@
 
     /// How agents are asked. Denials say something only once all agents are
     /// known, and none is held to be down that may be only cut off.
-    fn terms(&self, now: Duration, route: &Route) -> Terms {
-        let may_try = self.knows_all(now);
+    fn search_terms(&self, now: Duration, route: &Route) -> Terms {
+        let may_try = self.knows_all_agents(now);
         let is_sure = may_try && !self.routes.has_silent(route);
         Terms {
             may_try,
@@ -115,8 +120,8 @@
     /// so that flows which the entry does not know are not theirs. Zero for an
     /// entry that is older than any flow which its callers may have forgotten.
     fn max_age_ms(&self, now: Duration) -> u32 {
-        let age = now.saturating_sub(self.started);
-        if age > self.settings.stale_flows {
+        let age = now.saturating_sub(self.started_at);
+        if age > self.settings.stale_flow_window {
             return 0;
         }
         let limit = age + self.settings.start_skew;
@@ -126,14 +131,19 @@
     /// Notes that nobody of a service holds a flow. Where that holds for all
     /// services of its route, it has ended with its backend server, and the
     /// caller is told.
-    pub(super) fn unheld(&mut self, now: Duration, unheld: Unheld, actions: &mut Vec<Action>) {
+    pub(super) fn handle_unheld(
+        &mut self,
+        now: Duration,
+        unheld: Unheld,
+        actions: &mut Vec<Action>,
+    ) {
         let routes = Arc::clone(&self.routes);
         let flow = unheld.flow;
         let Some(route) = routes.route(flow.service) else {
             return;
         };
-        let is_sure = self.terms(now, route).max_age_ms > 0;
-        let Some(Phase::Seeking(seeking)) = self.flows.get_mut(&flow).map(|held| &mut held.phase)
+        let is_sure = self.search_terms(now, route).max_age_ms > 0;
+        let Some(Phase::Searching(seeking)) = self.flows.get_mut(&flow).map(|held| &mut held.phase)
         else {
             return;
         };
@@ -145,17 +155,17 @@
         let Some(share) = of.filter(|_| is_sure) else {
             return;
         };
-        seeking.unheld.push(share.service);
+        seeking.denied_by.push(share.service);
         let mut shares = route.shares.iter();
-        if shares.all(|share| seeking.unheld.contains(&share.service)) {
+        if shares.all(|share| seeking.denied_by.contains(&share.service)) {
             let sequence = seeking.acknowledged;
             self.flows.remove(&flow);
-            actions.push(ended(flow, sequence));
+            actions.push(reset_ended(flow, sequence));
         }
     }
 
     /// Takes the searches further that have had no answer.
-    pub(super) fn search_on(&mut self, now: Duration, actions: &mut Vec<Action>) {
+    pub(super) fn retry_searches(&mut self, now: Duration, actions: &mut Vec<Action>) {
         if self.searches.is_empty() {
             return;
         }
@@ -165,28 +175,28 @@
                 self.searches.pop_front();
                 continue;
             };
-            let Phase::Seeking(seeking) = &mut held.phase else {
+            let Phase::Searching(seeking) = &mut held.phase else {
                 self.searches.pop_front();
                 continue;
             };
-            if now < seeking.sent + self.settings.answer {
+            if now < seeking.asked_at + self.settings.agent_timeout {
                 return;
             }
             self.searches.pop_front();
             if seeking.rounds >= MAX_ROUNDS {
                 let rounds = seeking.rounds;
                 held.phase = Phase::Lost;
-                held.used = now;
-                held.since = now;
+                held.last_used = now;
+                held.phase_since = now;
                 actions.push(Action::Vanished { flow, rounds });
                 continue;
             }
             let Some(mut held) = self.flows.remove(&flow) else {
                 continue;
             };
-            if let Phase::Seeking(seeking) = &mut held.phase {
-                seeking.sent = now;
-                self.ask(&routes, now, flow, seeking, actions);
+            if let Phase::Searching(seeking) = &mut held.phase {
+                seeking.asked_at = now;
+                self.send_search(&routes, now, flow, seeking, actions);
             }
             self.flows.insert(flow, held);
             self.searches.push_back(flow);
@@ -195,7 +205,7 @@
 }
 
 /// Tells the caller that its flow has ended with its backend server.
-pub(super) const fn ended(flow: FlowId, sequence: u32) -> Action {
+pub(super) const fn reset_ended(flow: FlowId, sequence: u32) -> Action {
     Action::Reset {
         flow,
         sequence,
--- a/roles/forward/tests/agent.rs
+++ b/roles/forward/tests/agent.rs
@@ -359,7 +359,7 @@
 fn a_server_that_does_not_react_is_not_taken_to_be_ready() {
     let mut agent = Agent::new(Settings::default(), hop(OWN), true, ms(0));
     open_at(&mut agent, ms(1), 9, open(&[OWN]));
-    let mute = ms(1) + Settings::default().mute;
+    let mute = ms(1) + Settings::default().reaction_timeout;
     assert_eq!(agent.closed(mute), Some(Closed::Mute));
 }
 
--- a/roles/forward/tests/entry.rs
+++ b/roles/forward/tests/entry.rs
@@ -35,7 +35,7 @@
 /// Time by which the agents are taken to be known.
 fn later() -> Duration {
     let settings = Settings::default();
-    settings.first_view.max(settings.quiet)
+    settings.min_discovery.max(settings.discovery_quiet)
 }
 
 fn entry_with(targets: Vec<Target>) -> Entry {
@@ -209,7 +209,7 @@
     let mut asked = sought(&send(&mut core, later(), Kind::Data));
     assert_eq!(asked.len(), 1);
     for round in 1..=2 {
-        let next = later() + Settings::default().answer * round;
+        let next = later() + Settings::default().agent_timeout * round;
         let more = sought(&handle(&mut core, next, Event::Tick));
         assert_eq!(more.len(), 1, "round {round}");
         asked.extend(more);
@@ -299,10 +299,10 @@
     let mut now = later();
     send(&mut core, now, Kind::Data);
     for _ in 0..3 {
-        now += settings.answer;
+        now += settings.agent_timeout;
         handle(&mut core, now, Event::Tick);
     }
-    let step = settings.forget_lost / 2;
+    let step = settings.lost_retry_interval / 2;
     assert_eq!(sought(&send(&mut core, now + step, Kind::Data)), []);
     assert_eq!(
         sought(&send(&mut core, now + 2 * step, Kind::Data)).len(),
@@ -404,7 +404,7 @@
 #[test]
 fn an_old_entry_asks_for_no_denials() {
     let mut core = entry_with(two_zones());
-    let now = Settings::default().stale_flows + ms(1);
+    let now = Settings::default().stale_flow_window + ms(1);
     let asked = terms(&send(&mut core, now, Kind::Data)).unwrap();
     assert_eq!(asked.max_age_ms, 0);
 }
