--- a/roles/entry/src/lib.rs
+++ b/roles/entry/src/lib.rs
@@ -1,4 +1,4 @@
-//! The decisions of an entry: which agent a caller's packet goes to.
+//! Routing decisions of an entry: which agent receives a caller's packet.
 //!
 //! An entry keeps no state of any flow. [`Router`] is an immutable snapshot of
 //! the directory, built by the control thread and read by the traffic threads;
--- a/roles/entry/src/router.rs
+++ b/roles/entry/src/router.rs
@@ -1,4 +1,4 @@
-//! Maps a caller's datagram to the agent that it goes to.
+//! Maps a caller's datagram to the agent that receives it.
 use std::collections::HashMap;
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -24,27 +24,28 @@
 use crate::Service;
 use crate::Step;
 
-/// Number of agents on the path of a packet that continues a flow.
+/// Maximum number of agents on the path of a packet that continues a flow.
 const CONTINUE_PATH_LENGTH: usize = 3;
 
-/// Repeats of an open or request that still start at the first agent.
+/// Number of attempts at an open or request, including the first one, that
+/// start at the first agent of the path.
 const FIRST_AGENT_ATTEMPTS: u32 = 2;
 
-/// Milliseconds after which a caller may ask again for an unknown service or
-/// one without targets.
+/// Minimum time in milliseconds before a caller retries a service that is
+/// unknown or has no targets.
 const RETRY_AFTER_MS: u32 = 1_000;
 
-/// An immutable snapshot of all services, shared by the traffic threads.
+/// Immutable snapshot of all services, shared by the traffic threads.
 ///
-/// A clone shares the services, so that a change of one service costs a copy of
-/// the map and not of the orders.
+/// Cloning shares the services: an update to one service copies the map, but
+/// not the target orders.
 #[derive(Clone, Default)]
 pub struct Router {
     services: HashMap<ServiceAddress, Arc<Service>>,
     absent: HashSet<ServiceAddress>,
 }
 
-/// What the entry reads of a caller's packet.
+/// Fields of a caller's packet that decide its route.
 struct Header {
     flow: FlowKey,
     request: RequestId,
@@ -53,7 +54,7 @@
     holder: Option<Token>,
 }
 
-/// Whether a packet starts a flow.
+/// Position of a packet in its flow: opens it or continues it.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Kind {
     Open,
@@ -61,19 +62,20 @@
 }
 
 impl Router {
-    /// Adds a service, or replaces its older view.
+    /// Adds a service, or replaces its older snapshot.
     pub fn insert(&mut self, service: Service) {
         self.absent.remove(&service.address);
         self.services.insert(service.address, Arc::new(service));
     }
 
-    /// Forgets what is known of an address; packets to it are to be sought.
+    /// Removes an address: packets to it are ignored until a lookup has
+    /// determined whether it has a service.
     pub fn forget(&mut self, address: ServiceAddress) {
         self.services.remove(&address);
         self.absent.remove(&address);
     }
 
-    /// Refuses an address from now on: it has no service.
+    /// Marks an address as having no service: packets to it are refused.
     pub fn refuse(&mut self, address: ServiceAddress) {
         self.services.remove(&address);
         self.absent.insert(address);
@@ -85,28 +87,28 @@
         self.services.len()
     }
 
-    /// Returns true where no service is known.
+    /// Returns true if no service is known.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.services.is_empty()
     }
 
-    /// Decides where a datagram goes. `entry` is the address that the agents
-    /// send their replies to.
+    /// Decides where a datagram goes. `entry` is the address to which agents
+    /// send their replies.
     #[must_use]
     pub fn route(&self, sprayed: Sprayed, entry: SocketAddr) -> Step {
-        let opening = match parse(sprayed.packet.clone()) {
-            Ok(opening) => opening,
+        let header = match parse(sprayed.packet.clone()) {
+            Ok(header) => header,
             Err(reason) => return reject_unreadable(&sprayed, reason),
         };
         let service = match self.services.get(&sprayed.service) {
             Some(service) => service,
             None if self.absent.contains(&sprayed.service) => {
-                return refuse(&sprayed, &opening, Reason::NoService, Drop::NoService);
+                return refuse(&sprayed, &header, Reason::NoService, Drop::NoService);
             }
             None => return Step::Ignore(Drop::Sought),
         };
-        let Ranking { path, home } = rank(service, &opening);
+        let Ranking { path, home } = rank(service, &header);
         match (path.first(), home) {
             (Some(first), Some(home)) => Step::Relay {
                 to: first.address,
@@ -123,12 +125,13 @@
                     packet: sprayed.packet,
                 },
             },
-            _ => refuse(&sprayed, &opening, Reason::NoTarget, Drop::NoTarget),
+            _ => refuse(&sprayed, &header, Reason::NoTarget, Drop::NoTarget),
         }
     }
 }
 
-/// The agents that a packet visits, and the keeper of its flow's pin.
+/// Agents that a packet visits, in order, and the agent that keeps the pin of
+/// its flow.
 struct Ranking {
     path: Vec<Hop>,
     home: Option<Hop>,
@@ -136,31 +139,32 @@
 
 /// Ranks the agents of a service for a packet.
 ///
-/// A token leads to its holder; the agents know the rest of the order.
-fn rank(service: &Service, opening: &Header) -> Ranking {
+/// A packet with a token goes to the token's holder first. Agents know the
+/// complete order, so the path holds only its first agents.
+fn rank(service: &Service, header: &Header) -> Ranking {
     let order = service.order();
-    let holder = opening
+    let holder = header
         .holder
         .and_then(|token| service.target(token.target))
         .map(Target::hop);
-    let mut path: Vec<Hop> = match (opening.kind, holder) {
+    let mut path: Vec<Hop> = match (header.kind, holder) {
         (Kind::Open, _) => order
-            .open(opening.flow, service.hunt)
+            .open(header.flow, service.hunt)
             .map(Target::hop)
             .collect(),
-        (Kind::Continue, Some(_)) if opening.attempt < FIRST_AGENT_ATTEMPTS => {
-            order.top(opening.flow, 1).map(Target::hop).collect()
+        (Kind::Continue, Some(_)) if header.attempt < FIRST_AGENT_ATTEMPTS => {
+            order.top(header.flow, 1).map(Target::hop).collect()
         }
         (Kind::Continue, _) => order
-            .top(opening.flow, CONTINUE_PATH_LENGTH)
+            .top(header.flow, CONTINUE_PATH_LENGTH)
             .map(Target::hop)
             .collect(),
     };
-    let home = match opening.kind {
-        Kind::Open if order.has_closed() => order.top(opening.flow, 1).next().map(Target::hop),
+    let home = match header.kind {
+        Kind::Open if order.has_closed() => order.top(header.flow, 1).next().map(Target::hop),
         Kind::Open | Kind::Continue => path.first().copied(),
     };
-    skip_unresponsive(&mut path, opening.attempt);
+    skip_unresponsive(&mut path, header.attempt);
     if let Some(holder) = holder {
         path.retain(|hop| hop.target != holder.target);
         path.insert(0, holder);
@@ -168,8 +172,8 @@
     Ranking { path, home }
 }
 
-/// Lets late repeats start further along the path, because the first agent may
-/// be dead and not yet known to be.
+/// Rotates the path for later retransmits, because the first agent may have
+/// failed without being marked down yet.
 fn skip_unresponsive(path: &mut [Hop], attempt: u32) {
     let skip = attempt.saturating_sub(FIRST_AGENT_ATTEMPTS - 1) as usize;
     if let length @ 2.. = path.len() {
@@ -184,7 +188,7 @@
         caller::Error::TooLarge => Drop::TooLarge,
     })?;
     let flow = packet.flow;
-    let carry_on = |request, attempt, holder: &Bytes| Header {
+    let continue_flow = |request, attempt, holder: &Bytes| Header {
         flow,
         request,
         kind: Kind::Continue,
@@ -199,18 +203,22 @@
             attempt: open.attempt,
             holder: None,
         }),
-        Body::Request(request) => Ok(carry_on(request.request, request.attempt, &request.holder)),
-        Body::Cancel(cancel) => Ok(carry_on(cancel.request, 0, &cancel.holder)),
-        Body::Fetch(fetch) => Ok(carry_on(fetch.request, 0, &fetch.holder)),
-        Body::Close(close) => Ok(carry_on(0, 0, &close.holder)),
+        Body::Request(request) => Ok(continue_flow(
+            request.request,
+            request.attempt,
+            &request.holder,
+        )),
+        Body::Cancel(cancel) => Ok(continue_flow(cancel.request, 0, &cancel.holder)),
+        Body::Fetch(fetch) => Ok(continue_flow(fetch.request, 0, &fetch.holder)),
+        Body::Close(close) => Ok(continue_flow(0, 0, &close.holder)),
         Body::Opened(_) | Body::Chunk(_) | Body::Refusal(_) | Body::Closed(_) => {
             Err(Drop::Direction)
         }
     }
 }
 
-/// A packet that could not be read is answered only where the sender can match
-/// the answer to a flow.
+/// Answers a packet that cannot be parsed, but only if the sender can match the
+/// answer to a flow.
 fn reject_unreadable(sprayed: &Sprayed, reason: Drop) -> Step {
     let answer = match reason {
         Drop::Version => Reason::BadVersion,
@@ -225,23 +233,23 @@
     reply(sprayed, &packet, reason)
 }
 
-/// Refuses a packet that reached no agent.
+/// Refuses a packet that was not relayed to any agent.
 ///
-/// A first copy may have been relayed by another entry, so that only an open
-/// is known not to have run.
-fn refuse(sprayed: &Sprayed, opening: &Header, reason: Reason, drop: Drop) -> Step {
-    let outcome = match opening.kind {
+/// Another entry may have relayed an earlier copy, so only an open is certain
+/// not to have run.
+fn refuse(sprayed: &Sprayed, header: &Header, reason: Reason, drop_reason: Drop) -> Step {
+    let outcome = match header.kind {
         Kind::Open => Outcome::NotRun,
         Kind::Continue => Outcome::Unknown,
     };
     let packet = Packet::refuse(
-        opening.flow,
-        opening.request,
+        header.flow,
+        header.request,
         reason,
         outcome,
-        retry_after_ms(opening.flow),
+        retry_after_ms(header.flow),
     );
-    reply(sprayed, &packet, drop)
+    reply(sprayed, &packet, drop_reason)
 }
 
 fn reply(sprayed: &Sprayed, packet: &Packet, reason: Drop) -> Step {
@@ -255,7 +263,9 @@
     }
 }
 
-/// Spreads the return of refused callers over one further interval.
+/// Returns the retry delay in milliseconds: the minimum plus up to the same
+/// again, derived from the flow key, so that refused callers do not retry all
+/// at once.
 fn retry_after_ms(flow: FlowKey) -> u32 {
     let spread = flow % u64::from(RETRY_AFTER_MS);
     RETRY_AFTER_MS + u32::try_from(spread).unwrap_or(0)
--- a/roles/entry/src/service.rs
+++ b/roles/entry/src/service.rs
@@ -1,23 +1,23 @@
-//! What an entry needs to know of one service.
+//! Routing data of one service.
 use route::Order;
 use wire::Revision;
 use wire::ServiceAddress;
 use wire::Target;
 use wire::TargetId;
 
-/// One service as the entries route it.
+/// Routing data of one service, as an entry uses it.
 pub struct Service {
-    /// Where callers send to.
+    /// Address that callers send to.
     pub address: ServiceAddress,
-    /// Revision of the configuration that this view is built from.
+    /// Revision of the configuration that this snapshot was built from.
     pub revision: Revision,
-    /// Number of agents that an open visits; at least 1.
+    /// Maximum number of agents that an open visits; at least 1.
     pub hunt: usize,
     order: Order,
 }
 
 impl Service {
-    /// Routes a service by the order of its targets.
+    /// Creates the routing data of a service; a `hunt` of 0 is raised to 1.
     #[must_use]
     pub fn new(address: ServiceAddress, revision: Revision, hunt: usize, order: Order) -> Self {
         Self {
@@ -34,7 +34,7 @@
         &self.order
     }
 
-    /// Finds a target by its id.
+    /// Returns the target with the given id.
     #[must_use]
     pub fn target(&self, id: TargetId) -> Option<&Target> {
         self.order.target(id)
--- a/roles/entry/src/step.rs
+++ b/roles/entry/src/step.rs
@@ -1,45 +1,45 @@
-//! What an entry does with one datagram.
+//! Outcome of routing one datagram.
 use std::net::SocketAddr;
 
 use wire::Relay;
 use wire::Reply;
 
-/// What to do with a datagram of a caller.
+/// Action for a caller's datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Send the frame to an agent.
+    /// Sends the frame to an agent.
     Relay {
         /// UDP address of the agent.
         to: SocketAddr,
-        /// The frame.
+        /// Frame to send.
         relay: Relay,
     },
-    /// Answer the caller at once.
+    /// Answers the caller directly.
     Refuse {
-        /// The answer.
+        /// Answer to send.
         reply: Reply,
-        /// Why, for the counters.
+        /// Reason, for the counters.
         reason: Drop,
     },
-    /// Send nothing; the sender could not use an answer.
+    /// Sends nothing: the sender could not use an answer.
     Ignore(Drop),
 }
 
-/// Why a datagram was not relayed.
+/// Reason for not relaying a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Drop {
-    /// It could not be read.
+    /// The packet is malformed.
     Malformed,
-    /// Its version is not supported.
+    /// The protocol version is not supported.
     Version,
-    /// Its payload is too large.
+    /// The payload is too large.
     TooLarge,
-    /// It is a packet that only the system sends.
+    /// The packet is of a kind that only the system sends to callers.
     Direction,
-    /// Nothing is known of this address yet; peers are to be asked.
+    /// The address is unknown; a lookup among the peers is needed.
     Sought,
-    /// No service has this address.
+    /// No service has the address.
     NoService,
-    /// The service has no target.
+    /// The service has no suitable target.
     NoTarget,
 }
--- a/roles/entry/tests/router.rs
+++ b/roles/entry/tests/router.rs
@@ -1,4 +1,4 @@
-//! Where the packets of callers go.
+//! Tests which agent the packets of callers are routed to.
 use std::net::SocketAddr;
 
 use bytes::Bytes;
@@ -75,7 +75,7 @@
             assert_eq!(to, relay.path[0].address);
             relay
         }
-        other => panic!("not relayed: {other:?}"),
+        other => panic!("expected Step::Relay, got {other:?}"),
     }
 }
 
@@ -97,16 +97,19 @@
 
 fn refused(step: Step) -> wire::caller::Refusal {
     let Step::Refuse { reply, .. } = step else {
-        panic!("not refused: {step:?}");
+        panic!("expected Step::Refuse, got {step:?}");
     };
-    match Packet::from_bytes(reply.packet).expect("a packet").body {
+    match Packet::from_bytes(reply.packet)
+        .expect("reply should be a valid packet")
+        .body
+    {
         Some(Body::Refusal(refusal)) => refusal,
-        other => panic!("not a refusal: {other:?}"),
+        other => panic!("expected a refusal packet, got {other:?}"),
     }
 }
 
 #[test]
-fn every_entry_sends_a_flow_along_the_same_path() {
+fn path_does_not_depend_on_the_order_of_targets() {
     let mut reversed = ready();
     reversed.reverse();
     let one = relayed(send(&router(&ready()), open(0)));
@@ -117,7 +120,7 @@
 }
 
 #[test]
-fn a_draining_target_gets_no_opens_but_keeps_its_pins() {
+fn draining_target_gets_no_opens_but_keeps_its_pins() {
     let first = relayed(send(&router(&ready()), open(0))).home;
     let mut targets = ready();
     for target in &mut targets {
@@ -133,7 +136,7 @@
 }
 
 #[test]
-fn a_token_leads_straight_to_its_holder() {
+fn request_with_token_visits_its_holder_first() {
     for target in 1..=u64::from(TARGETS) {
         let token = Token {
             target,
@@ -145,7 +148,7 @@
 }
 
 #[test]
-fn late_repeats_start_at_another_agent() {
+fn later_retransmits_start_at_another_agent() {
     let router = router(&ready());
     let first = relayed(send(&router, open(0)));
     let second = relayed(send(&router, open(1)));
@@ -154,19 +157,19 @@
     assert_ne!(first.path[0], third.path[0]);
 }
 
-fn refuses_with(case: (Vec<Target>, Bytes, Reason, Outcome)) {
+fn is_refused_with(case: (Vec<Target>, Bytes, Reason, Outcome)) {
     let (targets, packet, reason, outcome) = case;
     let refusal = refused(send(&router(&targets), packet));
     assert_eq!(refusal.reason(), reason);
     assert_eq!(refusal.outcome(), outcome);
 }
 
-cases! { refuses_with;
-    an_open_without_targets_did_not_run: (vec![], open(0), Reason::NoTarget, Outcome::NotRun),
-    a_request_without_targets_is_unknown: (vec![], request(&[], 0), Reason::NoTarget, Outcome::Unknown),
-    an_open_while_all_drain_did_not_run:
+cases! { is_refused_with;
+    open_without_targets_reports_not_run: (vec![], open(0), Reason::NoTarget, Outcome::NotRun),
+    request_without_targets_reports_unknown: (vec![], request(&[], 0), Reason::NoTarget, Outcome::Unknown),
+    open_with_only_draining_targets_reports_not_run:
         (vec![target(0, State::Draining)], open(0), Reason::NoTarget, Outcome::NotRun),
-    another_version_is_refused: (
+    unsupported_version: (
         ready(),
         {
             let mut packet = Packet::new(FLOW, Body::Open(Open { attempt: 0 }));
@@ -179,7 +182,7 @@
 }
 
 #[test]
-fn an_unknown_service_is_sought_and_refused_once_nobody_knows_it() {
+fn unknown_service_is_ignored_until_marked_absent() {
     let mut router = Router::default();
     assert_eq!(send(&router, open(0)), Step::Ignore(Drop::Sought));
     assert_eq!(send(&router, request(&[], 0)), Step::Ignore(Drop::Sought));
@@ -192,29 +195,29 @@
 }
 
 #[test]
-fn a_service_that_appears_is_no_longer_refused() {
+fn service_that_appears_is_no_longer_refused() {
     let mut router = Router::default();
     router.refuse(address(80));
     router.insert(Service::new(address(80), 5, 3, Order::new(&ready())));
     relayed(send(&router, open(0)));
 }
 
-fn ignores(case: (Bytes, Drop)) {
+fn is_ignored(case: (Bytes, Drop)) {
     let (packet, reason) = case;
     assert_eq!(send(&router(&ready()), packet), Step::Ignore(reason));
 }
 
-cases! { ignores;
-    noise: (Bytes::from_static(&[0xff; 40]), Drop::Malformed),
-    an_empty_datagram: (Bytes::new(), Drop::Version),
-    a_flow_key_of_zero:
+cases! { is_ignored;
+    random_bytes: (Bytes::from_static(&[0xff; 40]), Drop::Malformed),
+    empty_datagram: (Bytes::new(), Drop::Version),
+    flow_key_zero:
         (Packet::new(0, Body::Close(Close::default())).to_bytes(), Drop::Malformed),
-    a_packet_of_the_system: (Packet::new(FLOW, Body::Closed(Closed {})).to_bytes(), Drop::Direction),
+    packet_that_only_the_system_sends: (Packet::new(FLOW, Body::Closed(Closed {})).to_bytes(), Drop::Direction),
 }
 
 proptest! {
     #[test]
-    fn no_datagram_stops_an_entry(noise in vec(any::<u8>(), 0..400)) {
-        send(&router(&ready()), noise.into());
+    fn no_datagram_makes_the_router_panic(datagram in vec(any::<u8>(), 0..400)) {
+        send(&router(&ready()), datagram.into());
     }
 }
--- a/roles/forward/src/agent.rs
+++ b/roles/forward/src/agent.rs
@@ -1,9 +1,10 @@
-//! The agent's side: hands a backend server the packets of the flows that it
-//! holds, and decides which new flows it takes.
+//! Agent: delivers the packets of the flows that its backend server holds, and
+//! decides which new flows are admitted.
 //!
-//! A backend server knows which flows it holds and hands back any other packet.
-//! An agent that has just started relies on that: it delivers one packet of a
-//! flow that it does not know and learns from what comes back.
+//! A backend server knows which flows it holds and returns every other packet.
+//! An agent that has just started relies on this: it delivers one packet of an
+//! unknown flow as a probe and learns from the reaction whether the server
+//! holds the flow.
 mod action;
 mod admission;
 mod backend;
@@ -50,74 +51,77 @@
 use search::PendingSearch;
 pub use settings::Settings;
 
-/// What happens to an agent.
+/// Input of an agent.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// An opening packet arrived from an entry or another agent.
     Open {
-        /// The frame.
+        /// Received frame.
         open: Open,
-        /// Header of its packet.
+        /// Header of the packet in the frame.
         segment: Segment,
     },
-    /// A packet of a flow that the backend server is believed to hold.
+    /// A packet arrived for a flow that the backend server is believed to hold.
     Carry {
-        /// The frame.
+        /// Received frame.
         carry: Carry,
-        /// Header of its packet.
+        /// Header of the packet in the frame.
         segment: Segment,
     },
-    /// A packet of a flow whose holder is to be found.
+    /// An entry asks this agent to search for the holder of a packet's flow.
     Search {
-        /// The frame.
+        /// Received frame.
         search: Search,
-        /// Header of its packet.
+        /// Header of the packet in the frame.
         segment: Segment,
     },
-    /// A packet of a flow whose holder is not known.
+    /// A searching agent asks whether the flow of a packet is held here.
     Seek {
-        /// The frame.
+        /// Received frame.
         seek: Seek,
-        /// Header of its packet.
+        /// Header of the packet in the frame.
         segment: Segment,
     },
-    /// Another agent surely does not hold a flow that is searched for here.
+    /// Another agent reports that it does not hold a flow that is searched for
+    /// here.
     Denied(Absent),
-    /// The other agents of the service changed.
+    /// The set of other agents of the service changed.
     Peers(Peers),
-    /// The backend server sent a packet, or handed one back.
+    /// The backend server sent a packet, or returned one that it does not hold
+    /// or accept.
     Server {
-        /// Its header.
+        /// Header of the packet.
         segment: Segment,
-        /// All of it.
+        /// Complete packet.
         packet: Bytes,
     },
-    /// The backend server told its state.
+    /// The backend server announced its state.
     Backend(Backend),
-    /// The backend server said that it ends.
+    /// The backend server announced its termination.
     Gone,
-    /// The process is to stop.
+    /// The process is shutting down.
     Stop,
-    /// Time passed.
+    /// A timer fired: due work such as expiry is done.
     Tick,
 }
 
-/// The decisions of an agent.
+/// State machine of an agent.
 #[derive(Debug)]
 pub struct Agent {
     settings: Settings,
     own: Hop,
     started_at: Duration,
-    /// Whether the backend server may hold flows from before this process.
+    /// Whether the backend server may hold flows that were opened before this
+    /// process started.
     may_hold_prior_flows: bool,
     backend: Option<Backend>,
     last_announced: Duration,
-    /// When the start of the backend server was first heard of, and the longest
-    /// time for which it can have run then.
+    /// Time of the first announcement received from the current backend server,
+    /// and the longest time for which the server can have been running then.
     first_announced: Duration,
     max_age_at_first: Duration,
-    /// When the backend server was first sent an opening packet that it has not
-    /// reacted to.
+    /// Time of the first opening packet that the backend server has not reacted
+    /// to.
     unanswered_since: Option<Duration>,
     is_stopping: bool,
     occupancy: Occupancy,
@@ -137,30 +141,29 @@
 #[derive(Clone, Copy, Debug)]
 struct Probe {
     entry: SocketAddr,
-    /// Who is told that the flow is not held: the entry, or an agent that
-    /// searches.
+    /// Receiver of the reply if the flow is not held: the entry, or an agent
+    /// that searches for the holder.
     reply_to: SocketAddr,
     sent_at: Duration,
     count: u8,
 }
 
-/// Number of the first announcement of a backend server. Who hears it knows of
-/// all flows that the backend server ever had.
+/// Sequence number of a backend server's first announcement. An agent that
+/// receives it has seen every flow that the server ever had.
 const FIRST_SEQUENCE: u64 = 1;
 
-/// Packets of one unknown flow that the backend server is given to learn whether
-/// it holds the flow.
+/// Maximum number of probes for one unknown flow.
 const MAX_PROBES: u8 = 2;
 
 impl Agent {
-    /// Starts without a backend server. `has_past` is false where no process
-    /// can have stood beside the backend server before.
+    /// Creates an agent without a backend server. `may_hold_prior_flows` is
+    /// false if no earlier process can have run beside the backend server.
     #[must_use]
-    pub fn new(settings: Settings, own: Hop, has_past: bool, now: Duration) -> Self {
+    pub fn new(settings: Settings, own: Hop, may_hold_prior_flows: bool, now: Duration) -> Self {
         Self {
             own,
             started_at: now,
-            may_hold_prior_flows: has_past,
+            may_hold_prior_flows,
             backend: None,
             last_announced: now,
             first_announced: now,
@@ -182,7 +185,7 @@
         }
     }
 
-    /// Takes an event.
+    /// Processes an event and appends the resulting actions.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Open { open, segment } => self.handle_open(now, open, segment, actions),
@@ -210,7 +213,8 @@
         }
     }
 
-    /// Why no new flows are taken, if so.
+    /// Returns the reason for which no new flows are admitted, or `None` if
+    /// they are.
     #[must_use]
     pub fn closed(&self, now: Duration) -> Option<Closed> {
         let settings = &self.settings;
@@ -230,14 +234,15 @@
         }
     }
 
-    /// Whether the backend server is taken to be ready before it has announced
-    /// itself to this process: one that lives beside a process that was killed
-    /// serves on.
+    /// Returns whether the backend server is assumed to be ready although this
+    /// process has received no announcement: after a crash of the agent, its
+    /// backend server keeps serving.
     fn assumes_ready(&self, now: Duration) -> bool {
         self.may_hold_prior_flows && now < self.started_at + self.settings.assumed
     }
 
-    /// Whether the backend server is ready and was heard of lately.
+    /// Returns whether the backend server is ready and has announced itself
+    /// recently.
     #[must_use]
     pub fn is_open(&self, now: Duration) -> bool {
         matches!(
@@ -246,31 +251,31 @@
         )
     }
 
-    /// Whether any request runs or waits.
+    /// Returns whether any request is running or queued.
     #[must_use]
     pub const fn is_busy(&self) -> bool {
         self.occupancy.running() > 0
     }
 
-    /// Requests that run or wait.
+    /// Returns the number of requests that are running or queued.
     #[must_use]
     pub const fn running(&self) -> u16 {
         self.occupancy.running()
     }
 
-    /// Number of flows that are held.
+    /// Returns the number of held flows.
     #[must_use]
     pub fn len(&self) -> usize {
         self.flows.len()
     }
 
-    /// True where no flow is held.
+    /// Returns true if no flow is held.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.flows.is_empty()
     }
 
-    /// The load, to be told to entries.
+    /// Returns the load that is reported to entries.
     #[must_use]
     pub fn load(&self, now: Duration) -> transit::Load {
         let own = self.occupancy.load();
@@ -283,7 +288,7 @@
         }
     }
 
-    /// Takes a packet that an entry believes to belong here.
+    /// Handles a packet whose flow the entry believes to be held here.
     fn handle_carry(
         &mut self,
         now: Duration,
@@ -312,7 +317,8 @@
         send_absent(flow, carry, &segment, self.evidence(now), actions);
     }
 
-    /// Delivers a packet of a flow that is held.
+    /// Delivers a packet of a held flow, or reports the flow as not held if the
+    /// packet shows that the caller's flow was accepted by another server.
     fn deliver(
         &mut self,
         now: Duration,
@@ -339,7 +345,7 @@
         actions.push(Action::Deliver(carry.packet));
     }
 
-    /// Forgets what is over.
+    /// Expires requests, flows, probes and searches.
     fn sweep(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let settings = &self.settings;
         let occupancy = &mut self.occupancy;
@@ -366,8 +372,9 @@
     }
 }
 
-/// Sends a packet after its flow, which was passed on, and tells the entry where:
-/// the word of the agent that took it may have been lost.
+/// Forwards a packet to the agent that its flow was passed on to. Also tells
+/// the entry about that agent, because the agent's own notification may have
+/// been lost.
 fn forward_to_next_holder(flow: FlowId, to: Hop, carry: Carry, actions: &mut Vec<Action>) {
     let held = transit::Held {
         flow,
--- a/roles/forward/src/agent/action.rs
+++ b/roles/forward/src/agent/action.rs
@@ -1,4 +1,4 @@
-//! What an agent asks of its process.
+//! Actions and decisions of an agent.
 use std::net::SocketAddr;
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -10,155 +10,160 @@
 
 use super::Bid;
 
-/// What an agent asks of its process, and what it decided.
+/// Output of an agent: an action for the process to carry out, or a decision to
+/// count and log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Hand a packet to the backend server.
+    /// Deliver a packet to the backend server.
     Deliver(Bytes),
-    /// Send a packet of the backend server to a caller.
+    /// Send a packet of the backend server to its caller.
     ToCaller {
-        /// The caller.
+        /// Address of the caller.
         caller: SocketAddrV4,
-        /// The packet.
+        /// Packet to send.
         packet: Bytes,
     },
     /// Send a frame to an entry or agent.
     Send {
-        /// Its UDP address.
+        /// UDP address of the receiver.
         to: SocketAddr,
-        /// The frame.
+        /// Frame to send.
         transit: Transit,
     },
     /// Tell the caller that its flow is refused or has ended.
     Reset {
-        /// The flow.
+        /// Flow to reset.
         flow: FlowId,
-        /// Position in the stream that the caller expects next.
+        /// Sequence number that the caller expects next.
         sequence: u32,
-        /// Why.
+        /// Reason of the reset.
         reason: Refusal,
-        /// Bids of the agents that were asked, in milliseconds.
+        /// Bids of the agents that were asked, in milliseconds; empty if none
+        /// were asked.
         bids: Vec<u32>,
     },
-    /// A new flow was taken.
+    /// A new flow was admitted.
     Taken {
         /// The flow.
         flow: FlowId,
-        /// Its expected wait.
+        /// Expected cost of its first request.
         bid: Bid,
-        /// Requests that ran or waited before it.
+        /// Number of requests that were running or queued before it.
         running: u16,
-        /// Flows held before it.
+        /// Number of flows held before it.
         held: usize,
-        /// The entry that it came through.
+        /// Address of the entry that sent the opening packet.
         entry: SocketAddr,
     },
-    /// The backend server began to answer a request.
+    /// The backend server sent the first content of the answer to a request.
     Answered {
-        /// Time since the request.
+        /// Time from the request to the first content of the answer.
         took: Duration,
     },
-    /// The backend server reset a request, or did not answer it in its time.
+    /// A request failed: the backend server reset it or did not answer it
+    /// before its timeout.
     Failed {
         /// The flow.
         flow: FlowId,
     },
-    /// A new flow was passed to another agent.
+    /// A new flow was passed on to another agent.
     Passed {
         /// The flow.
         flow: FlowId,
-        /// What it could expect here, or why none are taken.
+        /// Bid of this agent, or the reason for which it admits no flows.
         bid: Result<Bid, Closed>,
-        /// The backend server of the agent that it goes to.
+        /// Backend server of the agent that receives the flow.
         to: TargetId,
-        /// Whether that agent is to take or refuse it.
+        /// Whether all agents have bid and this receiver was chosen by its bid.
         is_settled: bool,
     },
-    /// A packet was delivered to learn whether its flow is held.
+    /// A packet was delivered as a probe, to learn whether the backend server
+    /// holds its flow.
     Probed {
         /// The flow.
         flow: FlowId,
     },
-    /// The backend server handed a packet back.
+    /// The backend server returned a packet that it does not hold.
     Returned {
         /// The flow.
         flow: FlowId,
-        /// Whether the flow was believed to be held.
+        /// Whether the agent had recorded the flow as held.
         was_held: bool,
     },
-    /// No agent of the service holds a flow that was searched for here.
+    /// A search ended: no agent of the service holds the flow.
     Unheld {
         /// The flow.
         flow: FlowId,
-        /// Agents that deny it.
+        /// Number of agents that deny holding the flow.
         agents: usize,
-        /// Time that the search took.
+        /// Duration of the search.
         took: Duration,
     },
-    /// A search here has ended with neither a holder nor the certainty that there
-    /// is none.
+    /// A search expired with neither a holder nor enough denials to prove that
+    /// there is none.
     Undecided {
         /// The flow.
         flow: FlowId,
-        /// Agents that deny it.
+        /// Number of agents that deny holding the flow.
         denied: usize,
-        /// Agents of the service.
+        /// Number of known agents of the service, including this one.
         agents: usize,
-        /// Whether no other agent may hold it.
+        /// Whether the denials of the known agents would have been conclusive:
+        /// this agent knows as many agents as the entry, and none is marked
+        /// down.
         is_complete: bool,
     },
-    /// The backend server has ended, and its flows with it.
+    /// The backend server terminated, which ended all its flows.
     Ended {
-        /// Flows that it held.
+        /// Number of flows that it held.
         flows: usize,
     },
-    /// Something was dropped.
+    /// A packet, a search or an announcement was dropped.
     Dropped(Drop),
 }
 
-/// Why an agent takes no new flows.
+/// Reason for which an agent admits no new flows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Closed {
-    /// The process is to stop.
+    /// The process is shutting down.
     Stopping,
     /// The backend server has not announced itself yet.
     Unknown,
-    /// The flow is meant for another backend server, which was at the address
-    /// before.
+    /// The flow is addressed to an earlier backend server at this address.
     OtherServer,
-    /// The backend server drains or has ended.
+    /// The backend server is draining or has terminated.
     NotReady,
-    /// The backend server was not heard of for too long.
+    /// The backend server's announcements have stopped.
     Silent,
-    /// The backend server did not react to an opening packet.
+    /// The backend server did not react to an opening packet in time.
     Mute,
-    /// The backend server holds as many flows as it can.
+    /// The maximum number of flows is held.
     Flows,
-    /// The backend server's queue is full.
+    /// The queue of the backend server is full.
     Queue,
 }
 
-/// Why a flow was refused, or has ended.
+/// Reason for which a flow was refused or reset.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Refusal {
-    /// No agent expects to serve it within the caller's time.
+    /// No agent expects a free slot within the request's timeout.
     NoSlot,
-    /// No backend server accepted it.
+    /// No backend server accepted the opening packet.
     NotAccepted,
-    /// Its backend server has ended.
+    /// The backend server of the flow terminated.
     ServerEnded,
 }
 
-/// Why something was dropped.
+/// Reason for dropping a packet, a search or an announcement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Drop {
-    /// No server can take the flow, which may be open by another copy of its
-    /// opening packet.
+    /// No server can admit the flow, but the flow may already be open through
+    /// an earlier copy of its opening packet.
     RefusedCopy,
-    /// Too many searches are under way.
+    /// The limit of concurrent searches is reached.
     Searches,
-    /// Another packet of the flow is being tried at the backend server.
+    /// Another probe of the flow is pending, or all its probes are used up.
     Probing,
-    /// An announcement is older than one that is known.
+    /// An announcement is older than one already received.
     OldAnnouncement,
 }
--- a/roles/forward/src/agent/admission.rs
+++ b/roles/forward/src/agent/admission.rs
@@ -1,4 +1,4 @@
-//! Takes new flows, or passes them on.
+//! Admits new flows or passes them on to other agents.
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -21,8 +21,8 @@
 use super::flow::Flow;
 
 impl Agent {
-    /// Takes a new flow, passes it on, or refuses it. A copy of an opening packet
-    /// follows the first one.
+    /// Admits a new flow, passes it on, or refuses it. A retransmitted opening
+    /// packet follows the first one.
     pub(super) fn handle_open(
         &mut self,
         now: Duration,
@@ -63,7 +63,8 @@
                 self.report_busy(now, open.entry, target, actions);
                 pass_on(open, actions);
             }
-            // The flow may have opened elsewhere by another copy.
+            // The flow may have been opened elsewhere through an earlier copy
+            // of the packet.
             Verdict::Refuse(_) if segment.is_copy() => {
                 actions.push(Action::Dropped(Drop::RefusedCopy));
             }
@@ -76,7 +77,8 @@
         }
     }
 
-    /// What a new flow can expect here, or why none is taken.
+    /// Returns the bid for a new flow, or the reason for which none are
+    /// admitted.
     fn bid(&self, now: Duration) -> Result<Bid, Closed> {
         let load = self.load(now);
         match self.closed(now) {
@@ -89,7 +91,8 @@
         }
     }
 
-    /// Hands a new flow to the backend server and says so to its entry.
+    /// Delivers the opening packet of a new flow to the backend server and
+    /// notifies the entry.
     fn admit(
         &mut self,
         now: Duration,
@@ -114,7 +117,7 @@
         self.announce_holder(now, flow, entry, actions);
     }
 
-    /// Names this agent as the holder of a flow.
+    /// Notifies an entry that this agent holds a flow.
     pub(super) fn announce_holder(
         &self,
         now: Duration,
@@ -134,8 +137,9 @@
         });
     }
 
-    /// Tells an entry that its view of the load of a backend server here is too
-    /// good.
+    /// Reports the load of a backend server to an entry that sent a flow which
+    /// this agent could not admit. For a target that is closed or no longer
+    /// here, the load is reported as a full queue.
     fn report_busy(
         &self,
         now: Duration,
@@ -153,7 +157,8 @@
         });
     }
 
-    /// Passes on an opening packet that the backend server did not accept.
+    /// Passes on an opening packet that the backend server did not accept, or
+    /// resets its flow.
     pub(super) fn handle_unaccepted(
         &mut self,
         now: Duration,
--- a/roles/forward/src/agent/backend.rs
+++ b/roles/forward/src/agent/backend.rs
@@ -1,47 +1,47 @@
-//! What a backend server tells of itself.
+//! Announcements of a backend server.
 use std::time::Duration;
 
 use wire::ServiceAddress;
 use wire::TargetId;
 
-/// Start time of a backend server in milliseconds since the Unix epoch, by its
-/// own clock. Orders the starts at one address.
+/// Start time of a backend server in milliseconds since the Unix epoch, by the
+/// server's own clock. Orders successive servers at one address.
 pub type Start = u64;
 
-/// What a backend server tells of itself.
+/// Announcement of a backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Backend {
-    /// Its name.
+    /// Name of the backend server.
     pub name: String,
-    /// The service that it serves.
+    /// Address of the service that it serves.
     pub service: ServiceAddress,
-    /// Its id within the system.
+    /// Id of the backend server within the system.
     pub target: TargetId,
-    /// When it started.
+    /// Start time by its own clock.
     pub start: Start,
-    /// Rises with each announcement of one start.
+    /// Sequence number, incremented with each announcement since the start.
     pub sequence: u64,
-    /// Requests that it runs at a time.
+    /// Number of requests that it runs concurrently.
     pub slots: u16,
-    /// Whether it takes new flows.
+    /// Whether it accepts new flows.
     pub state: State,
-    /// How much longer it is slow after its start.
+    /// Remaining time for which it is slow after its start.
     pub warm_up: Duration,
 }
 
-/// Whether a backend server takes new flows.
+/// Whether a backend server accepts new flows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum State {
-    /// It takes new flows.
+    /// Accepts new flows.
     Ready,
-    /// It finishes the flows that it has.
+    /// Accepts no new flows but serves the existing ones.
     Draining,
-    /// It has ended.
+    /// Terminated.
     Gone,
 }
 
 impl Backend {
-    /// Whether this was said before `other`.
+    /// Returns whether this announcement was made before `other`.
     #[must_use]
     pub fn is_older_than(&self, other: &Self) -> bool {
         (self.start, self.sequence) < (other.start, other.sequence)
--- a/roles/forward/src/agent/bid.rs
+++ b/roles/forward/src/agent/bid.rs
@@ -1,53 +1,54 @@
-//! Decides where an opening packet ends.
+//! Decides which agent admits a new flow.
 //!
-//! Answers the load of many short flows on few slots: the first agent with a
-//! free slot takes a flow; where all are busy, the one that will be free first.
+//! Spreads many short flows over few slots: the first agent with a free slot
+//! admits a flow; if all are busy, the agent with the lowest bid does.
 use std::time::Duration;
 
 use wire::transit::Open;
 
-/// Bid of an agent that takes no flows.
+/// Bid in milliseconds of an agent that admits no flows.
 pub const NO_BID: u32 = u32::MAX;
 
-/// Expected wait up to which an agent takes a flow without asking others.
-/// About the time that passing it on takes.
+/// Expected wait up to which an agent admits a flow without asking others:
+/// about the time that passing the flow on takes.
 const NEGLIGIBLE_WAIT: Duration = Duration::from_millis(2);
 
-/// Expected loss up to which it does not either: a failure in fifty requests.
+/// Expected cost of failures up to which an agent admits a flow without asking
+/// others; corresponds to one failure in fifty requests.
 const NEGLIGIBLE_RISK: Duration = Duration::from_millis(20);
 
-/// What becomes of an opening packet.
+/// Decision on an opening packet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is taken here.
+    /// Admit the flow here.
     Take(Open),
-    /// It goes to the agent at its position.
+    /// Pass the packet on to the agent at its `position`.
     Pass(Open),
-    /// No agent on its path can serve it in time.
+    /// Refuse the flow: no agent on its path can serve it in time.
     Refuse(Open),
 }
 
-/// What a new flow can expect of a backend server.
+/// Expected cost of serving a new flow at a backend server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Bid {
-    /// Expected wait of its first request.
+    /// Expected wait of the flow's first request for a slot.
     pub wait: Duration,
-    /// Expected wait through the requests of other flows, later.
+    /// Expected later wait caused by the requests of other held flows.
     pub held: Duration,
-    /// What the request is expected to lose through failures.
+    /// Expected cost of failures, expressed as a wait.
     pub risk: Duration,
 }
 
 impl Bid {
-    /// The bid as a number of milliseconds.
+    /// Returns the total of the bid in milliseconds.
     fn millis(self) -> u32 {
         let sum = self.wait + self.held + self.risk;
         u32::try_from(sum.as_millis()).unwrap_or(NO_BID - 1)
     }
 }
 
-/// Decides where an opening packet goes, given the bid here, or `None` where no
-/// flows are taken.
+/// Decides on an opening packet, given the bid of this agent or `None` if it
+/// admits no flows.
 #[must_use]
 pub fn decide(mut open: Open, bid: Option<Bid>) -> Verdict {
     let bid_ms = bid.map_or(NO_BID, Bid::millis);
@@ -56,7 +57,8 @@
             return Verdict::Take(open);
         }
         Some(bid) if open.is_settled && bid.wait <= max_wait(&open) => return Verdict::Take(open),
-        // The agent that was to take it no longer can: the next best is asked.
+        // The chosen agent can no longer admit the flow: the next best bid is
+        // tried.
         _ if open.is_settled => {
             if let Some(own) = open.bids.get_mut(usize::from(open.position)) {
                 *own = NO_BID;
@@ -71,7 +73,7 @@
     choose_lowest_bid(open)
 }
 
-/// Chooses the least bid once all agents have bid.
+/// Chooses the lowest bid once all agents have bid.
 fn choose_lowest_bid(mut open: Open) -> Verdict {
     let bids = open.bids.iter().enumerate();
     let least = bids.min_by_key(|(_, bid)| **bid);
--- a/roles/forward/src/agent/expiring_map.rs
+++ b/roles/forward/src/agent/expiring_map.rs
@@ -1,13 +1,13 @@
-//! Remembers something of flows for a while.
+//! Map from flows to values that expire after a fixed lifetime.
 use std::collections::HashMap;
 use std::time::Duration;
 
 use wire::FlowId;
 
-/// Most flows that one memory holds.
+/// Maximum number of flows in one map.
 const MAX_FLOWS: usize = 16 * 1024;
 
-/// Remembers something of flows for a while.
+/// Map from flows to values that expire after a fixed lifetime.
 #[derive(Debug)]
 pub struct ExpiringMap<T> {
     lifetime: Duration,
@@ -21,7 +21,7 @@
 }
 
 impl<T> ExpiringMap<T> {
-    /// Remembers each flow for `lifetime`.
+    /// Creates an empty map whose values expire after `lifetime`.
     pub fn new(lifetime: Duration) -> Self {
         Self {
             lifetime,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Remembers something of a flow; a full memory takes no more.
+    /// Inserts or replaces the value of a flow. A full map ignores new flows.
     pub fn insert(&mut self, now: Duration, flow: FlowId, value: T) {
         if self.flows.len() < MAX_FLOWS || self.flows.contains_key(&flow) {
             self.flows.insert(
@@ -42,23 +42,23 @@
         }
     }
 
-    /// What is remembered of a flow.
+    /// Returns the value of a flow unless it has expired.
     pub fn get(&self, now: Duration, flow: &FlowId) -> Option<&T> {
         let item = self.flows.get(flow)?;
         (now < item.inserted_at + self.lifetime).then_some(&item.value)
     }
 
-    /// Forgets a flow.
+    /// Removes a flow and returns its value.
     pub fn remove(&mut self, flow: &FlowId) -> Option<T> {
         self.flows.remove(flow).map(|item| item.value)
     }
 
-    /// Forgets all flows.
+    /// Removes all flows.
     pub fn clear(&mut self) {
         self.flows.clear();
     }
 
-    /// Forgets what is too old.
+    /// Removes the expired flows.
     pub fn expire(&mut self, now: Duration) {
         let lifetime = self.lifetime;
         self.flows
--- a/roles/forward/src/agent/flow.rs
+++ b/roles/forward/src/agent/flow.rs
@@ -1,4 +1,4 @@
-//! What an agent knows of a flow that its backend server holds.
+//! State of a flow that the backend server holds, as its agent sees it.
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -8,66 +8,70 @@
 use wire::segment::Kind;
 use wire::transit::Open;
 
-/// Longest time that a request may take, where its route is not known.
+/// Request timeout of a flow whose route is not known.
 const DEFAULT_REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A flow that the backend server holds.
+/// Flow that the backend server holds.
 #[derive(Debug)]
 pub struct Flow {
-    /// The entry that its last packet came through.
+    /// Entry that sent the flow's last packet, if any did.
     pub entry: Option<SocketAddr>,
-    /// The request under way, or the slot kept for the first.
+    /// Occupancy of a slot by the pending request, or by the reservation for
+    /// the first one.
     pub request_start: Option<Start>,
-    /// The opening frame, until the backend server accepts the flow.
+    /// Opening frame, kept until the backend server sends its first packet.
     pub open: Option<Open>,
-    /// When its last packet came.
+    /// Time of the last packet.
     pub last_used: Duration,
-    /// Longest time that a request of the flow may take.
+    /// Timeout of the flow's requests.
     request_timeout: Duration,
-    /// When the request under way was last heard of, if any.
+    /// Time at which the pending request, or the reservation for one, began.
     request_started: Duration,
     handshake: Handshake,
-    /// Whether `start` keeps a slot for a request that is yet to come, or that
-    /// may be none.
+    /// Whether `request_start` reserves a slot for a request that has not
+    /// arrived, or for a packet that may only repeat an answered request.
     is_reserved: bool,
-    /// Requests seen so far.
+    /// Number of requests seen so far.
     requests: u32,
-    /// Position after the caller's last content, once any was seen.
+    /// Sequence number after the caller's last content, once any was seen.
     position: Option<u32>,
     has_caller_ended: bool,
     has_server_ended: bool,
 }
 
-/// What a packet, or the time, has made of a request.
+/// Change in a request, caused by a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// It is another request of a flow that has had one before.
+    /// A request began on a flow that has had one before.
     NextRequest,
-    /// The backend server began to answer it, so long after it came.
+    /// The backend server began to answer, this long after the request.
     Answered(Duration),
-    /// The backend server reset it, or did not answer it in its time.
+    /// The backend server reset the request, or the caller gave it up after at
+    /// least half of its timeout.
     Failed,
 }
 
-/// How far the opening of a flow has come.
+/// Progress of a flow's handshake.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Handshake {
-    /// The flow is older than this process.
+    /// The flow was opened before this process started.
     Unseen,
-    /// The opening packet went to the backend server.
+    /// The opening packet was delivered to the backend server.
     Sent,
-    /// The backend server accepted it, at this position of its stream.
+    /// The backend server accepted the flow with this initial sequence number.
     Accepted(u32),
-    /// The caller answered the backend server.
+    /// The caller acknowledged the backend server's sequence number.
     Done,
 }
 
-/// Distance between a backend server's position and what the caller may have
-/// acknowledged of it. Far less than between the positions of two servers.
+/// Maximum distance in bytes between a backend server's initial sequence number
+/// and the caller's first acknowledgement of it. The initial sequence numbers
+/// of two servers are much further apart.
 const MAX_ACKNOWLEDGED_BYTES: u32 = 128 * 1024;
 
 impl Flow {
-    /// A flow whose opening packet goes to the backend server now.
+    /// Creates a flow whose opening packet is being delivered to the backend
+    /// server.
     pub fn opening(now: Duration, start: Start, open: Open) -> Self {
         Self {
             entry: Some(open.entry),
@@ -80,7 +84,7 @@
         }
     }
 
-    /// A flow that the backend server turned out to hold.
+    /// Creates a flow that the backend server was found to hold.
     pub const fn discovered(now: Duration) -> Self {
         Self {
             entry: None,
@@ -98,8 +102,8 @@
         }
     }
 
-    /// Whether a packet of the caller belongs to a flow that opened at another
-    /// backend server, although the opening packet came here too.
+    /// Returns whether a caller's packet shows that the flow was accepted by
+    /// another backend server, although its opening packet came here too.
     pub fn is_accepted_elsewhere(&mut self, segment: &Segment) -> bool {
         match self.handshake {
             Handshake::Unseen | Handshake::Done => false,
@@ -114,8 +118,8 @@
         }
     }
 
-    /// Notes a packet of the caller: it may begin a request, or give one up that
-    /// took too long.
+    /// Records a packet of the caller. The packet may begin a request, or reset
+    /// the flow and so give up a pending request.
     pub fn record_caller_packet(
         &mut self,
         now: Duration,
@@ -139,14 +143,16 @@
             self.request_start = Some(occupancy.begin(now));
         }
         self.request_start = self.request_start.map(|start| start.moved(now));
-        // The first content of a flow from before this process may be a repeat.
+        // The first content of a flow that was opened before this process
+        // started may be a retransmission.
         self.is_reserved = self.handshake == Handshake::Unseen && self.requests == 0;
         self.request_started = now;
         self.requests = self.requests.saturating_add(1);
         (self.requests > 1).then_some(Progress::NextRequest)
     }
 
-    /// Notes the position of the caller's content; true where it is new.
+    /// Advances the position of the caller's content; returns whether the
+    /// packet carries new content.
     fn advance_position(&mut self, segment: &Segment) -> bool {
         if segment.length == 0 {
             return false;
@@ -162,8 +168,8 @@
         is_new
     }
 
-    /// Notes a packet of the backend server. The first with content after a
-    /// request means that the request has been worked on.
+    /// Records a packet of the backend server. The first content after a
+    /// request is the beginning of its answer and frees the slot.
     pub fn record_server_packet(
         &mut self,
         now: Duration,
@@ -192,8 +198,8 @@
         }
     }
 
-    /// Gives up the slot of a request that does not come, or whose caller has
-    /// given up waiting; true where it was not answered.
+    /// Frees the slot of a reservation or request that has timed out; returns
+    /// whether a request was left unanswered.
     pub fn expire_request(
         &mut self,
         now: Duration,
@@ -213,12 +219,12 @@
         is_failed
     }
 
-    /// Whether a request was sent that is not answered yet.
+    /// Returns whether a request has been sent and not answered yet.
     const fn has_pending_request(&self) -> bool {
         self.request_start.is_some() && !self.is_reserved
     }
 
-    /// Whether the flow is kept open between two requests.
+    /// Returns whether the flow is open but has no pending request.
     pub const fn is_idle(&self) -> bool {
         self.requests > 0
             && self.request_start.is_none()
@@ -226,14 +232,15 @@
             && !self.has_server_ended
     }
 
-    /// Whether the flow has ended and nothing more of it is expected.
+    /// Returns whether the flow can be dropped: no packet was seen for `linger`
+    /// after its end, or for `idle` before it.
     pub fn is_expired(&self, now: Duration, linger: Duration, idle: Duration) -> bool {
         let has_ended = self.has_caller_ended && self.has_server_ended;
         let limit = if has_ended { linger } else { idle };
         now >= self.last_used + limit
     }
 
-    /// Gives up the request or the slot kept for one.
+    /// Frees the slot of the pending request or reservation.
     pub fn end_request(&mut self, now: Duration, occupancy: &mut Occupancy) {
         self.is_reserved = false;
         if self.request_start.take().is_some() {
@@ -242,7 +249,8 @@
     }
 }
 
-/// Whether one position in a stream is after another; positions wrap around.
+/// Returns whether one sequence number is after another; sequence numbers wrap
+/// around.
 const fn is_ahead(one: u32, other: u32) -> bool {
     let distance = one.wrapping_sub(other);
     distance != 0 && distance <= u32::MAX / 2
--- a/roles/forward/src/agent/lookup.rs
+++ b/roles/forward/src/agent/lookup.rs
@@ -1,4 +1,5 @@
-//! Finds out whether the backend server holds flows from before this process.
+//! Finds out whether the backend server holds a flow that this process does not
+//! know.
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -19,18 +20,18 @@
 use super::Refusal;
 use super::backend::Start;
 
-/// What proves that a backend server does not hold a flow.
+/// Evidence that a backend server does not hold a flow.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Evidence {
-    /// Longest time for which it can have run.
+    /// Longest time for which the backend server can have been running.
     pub max_age: Duration,
-    /// When it started, by its own clock.
+    /// Start time of the backend server by its own clock.
     pub server_start: Start,
 }
 
 impl Agent {
-    /// Whether the backend server may hold an unknown flow from before this
-    /// process started.
+    /// Returns whether the backend server may hold an unknown flow that was
+    /// opened before this process started.
     pub(super) fn may_hold(&self, now: Duration, flow: &FlowId) -> bool {
         self.may_hold_prior_flows
             && now < self.started_at + self.settings.oldest_flow
@@ -39,9 +40,9 @@
             && self.ended_flows.get(now, flow).is_none()
     }
 
-    /// Takes a packet whose holder is not known. Who does not hold the flow says
-    /// nothing, which saves an answer from each of many agents, unless its
-    /// backend server is young enough for the answer to say something.
+    /// Handles a lookup for a searching agent. An agent that does not hold the
+    /// flow stays silent, which saves a reply from each of many agents, unless
+    /// its backend server is young enough for a denial to be conclusive.
     pub(super) fn handle_seek(
         &mut self,
         now: Duration,
@@ -65,8 +66,10 @@
         send_absent(flow, carry, &segment, self.evidence(now), actions);
     }
 
-    /// Delivers or tries a packet whose holder is not known; the age of the
-    /// backend server where it surely does not hold the flow and is young.
+    /// Delivers a packet whose holder is unknown if its flow is held here, or
+    /// sends it as a probe if the flow may be held. Returns the maximum age of
+    /// the backend server if it is certain not to hold the flow and is at most
+    /// `max_age_ms` old.
     pub(super) fn look_up_locally(
         &mut self,
         now: Duration,
@@ -103,7 +106,8 @@
         (millis(age) <= terms.max_age_ms).then_some(age)
     }
 
-    /// Delivers a packet of an unknown flow to learn whether it is held.
+    /// Delivers a packet of an unknown flow to learn whether the backend server
+    /// holds it.
     pub(super) fn probe(
         &mut self,
         now: Duration,
@@ -131,7 +135,7 @@
     }
 }
 
-/// Tells the caller that the backend server of its flow has ended.
+/// Resets a flow whose backend server has terminated.
 pub(super) fn reset_ended(flow: FlowId, segment: &Segment, actions: &mut Vec<Action>) {
     if segment.kind != Kind::Reset {
         actions.push(Action::Reset {
@@ -143,8 +147,8 @@
     }
 }
 
-/// Says to an entry that a flow is not held here, or returns its packet for
-/// which the entry searches on.
+/// Reports that a flow is not held here, and returns its packet so that an
+/// entry can search for the holder with it.
 pub(super) fn send_absent(
     flow: FlowId,
     carry: Carry,
@@ -152,7 +156,7 @@
     evidence: Option<Evidence>,
     actions: &mut Vec<Action>,
 ) {
-    // Nobody waits for an answer to a reset.
+    // The sender of a reset expects no answer.
     let evidence = evidence.filter(|_| segment.kind != Kind::Reset);
     actions.push(Action::Send {
         to: carry.entry,
--- a/roles/forward/src/agent/search.rs
+++ b/roles/forward/src/agent/search.rs
@@ -1,5 +1,5 @@
-//! Searches for the holder of a flow among the agents of the service, for an
-//! entry that does not know it.
+//! Searches for the holder of a flow among the agents of the service, on behalf
+//! of an entry that does not know it.
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,34 +18,37 @@
 use super::Agent;
 use super::Drop;
 
-/// Searches of one agent at a time; others find their entry asking elsewhere.
+/// Maximum number of concurrent searches of one agent. When it is reached, an
+/// entry retries at another agent after a time-out.
 const MAX_SEARCHES: usize = 4 * 1024;
 
-/// The other agents of the service.
+/// Other agents of the service.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Peers {
-    /// Those that may hold flows.
+    /// Agents that may hold flows.
     pub hops: Arc<Vec<Hop>>,
-    /// Whether one is held to be down that may be only cut off.
+    /// Whether an agent is marked down that may only be unreachable.
     pub has_silent: bool,
 }
 
-/// A search under way.
+/// Search that has not ended yet.
 #[derive(Debug)]
 pub(super) struct PendingSearch {
     started_at: Duration,
     entry: SocketAddr,
     acknowledged: u32,
-    /// Time for which a backend server has run at most whose denial counts.
+    /// Maximum age of a backend server whose denial counts, in milliseconds.
     max_age_ms: u32,
-    /// Whether as many agents are known here as at the entry.
+    /// Whether denials of all known agents are conclusive: this agent knows as
+    /// many agents as the entry, and none is marked down.
     is_complete: bool,
-    /// Backend servers that surely do not hold the flow.
+    /// Backend servers that are certain not to hold the flow.
     denied: Vec<TargetId>,
 }
 
 impl Agent {
-    /// Asks all other agents of the service for the holder of a flow.
+    /// Handles an entry's request to search: looks the flow up here and asks
+    /// all other agents of the service.
     pub(super) fn handle_search(
         &mut self,
         now: Duration,
@@ -101,7 +104,7 @@
         }
     }
 
-    /// Notes that another agent does not hold a flow.
+    /// Records that another agent does not hold a flow.
     pub(super) fn record_peer_denial(
         &mut self,
         now: Duration,
@@ -111,7 +114,7 @@
         self.record_denial(now, absent.flow, absent.target, absent.age_ms, actions);
     }
 
-    /// Notes that the backend server here does not hold a flow.
+    /// Records that this agent's own backend server does not hold a flow.
     pub(super) fn record_own_denial(
         &mut self,
         now: Duration,
@@ -122,7 +125,8 @@
         self.record_denial(now, flow, self.own.target, age, actions);
     }
 
-    /// Tells the entry once nobody holds the flow.
+    /// Records a denial and, once all agents of the service have denied the
+    /// flow, notifies the entry and ends the search.
     fn record_denial(
         &mut self,
         now: Duration,
@@ -161,13 +165,14 @@
         self.searches.remove(&flow);
     }
 
-    /// Forgets searches that nobody waits for any more.
+    /// Removes the searches that have timed out.
     pub(super) fn expire_searches(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let limit = self.settings.search_timeout;
         let agents = self.peers.hops.len() + 1;
         self.searches.retain(|flow, query| {
             let is_waiting = now < query.started_at + limit;
-            // A search that wants no denials ends with its holder or with none.
+            // A search without a maximum age cannot be decided by denials, so
+            // its expiry is not reported.
             if !is_waiting && query.max_age_ms > 0 {
                 actions.push(Action::Undecided {
                     flow: *flow,
--- a/roles/forward/src/agent/server.rs
+++ b/roles/forward/src/agent/server.rs
@@ -1,4 +1,4 @@
-//! Takes what the backend server sends, hands back and tells of itself.
+//! Handles the packets and announcements of the backend server.
 use std::time::Duration;
 
 use bytes::Bytes;
@@ -20,7 +20,8 @@
 use super::lookup::send_absent;
 
 impl Agent {
-    /// Takes a packet that the backend server handed back.
+    /// Handles a packet that the backend server returned because it does not
+    /// hold or accept the flow.
     pub(super) fn handle_returned(
         &mut self,
         now: Duration,
@@ -62,7 +63,7 @@
         send_absent(flow, carry, &segment, self.evidence(now), actions);
     }
 
-    /// Takes a packet that the backend server sent to a caller.
+    /// Handles a packet that the backend server sent to a caller.
     pub(super) fn handle_sent(
         &mut self,
         now: Duration,
@@ -97,8 +98,8 @@
         }
     }
 
-    /// Takes what the backend server tells of itself; what an earlier one said
-    /// is no longer true.
+    /// Handles an announcement. The announcement of a newer start ends the
+    /// flows and the failure estimate of the previous backend server.
     pub(super) fn handle_announcement(
         &mut self,
         now: Duration,
@@ -115,10 +116,12 @@
                 self.end_server(now, actions);
                 self.risk = Risk::new(self.settings.risk, now);
             }
-            // This process hears of all flows of a start that it saw begin.
+            // If this process saw the start of the backend server, it knows all
+            // its flows.
             self.may_hold_prior_flows &= is_first && backend.sequence > FIRST_SEQUENCE;
             self.first_announced = now;
-            // The first announcement is sent with the start.
+            // The first announcement is sent at the start, so each later one
+            // adds at most one heartbeat interval to the age.
             let before = backend.sequence.saturating_sub(FIRST_SEQUENCE);
             let before = u32::try_from(before).unwrap_or(u32::MAX);
             self.max_age_at_first = self.settings.heartbeat.saturating_mul(before);
@@ -130,7 +133,7 @@
         self.backend = Some(backend);
     }
 
-    /// Gives up the flows of a backend server that has ended.
+    /// Marks the backend server as terminated and ends its flows.
     pub(super) fn end_server(&mut self, now: Duration, actions: &mut Vec<Action>) {
         if let Some(backend) = &mut self.backend {
             backend.state = State::Gone;
@@ -149,7 +152,8 @@
         self.probes.clear();
     }
 
-    /// What proves that the backend server does not hold a flow.
+    /// Returns the age and start time that make a denial of a flow credible, or
+    /// `None` before the first announcement.
     pub(super) fn evidence(&self, now: Duration) -> Option<Evidence> {
         let (age, start) = (self.max_server_age(now)?, self.server_start()?);
         Some(Evidence {
@@ -158,13 +162,15 @@
         })
     }
 
-    /// When the backend server started, by its own clock, if it said so.
+    /// Returns the start time of the backend server by its own clock, or `None`
+    /// before its first announcement.
     pub(super) fn server_start(&self) -> Option<Start> {
         self.backend.as_ref().map(|backend| backend.start)
     }
 
-    /// Longest time for which the backend server can have run; its announcements
-    /// count its time.
+    /// Returns the longest time for which the backend server can have been
+    /// running, derived from the sequence number of its announcements, or
+    /// `None` before the first announcement.
     pub(super) fn max_server_age(&self, now: Duration) -> Option<Duration> {
         self.backend.as_ref()?;
         Some(self.max_age_at_first + now.saturating_sub(self.first_announced))
--- a/roles/forward/src/agent/settings.rs
+++ b/roles/forward/src/agent/settings.rs
@@ -1,52 +1,57 @@
-//! Settings of an agent that carries flows unread.
+//! Settings of an agent that forwards packets without reading their content.
 use std::time::Duration;
 
 use limit::held;
 use limit::risk;
 
-/// Settings of an agent that carries flows unread.
+/// Settings of an agent that forwards packets without reading their content.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Service time of requests until some have shown it.
+    /// Assumed service time of a request until some have been measured.
     pub initial_service_time: Duration,
-    /// How the load of held flows is estimated.
+    /// Settings of the estimate of the load from held flows.
     pub held_load: held::Settings,
-    /// How the likelihood of failures is estimated.
+    /// Settings of the estimate of the failure rate.
     pub risk: risk::Settings,
-    /// Requests beyond its slots that the backend server is sent at a time. It
-    /// rejects what does not fit into its own short queue.
+    /// Maximum number of requests, beyond its slots, that the backend server is
+    /// sent concurrently. The server rejects requests that exceed its own short
+    /// queue.
     pub max_queued: u16,
-    /// Flows that the backend server holds at most.
+    /// Maximum number of flows that the backend server holds.
     pub max_flows: usize,
-    /// Time after the start in which a backend server that may have lived before
-    /// is taken to be ready. At least the time between two announcements.
+    /// Time after the agent's start during which a backend server that may have
+    /// been running before is assumed to be ready. At least the interval
+    /// between two announcements.
     pub assumed: Duration,
-    /// Slots of a backend server until it states them.
+    /// Assumed number of slots until the backend server announces its own.
     pub initial_slots: u16,
-    /// Longest time between two announcements.
+    /// Maximum interval between two announcements.
     pub heartbeat: Duration,
-    /// Time without an announcement after which the backend server takes no new
-    /// flows. Shorter than the time after which its address may serve another
-    /// service.
+    /// Time without an announcement after which no new flows are admitted.
+    /// Shorter than the time after which the backend server's address may be
+    /// reused for another service.
     pub silence: Duration,
-    /// Time without any reaction to an opening packet after which it takes none.
+    /// Time without any reaction to an opening packet after which no new flows
+    /// are admitted.
     pub reaction_timeout: Duration,
-    /// Time after an opening packet within which its caller has sent no copy.
+    /// Time after an opening packet within which its caller cannot have
+    /// retransmitted it yet. A rejection in this time can safely be reported to
+    /// the caller.
     pub prompt_rejection: Duration,
-    /// Time for which a slot is kept for the first request of a flow.
+    /// Time for which a slot stays reserved for the first request of a flow.
     pub reservation_timeout: Duration,
-    /// Time without a reaction after which another packet of an unknown flow is
-    /// tried.
+    /// Time without a reaction to a probe after which another packet of the
+    /// flow is sent as a probe.
     pub probe_interval: Duration,
-    /// Time for which answers to a search are waited for.
+    /// Timeout of a search for the holder of a flow.
     pub search_timeout: Duration,
-    /// Age that no flow exceeds.
+    /// Upper limit of the age of a flow.
     pub oldest_flow: Duration,
-    /// Time for which a flow without packets is remembered.
+    /// Time without packets after which a flow is dropped.
     pub idle: Duration,
-    /// Time for which a flow that has ended or was passed on is remembered.
+    /// Time for which a flow is kept after it has ended or was passed on.
     pub linger: Duration,
-    /// Time between two looks for flows to forget.
+    /// Interval between two sweeps for expired state.
     pub sweep_interval: Duration,
 }
 
--- a/roles/forward/src/entry.rs
+++ b/roles/forward/src/entry.rs
@@ -1,8 +1,9 @@
-//! The entry's side: finds the agent that holds, or is to take, each flow.
+//! Entry: finds the agent that holds each flow, or selects agents for a new
+//! one.
 //!
-//! What an entry remembers of a flow only saves a search. Any other entry, also
-//! one that has just started, finds the holder by asking one agent of the
-//! service, which asks all others.
+//! The flow table of an entry is only a cache that saves searches. Any other
+//! entry, including one that has just started, finds the holder of a flow by
+//! asking one agent of the service, which asks all others.
 mod action;
 mod flow;
 mod search;
@@ -41,31 +42,31 @@
 use flow::Phase;
 pub use settings::Settings;
 
-/// What happens to an entry.
+/// Input of an entry.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A packet of a caller arrived.
+    /// A packet arrived from a caller.
     Packet {
-        /// Its header.
+        /// Header of the packet.
         segment: Segment,
-        /// All of it.
+        /// Complete packet.
         packet: Bytes,
     },
-    /// An agent names the holder of a flow.
+    /// An agent reports the holder of a flow.
     Held(Held),
-    /// An agent returns a packet whose flow it does not hold.
+    /// An agent returned a packet whose flow it does not hold.
     Absent(Absent),
-    /// No agent of a service holds a flow.
+    /// An agent reports that no agent of its service holds a flow.
     Unheld(Unheld),
-    /// An agent tells its load.
+    /// An agent reported its load instead of admitting a flow.
     Busy(Busy),
     /// The routes or the known backend servers changed.
     Routes(Arc<Routes>),
-    /// Time passed.
+    /// A timer fired: due work such as expiry is done.
     Tick,
 }
 
-/// The decisions of an entry.
+/// State machine of an entry.
 #[derive(Debug)]
 pub struct Entry {
     settings: Settings,
@@ -76,16 +77,16 @@
     place: Place,
     started_at: Duration,
     known_targets: HashSet<TargetId>,
-    /// When a backend server was last heard of for the first time.
+    /// Time at which a backend server was last added to the known ones.
     last_target_added: Duration,
-    /// Flows whose holder is searched for, in the order in which agents were
-    /// asked.
+    /// Flows whose holder is being searched for, ordered by the time at which
+    /// agents were last asked.
     searches: VecDeque<FlowId>,
     random: fastrand::Rng,
     next_sweep_at: Duration,
 }
 
-/// A packet on its way through the decisions.
+/// Packet that is being processed, with the output of its processing.
 struct PacketContext<'a> {
     now: Duration,
     segment: Segment,
@@ -94,7 +95,7 @@
 }
 
 impl Entry {
-    /// Starts without routes. Agents answer to `address`.
+    /// Creates an entry without routes. Agents reply to `address`.
     #[must_use]
     pub fn new(
         settings: Settings,
@@ -119,7 +120,7 @@
         }
     }
 
-    /// Takes an event.
+    /// Processes an event and appends the resulting actions.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Packet { segment, packet } => {
@@ -145,25 +146,25 @@
         }
     }
 
-    /// Version of the configuration in force; 0 before the first.
+    /// Returns the version of the current configuration; 0 before the first.
     #[must_use]
     pub fn version(&self) -> Revision {
         self.routes.table.version
     }
 
-    /// Number of flows that are remembered.
+    /// Returns the number of flows in the table.
     #[must_use]
     pub fn len(&self) -> usize {
         self.flows.len()
     }
 
-    /// True where no flow is remembered.
+    /// Returns true if the flow table is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.flows.is_empty()
     }
 
-    /// Takes new routes and backend servers.
+    /// Replaces the routes and the known backend servers.
     fn replace_routes(&mut self, now: Duration, routes: Arc<Routes>) {
         let targets = routes.targets.values().flat_map(|targets| targets.iter());
         let known: HashSet<TargetId> = targets.map(|target| target.id).collect();
@@ -175,8 +176,9 @@
         self.routes = routes;
     }
 
-    /// Whether all agents are likely to be known, so that a packet which each
-    /// may try reaches the holder too.
+    /// Returns whether probably all agents are known. Only then may agents
+    /// probe their backend servers, because only then does the actual holder
+    /// also receive the packet.
     fn knows_all_agents(&self, now: Duration) -> bool {
         let settings = &self.settings;
         let is_complete =
@@ -197,8 +199,8 @@
         }
     }
 
-    /// Answers a packet to an address without a route. While the configuration
-    /// may have changed unseen, callers are left to repeat.
+    /// Handles a packet to an address without a route. While the configuration
+    /// may be out of date, nothing is sent and callers retransmit.
     fn handle_unrouted(&mut self, segment: &Segment, actions: &mut Vec<Action>) {
         let flow = segment.from_caller();
         self.flows.remove(&flow);
@@ -212,13 +214,14 @@
                 sequence: segment.acknowledged,
                 reason: Refusal::NoRoute,
             }),
-            // The flow may be open by a configuration that is newer than this.
+            // The flow may be open under a newer configuration than this one.
             _ => actions.push(Action::Dropped(Drop::NoRoute)),
         }
     }
 
-    /// Sends an opening packet to the agents that would answer soonest, or its
-    /// copy where the packet itself went.
+    /// Sends an opening packet to the agents that are expected to answer
+    /// soonest, or its retransmission to the agent that received the first
+    /// copy. An agent that did not answer in time is skipped.
     fn handle_open(&mut self, routes: &Routes, passing: PacketContext<'_>) {
         let flow = passing.segment.from_caller();
         let mut tried = Vec::new();
@@ -249,7 +252,8 @@
         self.send_open(routes, path, tried, passing);
     }
 
-    /// The agents that an opening packet visits.
+    /// Returns the agents that an opening packet visits, best first. Those in
+    /// `tried` are left out unless there are no others.
     fn choose_path(
         &mut self,
         routes: &Routes,
@@ -276,8 +280,9 @@
         ranked.into_iter().map(Target::hop).collect()
     }
 
-    /// Refuses a flow for which there is no backend server. A young entry may
-    /// not know them yet.
+    /// Refuses a flow for which there is no backend server. An entry that has
+    /// just started drops the packet instead, because it may not know the
+    /// backend servers yet.
     fn refuse_unserved(
         &self,
         routes: &Routes,
@@ -303,7 +308,7 @@
         });
     }
 
-    /// Sends an opening packet to the first of some agents.
+    /// Sends an opening packet to the first agent of a path.
     fn send_open(
         &mut self,
         routes: &Routes,
@@ -348,7 +353,8 @@
         });
     }
 
-    /// Sends a packet to the agent that holds its flow, or searches for it.
+    /// Sends a packet to the agent that holds its flow, or starts a search for
+    /// the holder.
     fn handle_carry(&mut self, routes: &Routes, passing: PacketContext<'_>) {
         let flow = passing.segment.from_caller();
         let Some(held) = self.flows.get_mut(&flow) else {
@@ -390,7 +396,7 @@
         });
     }
 
-    /// Notes the holder of a flow, and sends it what waits for it.
+    /// Records the holder of a flow and sends it the queued packets.
     fn record_holder(&mut self, now: Duration, held: &Held, actions: &mut Vec<Action>) {
         if let Some(load) = held.load {
             self.place.learn(now, held.holder.target, load);
@@ -427,8 +433,9 @@
         }
     }
 
-    /// Searches on for the holder of a flow, or gives the search up once all
-    /// have answered.
+    /// Handles a denial by the recorded holder of a flow: resets the flow if
+    /// the holder's backend server has restarted, or else searches for another
+    /// holder.
     fn handle_absent(&mut self, now: Duration, absent: Absent, actions: &mut Vec<Action>) {
         let Some(held) = self.flows.get(&absent.flow) else {
             return;
@@ -437,7 +444,8 @@
             Phase::Held(holder) if holder.target == absent.target => {
                 let is_known = held.server_start.is_some() && absent.start.is_some();
                 if is_known && absent.start != held.server_start {
-                    // The holder's backend server has started anew since.
+                    // The holder's backend server has restarted since it opened
+                    // the flow.
                     self.flows.remove(&absent.flow);
                     return actions.push(search::reset_ended(absent.flow, absent.acknowledged));
                 }
@@ -458,7 +466,8 @@
         }
     }
 
-    /// Remembers a flow; a full table remembers no more, which costs searches.
+    /// Stores a flow. A full table ignores new flows, which only costs
+    /// searches.
     fn store_flow(&mut self, now: Duration, flow: FlowId, phase: Phase) {
         let is_full = self.flows.len() >= self.settings.max_flows;
         if is_full && !self.flows.contains_key(&flow) {
@@ -467,7 +476,7 @@
         self.flows.insert(flow, Flow::new(now, phase));
     }
 
-    /// Forgets flows that are over or idle.
+    /// Removes flows that are closed or idle.
     fn sweep(&mut self, now: Duration) {
         let settings = &self.settings;
         let idle = self
@@ -487,7 +496,7 @@
     }
 }
 
-/// What a search needs of a packet's header.
+/// Returns a header with the fields that a search needs.
 const fn search_header(flow: &FlowId) -> Segment {
     Segment {
         source: flow.caller,
--- a/roles/forward/src/entry/action.rs
+++ b/roles/forward/src/entry/action.rs
@@ -1,4 +1,4 @@
-//! What an entry asks of its process.
+//! Actions and decisions of an entry.
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -8,99 +8,101 @@
 use wire::Transit;
 use wire::transit::Terms;
 
-/// What an entry asks of its process, and what it decided.
+/// Output of an entry: an action for the process to carry out, or a decision to
+/// count and log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Send a frame to an agent.
     Send {
         /// UDP address of the agent.
         to: SocketAddr,
-        /// The frame.
+        /// Frame to send.
         transit: Transit,
     },
     /// Tell the caller that its flow is refused or has ended.
     Reset {
-        /// The flow.
+        /// Flow to reset.
         flow: FlowId,
-        /// Position in the stream that the caller expects next.
+        /// Sequence number that the caller expects next.
         sequence: u32,
-        /// Why.
+        /// Reason of the reset.
         reason: Refusal,
     },
     /// A new flow was sent to an agent.
     Opened {
         /// The flow.
         flow: FlowId,
-        /// The first backend server on its path.
+        /// Backend server of the first agent on the path.
         first: TargetId,
         /// Number of agents on the path.
         hops: usize,
-        /// Version of the configuration that decided it.
+        /// Version of the configuration that the route was taken from.
         version: Revision,
     },
-    /// An agent took a flow that was sent to it.
+    /// An agent admitted a flow.
     Accepted {
-        /// Time since its opening packet was last sent.
+        /// Time since the opening packet was last sent.
         took: Duration,
     },
-    /// The holder of a flow is searched for.
+    /// An agent was asked to search for the holder of a flow.
     Sought {
         /// The flow.
         flow: FlowId,
-        /// The backend server whose agent searches.
+        /// Backend server of the agent that was asked.
         searcher: TargetId,
-        /// Agents that are known of its service.
+        /// Number of known agents of the service.
         known: usize,
-        /// How agents are asked.
+        /// Conditions under which agents probe and deny.
         terms: Terms,
     },
-    /// A search has found the holder of a flow.
+    /// A search found the holder of a flow.
     Found {
         /// The flow.
         flow: FlowId,
-        /// The holder.
+        /// Backend server that holds the flow.
         holder: TargetId,
-        /// Time since it was last asked for.
+        /// Time since an agent was last asked to search.
         took: Duration,
     },
-    /// Nobody says to hold a flow.
+    /// A search ended without a holder.
     Vanished {
         /// The flow.
         flow: FlowId,
-        /// Agents that were asked in turn to search.
+        /// Number of search attempts, each at another agent of the service.
         rounds: u8,
     },
     /// A packet was dropped.
     Dropped(Drop),
 }
 
-/// Why a flow was refused.
+/// Reason for which a flow was refused or reset.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Refusal {
-    /// Its address has no route.
+    /// The address has no route.
     NoRoute,
-    /// The service has no backend server that takes flows.
+    /// The service has no backend server that accepts new flows.
     NoServer,
-    /// The backend server of the flow has ended.
+    /// The backend server of the flow terminated.
     ServerEnded,
 }
 
-/// Why a packet was dropped.
+/// Reason for dropping a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Drop {
-    /// Only backend servers send it.
+    /// The packet is of a kind that only backend servers send.
     Direction,
-    /// There is no route, but the configuration may have changed unseen.
+    /// The address has no route, but the configuration may be out of date.
     Unconfirmed,
-    /// There is no route; the flow may be open by a newer configuration.
+    /// The address has no route, but the flow may be open under a newer
+    /// configuration.
     NoRoute,
-    /// No server takes the flow, which may be open by another copy of its opening
-    /// packet.
+    /// No server accepts the flow, but it may already be open through an
+    /// earlier copy of its opening packet.
     RefusedCopy,
-    /// The entry has just started and knows no backend server yet.
+    /// The entry has just started and does not know any backend server yet.
     Young,
-    /// Too many packets wait for the holder of their flow to be found.
+    /// The queue of packets that wait for the holder of their flow is full.
     Crowded,
-    /// Nobody holds the flow.
+    /// A recent search found no holder of the flow.
     Lost,
 }
--- a/roles/forward/src/entry/flow.rs
+++ b/roles/forward/src/entry/flow.rs
@@ -1,4 +1,4 @@
-//! What an entry remembers of a flow.
+//! State of a flow in the flow table of an entry.
 use std::time::Duration;
 
 use bytes::Bytes;
@@ -6,70 +6,71 @@
 use wire::ServiceAddress;
 use wire::TargetId;
 
-/// Packets of one flow that wait for its holder to be found. Each end has at
-/// most this many under way.
+/// Maximum number of packets of one flow that are queued until its holder is
+/// found. Each end of a flow has at most this many packets in flight.
 const MAX_QUEUED_PACKETS: usize = 16;
 
-/// What an entry remembers of a flow.
+/// State of a flow in the flow table of an entry.
 #[derive(Debug)]
 pub struct Flow {
-    /// Where it is.
+    /// Phase of the flow.
     pub phase: Phase,
-    /// When its last packet came.
+    /// Time of the last packet.
     pub last_used: Duration,
-    /// Since when it is in its phase.
+    /// Time at which the flow entered its phase.
     pub phase_since: Duration,
-    /// When the holder's backend server started, if it said so.
+    /// Start time of the holder's backend server, if it was reported.
     pub server_start: Option<u64>,
-    /// Whether the caller has ended it.
+    /// Whether the caller has closed or reset the flow.
     pub is_closing: bool,
 }
 
-/// Where a flow is.
+/// Phase of a flow.
 #[derive(Debug)]
 pub enum Phase {
-    /// Its opening packet went to an agent that has not answered yet.
+    /// The opening packet was sent to an agent that has not answered yet.
     Opening(Opening),
-    /// An agent holds it.
+    /// The holder is known.
     Held(Hop),
-    /// Agents are asked for it.
+    /// The holder is being searched for.
     Searching(Searching),
-    /// No agent holds it.
+    /// A search found no holder.
     Lost,
 }
 
-/// An opening packet under way.
+/// Opening packet that has not been answered yet.
 #[derive(Debug)]
 pub struct Opening {
-    /// The agents that it visits; at least one.
+    /// Agents that it visits; at least one.
     pub path: Vec<Hop>,
     /// Backend servers whose agents did not answer an earlier copy.
     pub tried: Vec<TargetId>,
-    /// When it was sent.
+    /// Time at which it was last sent.
     pub sent_at: Duration,
 }
 
-/// A search for the holder of a flow.
+/// Search for the holder of a flow.
 #[derive(Debug)]
 pub struct Searching {
-    /// When agents were last asked to search.
+    /// Time at which agents were last asked to search.
     pub asked_at: Duration,
-    /// The packet that agents are asked with; the holder delivers it.
+    /// Packet to search with; the holder delivers it.
     pub packet: Bytes,
-    /// Position up to which the caller has received.
+    /// Sequence number up to which the caller has received.
     pub acknowledged: u32,
-    /// Backend servers whose agents were asked to search, or deny the flow.
+    /// Backend servers whose agents were asked to search or denied holding the
+    /// flow.
     pub tried: Vec<TargetId>,
-    /// How often agents were asked to search.
+    /// Number of times that agents were asked to search.
     pub rounds: u8,
     /// Services of which no agent holds the flow.
     pub denied_by: Vec<ServiceAddress>,
-    /// Packets to be sent once the holder is known.
+    /// Packets to send once the holder is known.
     pub queued: Vec<Bytes>,
 }
 
 impl Flow {
-    /// A flow whose packet came now.
+    /// Creates a flow whose last packet arrived now.
     pub const fn new(now: Duration, phase: Phase) -> Self {
         Self {
             phase,
@@ -82,7 +83,7 @@
 }
 
 impl Searching {
-    /// Keeps a packet for the holder; false where too many wait.
+    /// Queues a packet for the holder; returns false if the queue is full.
     pub fn enqueue(&mut self, packet: Bytes) -> bool {
         let has_room = self.queued.len() < MAX_QUEUED_PACKETS;
         if has_room {
--- a/roles/forward/src/entry/search.rs
+++ b/roles/forward/src/entry/search.rs
@@ -1,7 +1,8 @@
-//! Searches for the holders of flows that this entry does not know.
+//! Searches for the holders of flows that are not in the flow table.
 //!
-//! An entry may be weak, and after a failure it searches for many flows at once:
-//! one agent of each service is asked to search among all others.
+//! An entry may have little processing power, and after a failure it searches
+//! for many flows at once. It therefore asks only one agent of each service,
+//! which in turn asks all others.
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -23,11 +24,13 @@
 use crate::Route;
 use crate::Routes;
 
-/// Agents of one service that are asked in turn to search for a flow.
+/// Maximum number of agents of one service that are asked, one after the other,
+/// to search for a flow.
 const MAX_ROUNDS: u8 = 3;
 
 impl Entry {
-    /// Searches for the holder of a flow, which is not `absent`.
+    /// Starts a search for the holder of a flow, leaving out the agent
+    /// `absent`, which has denied it.
     pub(super) fn start_search(
         &mut self,
         routes: &Routes,
@@ -49,7 +52,7 @@
         self.store_flow(passing.now, flow, Phase::Searching(seeking));
     }
 
-    /// Asks one agent of each service to search.
+    /// Asks one agent of each service of the route to search.
     fn send_search(
         &mut self,
         routes: &Routes,
@@ -88,8 +91,8 @@
         }
     }
 
-    /// The agent that is to search in a service: one of the own availability zone
-    /// that was not asked before, where there is one.
+    /// Returns the agent of a service to ask for a search: one that was not
+    /// asked before and is in the local availability zone, if there is one.
     fn choose_searcher<'a>(
         &mut self,
         routes: &'a Routes,
@@ -105,8 +108,9 @@
             .map(|(.., target)| target)
     }
 
-    /// How agents are asked. Denials say something only once all agents are
-    /// known, and none is held to be down that may be only cut off.
+    /// Returns the conditions under which agents probe and deny. Denials are
+    /// conclusive only if all agents are known and none is marked down that may
+    /// only be unreachable.
     fn search_terms(&self, now: Duration, route: &Route) -> Terms {
         let may_try = self.knows_all_agents(now);
         let is_sure = may_try && !self.routes.has_silent(route);
@@ -116,9 +120,10 @@
         }
     }
 
-    /// Time up to which backend servers have started with this entry or after it,
-    /// so that flows which the entry does not know are not theirs. Zero for an
-    /// entry that is older than any flow which its callers may have forgotten.
+    /// Returns the maximum age in milliseconds of a backend server whose denial
+    /// counts. A backend server that started with this entry or later cannot
+    /// hold a flow that this entry does not know. Returns 0 if the entry is
+    /// older than any flow that its callers may still use.
     fn max_age_ms(&self, now: Duration) -> u32 {
         let age = now.saturating_sub(self.started_at);
         if age > self.settings.stale_flow_window {
@@ -128,9 +133,9 @@
         u32::try_from(limit.as_millis()).unwrap_or(u32::MAX)
     }
 
-    /// Notes that nobody of a service holds a flow. Where that holds for all
-    /// services of its route, it has ended with its backend server, and the
-    /// caller is told.
+    /// Records that no agent of a service holds a flow. Once this applies to
+    /// all services of its route, the flow ended with its backend server and is
+    /// reset.
     pub(super) fn handle_unheld(
         &mut self,
         now: Duration,
@@ -164,7 +169,8 @@
         }
     }
 
-    /// Takes the searches further that have had no answer.
+    /// Retries the searches that have had no answer in time, and ends those
+    /// that have used up their attempts.
     pub(super) fn retry_searches(&mut self, now: Duration, actions: &mut Vec<Action>) {
         if self.searches.is_empty() {
             return;
@@ -204,7 +210,7 @@
     }
 }
 
-/// Tells the caller that its flow has ended with its backend server.
+/// Returns the reset of a flow whose backend server has terminated.
 pub(super) const fn reset_ended(flow: FlowId, sequence: u32) -> Action {
     Action::Reset {
         flow,
--- a/roles/forward/src/entry/settings.rs
+++ b/roles/forward/src/entry/settings.rs
@@ -1,43 +1,48 @@
-//! Settings of an entry that carries flows unread.
+//! Settings of an entry that forwards packets without reading their content.
 use std::time::Duration;
 
 use route::place;
 
-/// Settings of an entry that carries flows unread.
+/// Settings of an entry that forwards packets without reading their content.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// How backend servers are ranked for new flows.
+    /// Settings of the ranking of backend servers for new flows.
     pub place: place::Settings,
-    /// Agents that an opening packet visits before one settles it.
+    /// Maximum number of agents that an opening packet visits before the bids
+    /// decide.
     pub path_length: usize,
-    /// Time without an answer after which an agent counts as not answering.
-    /// Shorter than the time after which callers repeat an opening packet.
+    /// Time without an answer after which an agent is taken to be unresponsive.
+    /// Shorter than the time after which callers retransmit an opening packet.
     pub agent_timeout: Duration,
-    /// Time after the start in which not every backend server may be known.
+    /// Time after the start during which some backend servers may not be known
+    /// yet.
     pub startup_grace: Duration,
-    /// Time after the start in which the agents are not all known.
+    /// Minimum time after the start before all agents can be taken to be known.
     pub min_discovery: Duration,
-    /// Time after the start after which the agents are taken to be known although
-    /// no other entry has told of them.
+    /// Time after the start after which all agents can be taken to be known
+    /// even if no other entry has sent its list.
     pub max_discovery: Duration,
-    /// Time without a new agent after which all are taken to be known.
+    /// Time without a new agent after which all agents can be taken to be
+    /// known.
     pub discovery_quiet: Duration,
-    /// Time after the start in which callers may still use flows that ended with
-    /// everything else, before they give them up as idle.
+    /// Time after the start during which callers may still use flows that ended
+    /// in the same failure as the entry, for example a power loss, before they
+    /// drop them as idle.
     pub stale_flow_window: Duration,
-    /// Longest time by which a backend server that started together with this
-    /// entry, as after a loss of power, is older.
+    /// Maximum time by which a backend server that started together with this
+    /// entry, for example after a power loss, may have started earlier.
     pub start_skew: Duration,
-    /// Flows that are remembered; each takes some 150 bytes.
+    /// Maximum number of flows in the flow table; each takes some 150 bytes.
     pub max_flows: usize,
-    /// Least time for which a silent flow is remembered.
+    /// Minimum time for which a flow without packets is kept.
     pub min_idle_timeout: Duration,
-    /// Time for which a flow that opens, closes or is searched for is
-    /// remembered.
+    /// Time for which a flow without packets is kept while it is being opened,
+    /// closed or searched for.
     pub linger: Duration,
-    /// Time before a flow that nobody holds is searched for again.
+    /// Time after a search without a result before the flow is searched for
+    /// again.
     pub lost_retry_interval: Duration,
-    /// Time between two looks for flows to forget.
+    /// Interval between two sweeps for expired flows.
     pub sweep_interval: Duration,
 }
 
--- a/roles/forward/src/lib.rs
+++ b/roles/forward/src/lib.rs
@@ -1,9 +1,10 @@
-//! Carries the packets of callers and backend servers unread and unchanged.
+//! Forwards the packets of callers and backend servers unmodified, without
+//! reading their content.
 //!
-//! * [`Entry`] takes the packets of callers and finds the agent that holds, or
-//!   is to take, each flow.
-//! * [`Agent`] stands beside a backend server, hands it the packets of the flows
-//!   that it holds, and decides which new flows it takes.
+//! * [`Entry`] receives the packets of callers and finds the agent that holds
+//!   each flow, or selects agents for a new one.
+//! * [`Agent`] runs beside a backend server, delivers the packets of the flows
+//!   that the server holds, and decides which new flows it admits.
 //!
 //! Both are state machines without sockets, clocks or threads: events and the
 //! time since an arbitrary origin go in, actions come out.
--- a/roles/forward/src/routes.rs
+++ b/roles/forward/src/routes.rs
@@ -1,4 +1,5 @@
-//! Which backend servers the flows to an address may go to.
+//! Routes from the addresses that callers send to, and the known backend
+//! servers.
 use std::collections::HashMap;
 use std::collections::HashSet;
 use std::net::SocketAddrV4;
@@ -12,58 +13,60 @@
 use wire::Target;
 use wire::target::State;
 
-/// Where the flows to one address go.
+/// Route of the flows to one address.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// The services that share the flows.
+    /// Services among which the flows are split.
     pub shares: Vec<Share>,
-    /// Longest time that a request may take.
+    /// Timeout of a request.
     pub timeout: Duration,
-    /// Time within which an answer is of full use.
+    /// Target latency of a request.
     pub objective: Duration,
-    /// Order in which routes give way under overload; 0 gives way last.
+    /// Load-shedding priority: under overload, routes with a higher number are
+    /// shed first and 0 last.
     pub priority: u8,
 }
 
-/// One service's part of a route.
+/// Share of one service in the flows of a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Share {
-    /// The service.
+    /// Address of the service.
     pub service: ServiceAddress,
-    /// Its part of the sum of all weights.
+    /// Weight relative to the sum of all weights of the route.
     pub weight: u32,
 }
 
-/// All routes of one configuration.
+/// Routes of one version of the configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Table {
-    /// Version of the configuration; 0 before the first is known.
+    /// Version of the configuration; 0 before the first has been received.
     pub version: Revision,
-    /// The routes, by the address that callers send to.
+    /// Routes by the address that callers send to.
     pub routes: HashMap<SocketAddrV4, Route>,
-    /// Time after which a flow without packets may be given up.
+    /// Time without packets after which a flow may be dropped as idle.
     pub idle_timeout: Duration,
 }
 
-/// The routes, and the backend servers that are known: an immutable snapshot.
+/// Immutable snapshot of the routes and the known backend servers.
 #[derive(Clone, Debug, Default)]
 pub struct Routes {
-    /// The routes of the newest configuration.
+    /// Routes of the newest known configuration.
     pub table: Arc<Table>,
-    /// True while the configuration is known to be the newest, so that a missing
-    /// route may be told to callers.
+    /// Whether the configuration is known to be current, so that callers may be
+    /// refused when an address has no route.
     pub is_confirmed: bool,
-    /// True once another entry has told which backend servers it knows.
+    /// Whether another entry has sent its list of backend servers.
     pub is_complete: bool,
-    /// The backend servers of each service, without those that have left.
+    /// Backend servers of each service, without those that have left.
     pub targets: HashMap<ServiceAddress, Arc<Vec<Target>>>,
-    /// Services with backend servers that are held to be down, but may be only
-    /// cut off.
+    /// Services with backend servers that are marked down but may only be
+    /// unreachable.
     pub silent: HashSet<ServiceAddress>,
 }
 
 impl Route {
-    /// The service that a new flow goes to: each flow always has the same one.
+    /// Returns the service for a new flow, or `None` if the weights sum to 0.
+    /// The same flow always maps to the same service.
     #[must_use]
     pub fn service(&self, flow: &FlowId) -> Option<ServiceAddress> {
         let sum: u64 = self
@@ -85,32 +88,33 @@
 }
 
 impl Routes {
-    /// The route to an address.
+    /// Returns the route to an address.
     #[must_use]
     pub fn route(&self, address: SocketAddrV4) -> Option<&Route> {
         self.table.routes.get(&address)
     }
 
-    /// The backend servers of a service that take new flows.
+    /// Returns the backend servers of a service that accept new flows.
     pub fn open(&self, service: ServiceAddress) -> impl Iterator<Item = &Target> {
         let all = self.all(service);
         all.filter(|target| target.state == State::Ready)
     }
 
-    /// All backend servers of a service that may hold flows.
+    /// Returns all backend servers of a service that may hold flows.
     pub fn all(&self, service: ServiceAddress) -> impl Iterator<Item = &Target> {
         let targets = self.targets.get(&service);
         targets.into_iter().flat_map(|targets| targets.iter())
     }
 
-    /// Whether a backend server of a route is held to be down.
+    /// Returns whether a service of a route has a backend server that is marked
+    /// down but may only be unreachable.
     #[must_use]
     pub fn has_silent(&self, route: &Route) -> bool {
         let mut shares = route.shares.iter();
         shares.any(|share| self.silent.contains(&share.service))
     }
 
-    /// All backend servers that may hold a flow of a route.
+    /// Returns all backend servers that may hold a flow of a route.
     pub fn holders<'a>(&'a self, route: &'a Route) -> impl Iterator<Item = &'a Target> {
         let shares = route.shares.iter();
         shares.flat_map(|share| self.all(share.service))
