--- a/roles/forward/src/agent.rs
+++ b/roles/forward/src/agent.rs
@@ -119,7 +119,7 @@
     /// Time of the first announcement received from the current backend server,
     /// and the longest time for which the server can have been running then.
     first_announced: Duration,
-    max_age_at_first: Duration,
+    max_age_when_first_announced: Duration,
     /// Time of the first opening packet that the backend server has not reacted
     /// to.
     unanswered_since: Option<Duration>,
@@ -167,7 +167,7 @@
             backend: None,
             last_announced: now,
             first_announced: now,
-            max_age_at_first: Duration::ZERO,
+            max_age_when_first_announced: Duration::ZERO,
             unanswered_since: None,
             is_stopping: false,
             occupancy: Occupancy::new(settings.initial_slots, settings.initial_service_time),
@@ -218,8 +218,8 @@
     #[must_use]
     pub fn closed(&self, now: Duration) -> Option<Closed> {
         let settings = &self.settings;
-        let most = self.occupancy.slots() + settings.max_queued;
-        let mute = self
+        let max_running = self.occupancy.slots() + settings.max_queued;
+        let reaction_deadline = self
             .unanswered_since
             .map(|since| since + settings.reaction_timeout);
         match &self.backend {
@@ -227,9 +227,9 @@
             None if !self.assumes_ready(now) => Some(Closed::Unknown),
             Some(backend) if backend.state != State::Ready => Some(Closed::NotReady),
             Some(_) if now >= self.last_announced + settings.silence => Some(Closed::Silent),
-            _ if mute.is_some_and(|mute| now >= mute) => Some(Closed::Mute),
+            _ if reaction_deadline.is_some_and(|mute| now >= mute) => Some(Closed::Mute),
             _ if self.flows.len() >= settings.max_flows => Some(Closed::Flows),
-            _ if self.occupancy.running() >= most => Some(Closed::Queue),
+            _ if self.occupancy.running() >= max_running => Some(Closed::Queue),
             _ => None,
         }
     }
@@ -311,8 +311,8 @@
             return reset_ended(flow, &segment, actions);
         }
         if self.may_hold(now, &flow) {
-            let asker = carry.entry;
-            return self.probe(now, flow, carry, asker, actions);
+            let reply_to = carry.entry;
+            return self.probe(now, flow, carry, reply_to, actions);
         }
         send_absent(flow, carry, &segment, self.evidence(now), actions);
     }
@@ -355,8 +355,8 @@
                 risk.failed(now);
                 actions.push(Action::Failed { flow: *id });
             }
-            let keep = !flow.is_expired(now, settings.linger, settings.idle);
-            if !keep && flow.request_start.take().is_some() {
+            let keep = !flow.is_expired(now, settings.linger, settings.idle_timeout);
+            if !keep && flow.slot.take().is_some() {
                 occupancy.release(now);
             }
             keep
--- a/roles/forward/src/agent/admission.rs
+++ b/roles/forward/src/agent/admission.rs
@@ -41,11 +41,11 @@
             Some(passed) if !open.is_settled => return pass_on(passed.clone(), actions),
             _ => {}
         }
-        let meant = open
+        let intended_target = open
             .path
             .get(usize::from(open.position))
             .map(|hop| hop.target);
-        let bid = match meant {
+        let bid = match intended_target {
             Some(target) if target == self.own.target => self.bid(now),
             _ => Err(Closed::OtherServer),
         };
@@ -59,7 +59,7 @@
                     to: open.path[usize::from(open.position)].target,
                     is_settled: open.is_settled,
                 });
-                let target = meant.unwrap_or(self.own.target);
+                let target = intended_target.unwrap_or(self.own.target);
                 self.report_busy(now, open.entry, target, actions);
                 pass_on(open, actions);
             }
--- a/roles/forward/src/agent/bid.rs
+++ b/roles/forward/src/agent/bid.rs
@@ -76,11 +76,11 @@
 /// Chooses the lowest bid once all agents have bid.
 fn choose_lowest_bid(mut open: Open) -> Verdict {
     let bids = open.bids.iter().enumerate();
-    let least = bids.min_by_key(|(_, bid)| **bid);
-    match least {
-        Some((place, bid)) if *bid <= open.patience_ms => {
-            let is_here = !open.is_settled && place + 1 == open.path.len();
-            open.position = u8::try_from(place).unwrap_or(u8::MAX);
+    let lowest = bids.min_by_key(|(_, bid)| **bid);
+    match lowest {
+        Some((index, bid)) if *bid <= open.patience_ms => {
+            let is_here = !open.is_settled && index + 1 == open.path.len();
+            open.position = u8::try_from(index).unwrap_or(u8::MAX);
             open.is_settled = true;
             if is_here {
                 Verdict::Take(open)
--- a/roles/forward/src/agent/expiring_map.rs
+++ b/roles/forward/src/agent/expiring_map.rs
@@ -44,13 +44,13 @@
 
     /// Returns the value of a flow unless it has expired.
     pub fn get(&self, now: Duration, flow: &FlowId) -> Option<&T> {
-        let item = self.flows.get(flow)?;
-        (now < item.inserted_at + self.lifetime).then_some(&item.value)
+        let stored = self.flows.get(flow)?;
+        (now < stored.inserted_at + self.lifetime).then_some(&stored.value)
     }
 
     /// Removes a flow and returns its value.
     pub fn remove(&mut self, flow: &FlowId) -> Option<T> {
-        self.flows.remove(flow).map(|item| item.value)
+        self.flows.remove(flow).map(|stored| stored.value)
     }
 
     /// Removes all flows.
@@ -62,6 +62,6 @@
     pub fn expire(&mut self, now: Duration) {
         let lifetime = self.lifetime;
         self.flows
-            .retain(|_, item| now < item.inserted_at + lifetime);
+            .retain(|_, stored| now < stored.inserted_at + lifetime);
     }
 }
--- a/roles/forward/src/agent/flow.rs
+++ b/roles/forward/src/agent/flow.rs
@@ -16,9 +16,8 @@
 pub struct Flow {
     /// Entry that sent the flow's last packet, if any did.
     pub entry: Option<SocketAddr>,
-    /// Occupancy of a slot by the pending request, or by the reservation for
-    /// the first one.
-    pub request_start: Option<Start>,
+    /// Slot occupied by the pending request, or reserved for the first one.
+    pub slot: Option<Start>,
     /// Opening frame, kept until the backend server sends its first packet.
     pub open: Option<Open>,
     /// Time of the last packet.
@@ -26,10 +25,10 @@
     /// Timeout of the flow's requests.
     request_timeout: Duration,
     /// Time at which the pending request, or the reservation for one, began.
-    request_started: Duration,
+    request_started_at: Duration,
     handshake: Handshake,
-    /// Whether `request_start` reserves a slot for a request that has not
-    /// arrived, or for a packet that may only repeat an answered request.
+    /// Whether `slot` is reserved for a request that has not arrived, or for a
+    /// packet that may only repeat an answered request.
     is_reserved: bool,
     /// Number of requests seen so far.
     requests: u32,
@@ -75,7 +74,7 @@
     pub fn opening(now: Duration, start: Start, open: Open) -> Self {
         Self {
             entry: Some(open.entry),
-            request_start: Some(start),
+            slot: Some(start),
             request_timeout: Duration::from_millis(u64::from(open.patience_ms)),
             open: Some(open),
             is_reserved: true,
@@ -88,11 +87,11 @@
     pub const fn discovered(now: Duration) -> Self {
         Self {
             entry: None,
-            request_start: None,
+            slot: None,
             open: None,
             last_used: now,
             request_timeout: DEFAULT_REQUEST_TIMEOUT,
-            request_started: now,
+            request_started_at: now,
             handshake: Handshake::Unseen,
             is_reserved: false,
             requests: 0,
@@ -129,24 +128,24 @@
         self.last_used = now;
         self.has_caller_ended |= matches!(segment.kind, Kind::Close | Kind::Reset);
         if segment.kind == Kind::Reset {
-            let is_late = now >= self.request_started + self.request_timeout / 2;
+            let is_late = now >= self.request_started_at + self.request_timeout / 2;
             let is_failed = self.has_pending_request() && is_late;
             self.end_request(now, occupancy);
             return is_failed.then_some(Progress::Failed);
         }
         let is_new = self.advance_position(segment);
-        let begins = is_new && (self.request_start.is_none() || self.is_reserved);
+        let begins = is_new && (self.slot.is_none() || self.is_reserved);
         if !begins {
             return None;
         }
-        if self.request_start.is_none() {
-            self.request_start = Some(occupancy.begin(now));
+        if self.slot.is_none() {
+            self.slot = Some(occupancy.begin(now));
         }
-        self.request_start = self.request_start.map(|start| start.moved(now));
+        self.slot = self.slot.map(|start| start.moved(now));
         // The first content of a flow that was opened before this process
         // started may be a retransmission.
         self.is_reserved = self.handshake == Handshake::Unseen && self.requests == 0;
-        self.request_started = now;
+        self.request_started_at = now;
         self.requests = self.requests.saturating_add(1);
         (self.requests > 1).then_some(Progress::NextRequest)
     }
@@ -182,12 +181,14 @@
             self.handshake = Handshake::Accepted(segment.sequence);
         }
         self.has_server_ended |= matches!(segment.kind, Kind::Close | Kind::Reset);
-        match self.request_start {
+        match self.slot {
             Some(start) if segment.length > 0 && self.requests > 0 => {
                 occupancy.finish(now, start);
-                self.request_start = None;
+                self.slot = None;
                 self.is_reserved = false;
-                Some(Progress::Answered(now.saturating_sub(self.request_started)))
+                Some(Progress::Answered(
+                    now.saturating_sub(self.request_started_at),
+                ))
             }
             _ if segment.kind == Kind::Reset => {
                 let is_failed = self.has_pending_request();
@@ -211,7 +212,7 @@
         } else {
             self.request_timeout
         };
-        let is_over = self.request_start.is_some() && now >= self.request_started + limit;
+        let is_over = self.slot.is_some() && now >= self.request_started_at + limit;
         let is_failed = is_over && self.has_pending_request();
         if is_over {
             self.end_request(now, occupancy);
@@ -221,15 +222,12 @@
 
     /// Returns whether a request has been sent and not answered yet.
     const fn has_pending_request(&self) -> bool {
-        self.request_start.is_some() && !self.is_reserved
+        self.slot.is_some() && !self.is_reserved
     }
 
     /// Returns whether the flow is open but has no pending request.
     pub const fn is_idle(&self) -> bool {
-        self.requests > 0
-            && self.request_start.is_none()
-            && !self.has_caller_ended
-            && !self.has_server_ended
+        self.requests > 0 && self.slot.is_none() && !self.has_caller_ended && !self.has_server_ended
     }
 
     /// Returns whether the flow can be dropped: no packet was seen for `linger`
@@ -243,7 +241,7 @@
     /// Frees the slot of the pending request or reservation.
     pub fn end_request(&mut self, now: Duration, occupancy: &mut Occupancy) {
         self.is_reserved = false;
-        if self.request_start.take().is_some() {
+        if self.slot.take().is_some() {
             occupancy.release(now);
         }
     }
--- a/roles/forward/src/agent/lookup.rs
+++ b/roles/forward/src/agent/lookup.rs
@@ -113,11 +113,11 @@
         now: Duration,
         flow: FlowId,
         carry: Carry,
-        asker: SocketAddr,
+        reply_to: SocketAddr,
         actions: &mut Vec<Action>,
     ) {
-        let before = self.probes.get(now, &flow).copied();
-        let is_waiting = before.is_some_and(|probe| {
+        let previous = self.probes.get(now, &flow).copied();
+        let is_waiting = previous.is_some_and(|probe| {
             probe.count >= MAX_PROBES || now < probe.sent_at + self.settings.probe_interval
         });
         if is_waiting {
@@ -125,9 +125,9 @@
         }
         let probe = Probe {
             entry: carry.entry,
-            reply_to: asker,
+            reply_to,
             sent_at: now,
-            count: before.map_or(1, |probe| probe.count + 1),
+            count: previous.map_or(1, |probe| probe.count + 1),
         };
         self.probes.insert(now, flow, probe);
         actions.push(Action::Probed { flow });
--- a/roles/forward/src/agent/search.rs
+++ b/roles/forward/src/agent/search.rs
@@ -19,7 +19,7 @@
 use super::Drop;
 
 /// Maximum number of concurrent searches of one agent. When it is reached, an
-/// entry retries at another agent after a time-out.
+/// entry retries at another agent after a timeout.
 const MAX_SEARCHES: usize = 4 * 1024;
 
 /// Other agents of the service.
@@ -68,7 +68,7 @@
         let is_complete = knows_all && !self.peers.has_silent;
         let mut terms = search.terms;
         terms.may_try &= knows_all;
-        let query = PendingSearch {
+        let pending = PendingSearch {
             started_at: now,
             entry: search.entry,
             acknowledged: segment.acknowledged,
@@ -76,7 +76,7 @@
             is_complete,
             denied: Vec::new(),
         };
-        self.searches.insert(flow, query);
+        self.searches.insert(flow, pending);
         let seek = Seek {
             target: search.target,
             entry: search.entry,
@@ -135,31 +135,31 @@
         age_ms: Option<u32>,
         actions: &mut Vec<Action>,
     ) {
-        let Some(query) = self.searches.get_mut(&flow) else {
+        let Some(pending) = self.searches.get_mut(&flow) else {
             return;
         };
-        let is_young = age_ms.is_some_and(|age| age <= query.max_age_ms);
-        if !is_young || query.denied.contains(&target) {
+        let is_young = age_ms.is_some_and(|age| age <= pending.max_age_ms);
+        if !is_young || pending.denied.contains(&target) {
             return;
         }
-        query.denied.push(target);
+        pending.denied.push(target);
         let mut others = self.peers.hops.iter();
-        let is_denied = query.denied.contains(&self.own.target)
-            && others.all(|hop| query.denied.contains(&hop.target));
-        if !is_denied || !query.is_complete {
+        let is_denied = pending.denied.contains(&self.own.target)
+            && others.all(|hop| pending.denied.contains(&hop.target));
+        if !is_denied || !pending.is_complete {
             return;
         }
         actions.push(Action::Unheld {
             flow,
-            agents: query.denied.len(),
-            took: now.saturating_sub(query.started_at),
+            agents: pending.denied.len(),
+            took: now.saturating_sub(pending.started_at),
         });
         actions.push(Action::Send {
-            to: query.entry,
+            to: pending.entry,
             transit: Transit::Unheld(Unheld {
                 flow,
                 target: self.own.target,
-                acknowledged: query.acknowledged,
+                acknowledged: pending.acknowledged,
             }),
         });
         self.searches.remove(&flow);
@@ -169,16 +169,16 @@
     pub(super) fn expire_searches(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let limit = self.settings.search_timeout;
         let agents = self.peers.hops.len() + 1;
-        self.searches.retain(|flow, query| {
-            let is_waiting = now < query.started_at + limit;
+        self.searches.retain(|flow, pending| {
+            let is_waiting = now < pending.started_at + limit;
             // A search without a maximum age cannot be decided by denials, so
             // its expiry is not reported.
-            if !is_waiting && query.max_age_ms > 0 {
+            if !is_waiting && pending.max_age_ms > 0 {
                 actions.push(Action::Undecided {
                     flow: *flow,
-                    denied: query.denied.len(),
+                    denied: pending.denied.len(),
                     agents,
-                    is_complete: query.is_complete,
+                    is_complete: pending.is_complete,
                 });
             }
             is_waiting
--- a/roles/forward/src/agent/server.rs
+++ b/roles/forward/src/agent/server.rs
@@ -32,10 +32,7 @@
         let flow = segment.from_caller();
         let probe = self.probes.remove(&flow);
         let held = self.flows.remove(&flow);
-        if held
-            .as_ref()
-            .is_some_and(|flow| flow.request_start.is_some())
-        {
+        if held.as_ref().is_some_and(|flow| flow.slot.is_some()) {
             self.occupancy.release(now);
         }
         if segment.kind == Kind::Open {
@@ -46,18 +43,18 @@
             flow,
             was_held: held.is_some(),
         });
-        let asker = probe
+        let reply_to = probe
             .map(|probe| probe.reply_to)
             .or(held.and_then(|flow| flow.entry));
-        let Some(asker) = asker else {
+        let Some(reply_to) = reply_to else {
             return;
         };
-        if asker == self.own.address {
+        if reply_to == self.own.address {
             return self.record_own_denial(now, flow, actions);
         }
         let carry = Carry {
             target: self.own.target,
-            entry: asker,
+            entry: reply_to,
             packet,
         };
         send_absent(flow, carry, &segment, self.evidence(now), actions);
@@ -106,12 +103,12 @@
         backend: Backend,
         actions: &mut Vec<Action>,
     ) {
-        let held = self.backend.as_ref();
-        if held.is_some_and(|held| backend.is_older_than(held)) {
+        let current = self.backend.as_ref();
+        if current.is_some_and(|held| backend.is_older_than(held)) {
             return actions.push(Action::Dropped(Drop::OldAnnouncement));
         }
-        let is_first = held.is_none();
-        if held.is_none_or(|held| held.start != backend.start) {
+        let is_first = current.is_none();
+        if current.is_none_or(|held| held.start != backend.start) {
             if !is_first {
                 self.end_server(now, actions);
                 self.risk = Risk::new(self.settings.risk, now);
@@ -122,9 +119,10 @@
             self.first_announced = now;
             // The first announcement is sent at the start, so each later one
             // adds at most one heartbeat interval to the age.
-            let before = backend.sequence.saturating_sub(FIRST_SEQUENCE);
-            let before = u32::try_from(before).unwrap_or(u32::MAX);
-            self.max_age_at_first = self.settings.heartbeat.saturating_mul(before);
+            let later_announcements = backend.sequence.saturating_sub(FIRST_SEQUENCE);
+            let later_announcements = u32::try_from(later_announcements).unwrap_or(u32::MAX);
+            self.max_age_when_first_announced =
+                self.settings.heartbeat.saturating_mul(later_announcements);
         }
         self.last_announced = now;
         self.unanswered_since = None;
@@ -144,7 +142,7 @@
             });
         }
         for (flow, held) in self.flows.drain() {
-            if held.request_start.is_some() {
+            if held.slot.is_some() {
                 self.occupancy.release(now);
             }
             self.ended_flows.insert(now, flow, ());
@@ -155,10 +153,10 @@
     /// Returns the age and start time that make a denial of a flow credible, or
     /// `None` before the first announcement.
     pub(super) fn evidence(&self, now: Duration) -> Option<Evidence> {
-        let (age, start) = (self.max_server_age(now)?, self.server_start()?);
+        let (max_age, server_start) = (self.max_server_age(now)?, self.server_start()?);
         Some(Evidence {
-            max_age: age,
-            server_start: start,
+            max_age,
+            server_start,
         })
     }
 
@@ -173,6 +171,6 @@
     /// `None` before the first announcement.
     pub(super) fn max_server_age(&self, now: Duration) -> Option<Duration> {
         self.backend.as_ref()?;
-        Some(self.max_age_at_first + now.saturating_sub(self.first_announced))
+        Some(self.max_age_when_first_announced + now.saturating_sub(self.first_announced))
     }
 }
--- a/roles/forward/src/agent/settings.rs
+++ b/roles/forward/src/agent/settings.rs
@@ -48,7 +48,7 @@
     /// Upper limit of the age of a flow.
     pub oldest_flow: Duration,
     /// Time without packets after which a flow is dropped.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Time for which a flow is kept after it has ended or was passed on.
     pub linger: Duration,
     /// Interval between two sweeps for expired state.
@@ -73,7 +73,7 @@
             probe_interval: Duration::from_secs(1),
             search_timeout: Duration::from_millis(500),
             oldest_flow: Duration::from_mins(1),
-            idle: Duration::from_mins(1),
+            idle_timeout: Duration::from_mins(1),
             linger: Duration::from_secs(4),
             sweep_interval: Duration::from_millis(100),
         }
--- a/roles/forward/src/entry.rs
+++ b/roles/forward/src/entry.rs
@@ -74,7 +74,7 @@
     zone: ZoneId,
     routes: Arc<Routes>,
     flows: HashMap<FlowId, Flow>,
-    place: Place,
+    placement: Place,
     started_at: Duration,
     known_targets: HashSet<TargetId>,
     /// Time at which a backend server was last added to the known ones.
@@ -105,7 +105,7 @@
         now: Duration,
     ) -> Self {
         Self {
-            place: Place::new(settings.place, zone, seed),
+            placement: Place::new(settings.place, zone, seed),
             random: fastrand::Rng::with_seed(seed),
             address,
             zone,
@@ -124,18 +124,18 @@
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Packet { segment, packet } => {
-                let passing = PacketContext {
+                let context = PacketContext {
                     now,
                     segment,
                     packet,
                     actions,
                 };
-                self.handle_packet(passing);
+                self.handle_packet(context);
             }
             Event::Held(held) => self.record_holder(now, &held, actions),
             Event::Absent(absent) => self.handle_absent(now, absent, actions),
             Event::Unheld(unheld) => self.handle_unheld(now, unheld, actions),
-            Event::Busy(busy) => self.place.learn(now, busy.target, busy.load),
+            Event::Busy(busy) => self.placement.learn(now, busy.target, busy.load),
             Event::Routes(routes) => self.replace_routes(now, routes),
             Event::Tick => {}
         }
@@ -171,7 +171,7 @@
         if !known.is_subset(&self.known_targets) {
             self.last_target_added = now;
         }
-        self.place.retain(|target| known.contains(&target));
+        self.placement.retain(|target| known.contains(&target));
         self.known_targets = known;
         self.routes = routes;
     }
@@ -188,14 +188,14 @@
             && now >= self.last_target_added + settings.discovery_quiet
     }
 
-    fn handle_packet(&mut self, passing: PacketContext<'_>) {
+    fn handle_packet(&mut self, context: PacketContext<'_>) {
         let routes = Arc::clone(&self.routes);
-        let is_routed = routes.route(passing.segment.destination).is_some();
-        match passing.segment.kind {
-            _ if !is_routed => self.handle_unrouted(&passing.segment, passing.actions),
-            Kind::Open => self.handle_open(&routes, passing),
-            Kind::Accept => passing.actions.push(Action::Dropped(Drop::Direction)),
-            Kind::Data | Kind::Close | Kind::Reset => self.handle_carry(&routes, passing),
+        let is_routed = routes.route(context.segment.destination).is_some();
+        match context.segment.kind {
+            _ if !is_routed => self.handle_unrouted(&context.segment, context.actions),
+            Kind::Open => self.handle_open(&routes, context),
+            Kind::Accept => context.actions.push(Action::Dropped(Drop::Direction)),
+            Kind::Data | Kind::Close | Kind::Reset => self.handle_carry(&routes, context),
         }
     }
 
@@ -222,34 +222,34 @@
     /// Sends an opening packet to the agents that are expected to answer
     /// soonest, or its retransmission to the agent that received the first
     /// copy. An agent that did not answer in time is skipped.
-    fn handle_open(&mut self, routes: &Routes, passing: PacketContext<'_>) {
-        let flow = passing.segment.from_caller();
+    fn handle_open(&mut self, routes: &Routes, context: PacketContext<'_>) {
+        let flow = context.segment.from_caller();
         let mut tried = Vec::new();
         match self.flows.get_mut(&flow).map(|flow| &mut flow.phase) {
             Some(Phase::Held(holder)) => {
                 let holder = *holder;
-                return self.send_to_holder(holder, passing);
+                return self.send_to_holder(holder, context);
             }
             Some(Phase::Opening(opening))
-                if passing.now < opening.sent_at + self.settings.agent_timeout =>
+                if context.now < opening.sent_at + self.settings.agent_timeout =>
             {
                 let first = opening.path[0];
                 tried.clone_from(&opening.tried);
-                return self.send_open(routes, vec![first], tried, passing);
+                return self.send_open(routes, vec![first], tried, context);
             }
             Some(Phase::Opening(opening)) => {
                 let first = opening.path[0].target;
                 tried.clone_from(&opening.tried);
                 tried.push(first);
-                self.place.distrust(passing.now, first);
+                self.placement.distrust(context.now, first);
             }
             _ => {}
         }
-        let path = self.choose_path(routes, &passing, &tried);
+        let path = self.choose_path(routes, &context, &tried);
         if path.is_empty() {
-            return self.refuse_unserved(routes, &passing.segment, passing.now, passing.actions);
+            return self.refuse_unserved(routes, &context.segment, context.now, context.actions);
         }
-        self.send_open(routes, path, tried, passing);
+        self.send_open(routes, path, tried, context);
     }
 
     /// Returns the agents that an opening packet visits, best first. Those in
@@ -257,10 +257,10 @@
     fn choose_path(
         &mut self,
         routes: &Routes,
-        passing: &PacketContext<'_>,
+        context: &PacketContext<'_>,
         tried: &[TargetId],
     ) -> Vec<Hop> {
-        let flow = passing.segment.from_caller();
+        let flow = context.segment.from_caller();
         let route = routes.route(flow.service);
         let Some(service) = route.and_then(|route| route.service(&flow)) else {
             return Vec::new();
@@ -269,11 +269,12 @@
             .open(service)
             .filter(|target| !tried.contains(&target.id));
         let ranked = self
-            .place
-            .rank(passing.now, untried, self.settings.path_length);
+            .placement
+            .rank(context.now, untried, self.settings.path_length);
         let ranked = if ranked.is_empty() {
             let all = routes.open(service);
-            self.place.rank(passing.now, all, self.settings.path_length)
+            self.placement
+                .rank(context.now, all, self.settings.path_length)
         } else {
             ranked
         };
@@ -314,16 +315,16 @@
         routes: &Routes,
         path: Vec<Hop>,
         tried: Vec<TargetId>,
-        passing: PacketContext<'_>,
+        context: PacketContext<'_>,
     ) {
-        let flow = passing.segment.from_caller();
+        let flow = context.segment.from_caller();
         let first = path[0];
         let timeout = routes.route(flow.service).map(|route| route.timeout);
-        let patience = timeout.unwrap_or_default().as_millis();
-        self.place.sent(first.target);
+        let timeout_ms = timeout.unwrap_or_default().as_millis();
+        self.placement.sent(first.target);
         let is_first = !self.flows.contains_key(&flow);
         if is_first {
-            passing.actions.push(Action::Opened {
+            context.actions.push(Action::Opened {
                 flow,
                 first: first.target,
                 hops: path.len(),
@@ -331,15 +332,15 @@
             });
         }
         self.store_flow(
-            passing.now,
+            context.now,
             flow,
             Phase::Opening(flow::Opening {
                 path: path.clone(),
                 tried,
-                sent_at: passing.now,
+                sent_at: context.now,
             }),
         );
-        passing.actions.push(Action::Send {
+        context.actions.push(Action::Send {
             to: first.address,
             transit: Transit::Open(Open {
                 entry: self.address,
@@ -347,51 +348,51 @@
                 position: 0,
                 bids: Vec::new(),
                 is_settled: false,
-                patience_ms: u32::try_from(patience).unwrap_or(u32::MAX),
-                packet: passing.packet,
+                patience_ms: u32::try_from(timeout_ms).unwrap_or(u32::MAX),
+                packet: context.packet,
             }),
         });
     }
 
     /// Sends a packet to the agent that holds its flow, or starts a search for
     /// the holder.
-    fn handle_carry(&mut self, routes: &Routes, passing: PacketContext<'_>) {
-        let flow = passing.segment.from_caller();
-        let Some(held) = self.flows.get_mut(&flow) else {
-            return self.start_search(routes, None, passing);
+    fn handle_carry(&mut self, routes: &Routes, context: PacketContext<'_>) {
+        let flow = context.segment.from_caller();
+        let Some(state) = self.flows.get_mut(&flow) else {
+            return self.start_search(routes, None, context);
         };
-        let is_lost = matches!(held.phase, Phase::Lost);
-        if is_lost && passing.now >= held.phase_since + self.settings.lost_retry_interval {
-            return self.start_search(routes, None, passing);
+        let is_lost = matches!(state.phase, Phase::Lost);
+        if is_lost && context.now >= state.phase_since + self.settings.lost_retry_interval {
+            return self.start_search(routes, None, context);
         }
-        held.last_used = passing.now;
-        held.is_closing |= matches!(passing.segment.kind, Kind::Close | Kind::Reset);
-        match &mut held.phase {
+        state.last_used = context.now;
+        state.is_closing |= matches!(context.segment.kind, Kind::Close | Kind::Reset);
+        match &mut state.phase {
             Phase::Held(holder) => {
                 let holder = *holder;
-                self.send_to_holder(holder, passing);
+                self.send_to_holder(holder, context);
             }
             Phase::Opening(opening) => {
                 let first = opening.path[0];
-                self.send_to_holder(first, passing);
+                self.send_to_holder(first, context);
             }
-            Phase::Searching(seeking) => {
-                if !seeking.enqueue(passing.packet) {
-                    passing.actions.push(Action::Dropped(Drop::Crowded));
+            Phase::Searching(searching) => {
+                if !searching.enqueue(context.packet) {
+                    context.actions.push(Action::Dropped(Drop::Crowded));
                 }
             }
-            Phase::Lost => passing.actions.push(Action::Dropped(Drop::Lost)),
+            Phase::Lost => context.actions.push(Action::Dropped(Drop::Lost)),
         }
     }
 
-    /// Sends a packet to the holder of its flow.
-    fn send_to_holder(&self, holder: Hop, passing: PacketContext<'_>) {
-        passing.actions.push(Action::Send {
+    /// Sends a packet to the agent that holds its flow or is expected to.
+    fn send_to_holder(&self, holder: Hop, context: PacketContext<'_>) {
+        context.actions.push(Action::Send {
             to: holder.address,
             transit: Transit::Carry(Carry {
                 target: holder.target,
                 entry: self.address,
-                packet: passing.packet,
+                packet: context.packet,
             }),
         });
     }
@@ -399,17 +400,17 @@
     /// Records the holder of a flow and sends it the queued packets.
     fn record_holder(&mut self, now: Duration, held: &Held, actions: &mut Vec<Action>) {
         if let Some(load) = held.load {
-            self.place.learn(now, held.holder.target, load);
+            self.placement.learn(now, held.holder.target, load);
         }
-        let before = self.flows.remove(&held.flow);
-        let is_closing = before.as_ref().is_some_and(|flow| flow.is_closing);
+        let previous = self.flows.remove(&held.flow);
+        let is_closing = previous.as_ref().is_some_and(|flow| flow.is_closing);
         self.store_flow(now, held.flow, Phase::Held(held.holder));
         if let Some(flow) = self.flows.get_mut(&held.flow) {
             flow.is_closing = is_closing;
             flow.server_start = held.start;
         }
-        let seeking = match before.map(|flow| flow.phase) {
-            Some(Phase::Searching(seeking)) => seeking,
+        let searching = match previous.map(|flow| flow.phase) {
+            Some(Phase::Searching(searching)) => searching,
             Some(Phase::Opening(opening)) => {
                 let took = now.saturating_sub(opening.sent_at);
                 return actions.push(Action::Accepted { took });
@@ -419,9 +420,9 @@
         actions.push(Action::Found {
             flow: held.flow,
             holder: held.holder.target,
-            took: now.saturating_sub(seeking.asked_at),
+            took: now.saturating_sub(searching.asked_at),
         });
-        for packet in seeking.queued {
+        for packet in searching.queued {
             actions.push(Action::Send {
                 to: held.holder.address,
                 transit: Transit::Carry(Carry {
@@ -437,13 +438,13 @@
     /// the holder's backend server has restarted, or else searches for another
     /// holder.
     fn handle_absent(&mut self, now: Duration, absent: Absent, actions: &mut Vec<Action>) {
-        let Some(held) = self.flows.get(&absent.flow) else {
+        let Some(state) = self.flows.get(&absent.flow) else {
             return;
         };
-        match &held.phase {
+        match &state.phase {
             Phase::Held(holder) if holder.target == absent.target => {
-                let is_known = held.server_start.is_some() && absent.start.is_some();
-                if is_known && absent.start != held.server_start {
+                let is_known = state.server_start.is_some() && absent.start.is_some();
+                if is_known && absent.start != state.server_start {
                     // The holder's backend server has restarted since it opened
                     // the flow.
                     self.flows.remove(&absent.flow);
@@ -454,13 +455,13 @@
                     acknowledged: absent.acknowledged,
                     ..search_header(&absent.flow)
                 };
-                let passing = PacketContext {
+                let context = PacketContext {
                     now,
                     segment,
                     packet: absent.packet,
                     actions,
                 };
-                self.start_search(&routes, Some(absent.target), passing);
+                self.start_search(&routes, Some(absent.target), context);
             }
             Phase::Held(_) | Phase::Opening(_) | Phase::Searching(_) | Phase::Lost => {}
         }
--- a/roles/forward/src/entry/search.rs
+++ b/roles/forward/src/entry/search.rs
@@ -35,21 +35,21 @@
         &mut self,
         routes: &Routes,
         absent: Option<TargetId>,
-        passing: PacketContext<'_>,
+        context: PacketContext<'_>,
     ) {
-        let flow = passing.segment.from_caller();
-        let mut seeking = flow::Searching {
-            asked_at: passing.now,
-            packet: passing.packet,
-            acknowledged: passing.segment.acknowledged,
+        let flow = context.segment.from_caller();
+        let mut searching = flow::Searching {
+            asked_at: context.now,
+            packet: context.packet,
+            acknowledged: context.segment.acknowledged,
             tried: absent.into_iter().collect(),
             rounds: 0,
             denied_by: Vec::new(),
             queued: Vec::new(),
         };
-        self.send_search(routes, passing.now, flow, &mut seeking, passing.actions);
+        self.send_search(routes, context.now, flow, &mut searching, context.actions);
         self.searches.push_back(flow);
-        self.store_flow(passing.now, flow, Phase::Searching(seeking));
+        self.store_flow(context.now, flow, Phase::Searching(searching));
     }
 
     /// Asks one agent of each service of the route to search.
@@ -58,20 +58,21 @@
         routes: &Routes,
         now: Duration,
         flow: FlowId,
-        seeking: &mut flow::Searching,
+        searching: &mut flow::Searching,
         actions: &mut Vec<Action>,
     ) {
         let Some(route) = routes.route(flow.service) else {
             return;
         };
-        seeking.rounds += 1;
+        searching.rounds += 1;
         let terms = self.search_terms(now, route);
         for share in &route.shares {
             let known = routes.all(share.service).count();
-            let Some(searcher) = self.choose_searcher(routes, share.service, &seeking.tried) else {
+            let Some(searcher) = self.choose_searcher(routes, share.service, &searching.tried)
+            else {
                 continue;
             };
-            seeking.tried.push(searcher.id);
+            searching.tried.push(searcher.id);
             actions.push(Action::Send {
                 to: searcher.address,
                 transit: Transit::Search(Search {
@@ -79,7 +80,7 @@
                     entry: self.address,
                     terms,
                     known: u16::try_from(known).unwrap_or(u16::MAX),
-                    packet: seeking.packet.clone(),
+                    packet: searching.packet.clone(),
                 }),
             });
             actions.push(Action::Sought {
@@ -104,7 +105,7 @@
         routes
             .all(service)
             .map(|target| (tried.contains(&target.id), target.zone != zone, target))
-            .min_by_key(|(is_tried, is_far, _)| (*is_tried, *is_far, random.u32(..)))
+            .min_by_key(|(is_tried, is_remote, _)| (*is_tried, *is_remote, random.u32(..)))
             .map(|(.., target)| target)
     }
 
@@ -113,10 +114,14 @@
     /// only be unreachable.
     fn search_terms(&self, now: Duration, route: &Route) -> Terms {
         let may_try = self.knows_all_agents(now);
-        let is_sure = may_try && !self.routes.has_silent(route);
+        let is_conclusive = may_try && !self.routes.has_silent(route);
         Terms {
             may_try,
-            max_age_ms: if is_sure { self.max_age_ms(now) } else { 0 },
+            max_age_ms: if is_conclusive {
+                self.max_age_ms(now)
+            } else {
+                0
+            },
         }
     }
 
@@ -147,23 +152,24 @@
         let Some(route) = routes.route(flow.service) else {
             return;
         };
-        let is_sure = self.search_terms(now, route).max_age_ms > 0;
-        let Some(Phase::Searching(seeking)) = self.flows.get_mut(&flow).map(|held| &mut held.phase)
+        let is_conclusive = self.search_terms(now, route).max_age_ms > 0;
+        let Some(Phase::Searching(searching)) =
+            self.flows.get_mut(&flow).map(|state| &mut state.phase)
         else {
             return;
         };
         let mut shares = route.shares.iter();
-        let of = shares.find(|share| {
+        let searched_share = shares.find(|share| {
             let mut targets = routes.all(share.service);
             targets.any(|target| target.id == unheld.target)
         });
-        let Some(share) = of.filter(|_| is_sure) else {
+        let Some(share) = searched_share.filter(|_| is_conclusive) else {
             return;
         };
-        seeking.denied_by.push(share.service);
+        searching.denied_by.push(share.service);
         let mut shares = route.shares.iter();
-        if shares.all(|share| seeking.denied_by.contains(&share.service)) {
-            let sequence = seeking.acknowledged;
+        if shares.all(|share| searching.denied_by.contains(&share.service)) {
+            let sequence = searching.acknowledged;
             self.flows.remove(&flow);
             actions.push(reset_ended(flow, sequence));
         }
@@ -177,34 +183,34 @@
         }
         let routes = Arc::clone(&self.routes);
         while let Some(flow) = self.searches.front().copied() {
-            let Some(held) = self.flows.get_mut(&flow) else {
+            let Some(state) = self.flows.get_mut(&flow) else {
                 self.searches.pop_front();
                 continue;
             };
-            let Phase::Searching(seeking) = &mut held.phase else {
+            let Phase::Searching(searching) = &mut state.phase else {
                 self.searches.pop_front();
                 continue;
             };
-            if now < seeking.asked_at + self.settings.agent_timeout {
+            if now < searching.asked_at + self.settings.agent_timeout {
                 return;
             }
             self.searches.pop_front();
-            if seeking.rounds >= MAX_ROUNDS {
-                let rounds = seeking.rounds;
-                held.phase = Phase::Lost;
-                held.last_used = now;
-                held.phase_since = now;
+            if searching.rounds >= MAX_ROUNDS {
+                let rounds = searching.rounds;
+                state.phase = Phase::Lost;
+                state.last_used = now;
+                state.phase_since = now;
                 actions.push(Action::Vanished { flow, rounds });
                 continue;
             }
-            let Some(mut held) = self.flows.remove(&flow) else {
+            let Some(mut state) = self.flows.remove(&flow) else {
                 continue;
             };
-            if let Phase::Searching(seeking) = &mut held.phase {
-                seeking.asked_at = now;
-                self.send_search(&routes, now, flow, seeking, actions);
+            if let Phase::Searching(searching) = &mut state.phase {
+                searching.asked_at = now;
+                self.send_search(&routes, now, flow, searching, actions);
             }
-            self.flows.insert(flow, held);
+            self.flows.insert(flow, state);
             self.searches.push_back(flow);
         }
     }
--- a/roles/forward/src/routes.rs
+++ b/roles/forward/src/routes.rs
@@ -74,14 +74,14 @@
             .iter()
             .map(|share| u64::from(share.weight))
             .sum();
-        let place = u64::from(flow.service.port());
-        let mut left = mix(flow.caller_key(), place).checked_rem(sum)?;
+        let port = u64::from(flow.service.port());
+        let mut remaining = mix(flow.caller_key(), port).checked_rem(sum)?;
         for share in &self.shares {
             let weight = u64::from(share.weight);
-            if left < weight {
+            if remaining < weight {
                 return Some(share.service);
             }
-            left -= weight;
+            remaining -= weight;
         }
         None
     }
