--- a/roles/forward/src/agent/flow.rs
+++ b/roles/forward/src/agent/flow.rs
@@ -103,6 +103,7 @@
 
     /// Returns whether a caller's packet shows that the flow was accepted by
     /// another backend server, although its opening packet came here too.
+    /// Completes the handshake if the packet acknowledges this server.
     pub fn is_accepted_elsewhere(&mut self, segment: &Segment) -> bool {
         match self.handshake {
             Handshake::Unseen | Handshake::Done => false,
--- a/roles/forward/tests/agent.rs
+++ b/roles/forward/tests/agent.rs
@@ -1,8 +1,8 @@
 //! The agent's side: which flows it takes, and where packets go.
-mod common;
+mod fixtures;
 
-use common::agent::*;
-use common::*;
+use fixtures::agent::*;
+use fixtures::*;
 use forward::Agent;
 use forward::agent::Action;
 use forward::agent::Closed;
@@ -15,71 +15,71 @@
 use wire::transit::Terms;
 
 #[test]
-fn a_free_slot_takes_a_flow_and_says_so() {
-    let mut agent = ready(false);
-    let actions = open_at(&mut agent, ms(1), 9, open(&[OWN, 2]));
+fn flow_is_admitted_while_a_slot_is_free_and_the_entry_is_notified() {
+    let mut agent = ready_agent(false);
+    let actions = send_open(&mut agent, ms(1), 9, open_frame(&[OWN, 2]));
     assert!(delivers(&actions));
     let told = actions.iter().any(|action| {
         matches!(action, Action::Send { to, transit: Transit::Held(held) }
-            if *to == entry() && held.holder == hop(OWN))
+            if *to == entry_address() && held.holder == hop(OWN))
     });
     assert!(told, "{actions:?}");
 }
 
 #[test]
-fn a_busy_agent_passes_a_flow_on_with_its_bid() {
-    let mut agent = ready(false);
-    fill(&mut agent, ms(1));
-    let actions = open_at(&mut agent, ms(1), 9, open(&[OWN, 2]));
-    let open = passed(&actions).unwrap();
+fn busy_agent_passes_a_flow_on_with_its_bid() {
+    let mut agent = ready_agent(false);
+    fill_slots(&mut agent, ms(1));
+    let actions = send_open(&mut agent, ms(1), 9, open_frame(&[OWN, 2]));
+    let open = passed_on(&actions).unwrap();
     assert_eq!((open.position, open.bids.len()), (1, 1));
 }
 
 /// The agent had passed the flow on; it comes back since no other bid less.
 #[test]
-fn a_settled_flow_is_taken_by_an_agent_that_passed_it_before() {
-    let mut agent = ready(false);
-    fill(&mut agent, ms(1));
-    let first = open_at(&mut agent, ms(1), 9, open(&[OWN, 2]));
+fn settled_flow_is_admitted_by_an_agent_that_passed_it_on_before() {
+    let mut agent = ready_agent(false);
+    fill_slots(&mut agent, ms(1));
+    let first = send_open(&mut agent, ms(1), 9, open_frame(&[OWN, 2]));
     let settled = Open {
         position: 0,
         bids: vec![20, 40],
         is_settled: true,
-        ..passed(&first).unwrap().clone()
+        ..passed_on(&first).unwrap().clone()
     };
-    let actions = open_at(&mut agent, ms(3), 9, settled);
+    let actions = send_open(&mut agent, ms(3), 9, settled);
     assert!(delivers(&actions), "{actions:?}");
 }
 
 /// An entry may still know the backend server that was at the address before.
 #[test]
-fn an_opening_packet_for_another_server_is_not_delivered() {
-    let mut agent = ready(false);
-    let actions = open_at(&mut agent, ms(1), 9, open(&[5, 2]));
+fn opening_packet_for_another_server_is_not_delivered() {
+    let mut agent = ready_agent(false);
+    let actions = send_open(&mut agent, ms(1), 9, open_frame(&[5, 2]));
     assert!(!delivers(&actions), "{actions:?}");
-    assert_eq!(passed(&actions).unwrap().path[1], hop(2));
-    let alone = open_at(&mut agent, ms(2), 10, open(&[5]));
+    assert_eq!(passed_on(&actions).unwrap().path[1], hop(2));
+    let alone = send_open(&mut agent, ms(2), 10, open_frame(&[5]));
     assert!(!delivers(&alone), "{alone:?}");
 }
 
 #[test]
-fn a_copy_follows_the_flow_that_was_passed_on() {
-    let mut agent = ready(false);
-    fill(&mut agent, ms(1));
-    open_at(&mut agent, ms(1), 9, open(&[OWN, 2]));
-    let actions = open_at(&mut agent, ms(200), 9, open(&[OWN]));
-    assert_eq!(passed(&actions).unwrap().path[1], hop(2));
+fn retransmitted_opening_packet_follows_the_flow_that_was_passed_on() {
+    let mut agent = ready_agent(false);
+    fill_slots(&mut agent, ms(1));
+    send_open(&mut agent, ms(1), 9, open_frame(&[OWN, 2]));
+    let actions = send_open(&mut agent, ms(200), 9, open_frame(&[OWN]));
+    assert_eq!(passed_on(&actions).unwrap().path[1], hop(2));
 }
 
 /// The word of the agent that took it may have been lost.
 #[test]
-fn an_entry_that_follows_a_flow_which_was_passed_on_learns_where_it_went() {
-    let mut agent = ready(false);
-    fill(&mut agent, ms(1));
-    open_at(&mut agent, ms(1), 9, open(&[OWN, 2]));
+fn packet_of_a_passed_on_flow_is_forwarded_and_the_entry_is_notified() {
+    let mut agent = ready_agent(false);
+    fill_slots(&mut agent, ms(1));
+    send_open(&mut agent, ms(1), 9, open_frame(&[OWN, 2]));
     let event = Event::Carry {
-        carry: carry(OWN),
-        segment: from_caller(9, Kind::Data, 100),
+        carry: carry_frame(OWN),
+        segment: caller_segment(9, Kind::Data, 100),
     };
     let actions = handle(&mut agent, ms(20), event);
     let followed = actions.iter().any(|action| {
@@ -88,87 +88,87 @@
     });
     let told = actions.iter().any(|action| {
         matches!(action, Action::Send { to, transit: Transit::Held(held) }
-            if *to == entry() && held.holder == hop(2))
+            if *to == entry_address() && held.holder == hop(2))
     });
     assert!(followed && told, "{actions:?}");
 }
 
 #[test]
-fn nobody_with_a_slot_in_time_refuses_at_once() {
-    let mut agent = ready(false);
-    fill(&mut agent, ms(1));
+fn flow_is_reset_at_once_if_no_agent_has_a_slot_in_time() {
+    let mut agent = ready_agent(false);
+    fill_slots(&mut agent, ms(1));
     let hasty = Open {
         patience_ms: 1,
-        ..open(&[OWN])
+        ..open_frame(&[OWN])
     };
-    let actions = open_at(&mut agent, ms(1), 9, hasty);
+    let actions = send_open(&mut agent, ms(1), 9, hasty);
     assert!(matches!(actions[..], [Action::Reset { .. }]), "{actions:?}");
 }
 
 #[test]
-fn a_flow_that_is_not_accepted_goes_to_the_next_agent() {
-    let mut agent = ready(false);
-    open_at(&mut agent, ms(1), 9, open(&[OWN, 2]));
+fn flow_that_the_server_does_not_accept_is_passed_on() {
+    let mut agent = ready_agent(false);
+    send_open(&mut agent, ms(1), 9, open_frame(&[OWN, 2]));
     let event = Event::Server {
-        segment: returned(9, Kind::Open),
+        segment: returned_segment(9, Kind::Open),
         packet: packet(),
     };
     let actions = handle(&mut agent, ms(2), event);
-    assert_eq!(passed(&actions).unwrap().position, 1);
+    assert_eq!(passed_on(&actions).unwrap().position, 1);
 }
 
 #[test]
-fn a_draining_server_gets_no_flows_and_keeps_those_it_has() {
-    let mut agent = ready(false);
-    open_at(&mut agent, ms(1), 9, open(&[OWN, 2]));
-    accept(&mut agent, ms(1), 9);
-    let draining = backend(OWN, 1, 6, State::Draining);
+fn draining_server_gets_no_new_flows_and_keeps_existing_ones() {
+    let mut agent = ready_agent(false);
+    send_open(&mut agent, ms(1), 9, open_frame(&[OWN, 2]));
+    accept_flow(&mut agent, ms(1), 9);
+    let draining = announcement(OWN, 1, 6, State::Draining);
     handle(&mut agent, ms(2), Event::Backend(draining));
-    let opened = open_at(&mut agent, ms(3), 10, open(&[OWN, 2]));
-    assert!(passed(&opened).is_some());
+    let opened = send_open(&mut agent, ms(3), 10, open_frame(&[OWN, 2]));
+    assert!(passed_on(&opened).is_some());
     let event = Event::Carry {
-        carry: carry(OWN),
-        segment: from_caller(9, Kind::Data, 100),
+        carry: carry_frame(OWN),
+        segment: caller_segment(9, Kind::Data, 100),
     };
     assert!(delivers(&handle(&mut agent, ms(3), event)));
 }
 
 #[test]
-fn a_silent_server_gets_no_flows() {
-    let mut agent = ready(false);
+fn server_without_recent_announcement_gets_no_new_flows() {
+    let mut agent = ready_agent(false);
     let late = Settings::default().silence + ms(1);
-    let actions = open_at(&mut agent, late, 9, open(&[OWN, 2]));
-    assert!(passed(&actions).is_some());
+    let actions = send_open(&mut agent, late, 9, open_frame(&[OWN, 2]));
+    assert!(passed_on(&actions).is_some());
 }
 
 #[test]
-fn an_older_announcement_changes_nothing() {
-    let mut agent = ready(false);
+fn older_announcement_is_ignored() {
+    let mut agent = ready_agent(false);
     handle(
         &mut agent,
         ms(1),
-        Event::Backend(backend(OWN, 2, 1, State::Ready)),
+        Event::Backend(announcement(OWN, 2, 1, State::Ready)),
     );
     handle(
         &mut agent,
         ms(2),
-        Event::Backend(backend(OWN, 1, 9, State::Draining)),
+        Event::Backend(announcement(OWN, 1, 9, State::Draining)),
     );
     assert_eq!(agent.closed(ms(3)), None);
 }
 
 #[test]
-fn flows_of_a_server_that_ended_are_reset() {
-    let mut agent = ready(false);
-    open_at(&mut agent, ms(1), 9, open(&[OWN]));
+fn flows_of_a_terminated_server_are_reset() {
+    let mut agent = ready_agent(false);
+    send_open(&mut agent, ms(1), 9, open_frame(&[OWN]));
     handle(
         &mut agent,
         ms(2),
-        Event::Backend(backend(OWN, 2, 1, State::Ready)),
+        Event::Backend(announcement(OWN, 2, 1, State::Ready)),
     );
     let event = Event::Carry {
-        carry: carry(OWN),
-        segment: from_caller(9, Kind::Data, 100),
+        carry: carry_frame(OWN),
+        segment: caller_segment(9, Kind::Data, 100),
     };
     let actions = handle(&mut agent, ms(3), event);
     assert!(matches!(actions[..], [Action::Reset { .. }]), "{actions:?}");
@@ -187,30 +187,30 @@
 }
 
 #[test]
-fn an_agent_with_a_past_tries_an_unknown_flow_once() {
-    let mut agent = ready(true);
-    assert!(delivers(&seek(&mut agent, ms(1), 9)));
+fn restarted_agent_does_not_probe_a_flow_again_that_was_returned() {
+    let mut agent = ready_agent(true);
+    assert!(delivers(&look_up(&mut agent, ms(1), 9)));
     let event = Event::Server {
-        segment: returned(9, Kind::Data),
+        segment: returned_segment(9, Kind::Data),
         packet: packet(),
     };
     handle(&mut agent, ms(2), event);
-    let again = seek(&mut agent, ms(300), 9);
+    let again = look_up(&mut agent, ms(300), 9);
     assert_eq!(again, []);
 }
 
 #[test]
-fn an_agent_without_a_past_tries_none() {
-    let mut agent = ready(false);
-    assert_eq!(seek(&mut agent, ms(1), 9), []);
+fn agent_without_prior_flows_does_not_probe() {
+    let mut agent = ready_agent(false);
+    assert_eq!(look_up(&mut agent, ms(1), 9), []);
 }
 
 #[test]
-fn an_unknown_flow_that_its_server_answers_is_held() {
-    let mut agent = ready(true);
-    seek(&mut agent, ms(1), 9);
+fn flow_is_held_if_the_server_answers_a_probe() {
+    let mut agent = ready_agent(true);
+    look_up(&mut agent, ms(1), 9);
     let event = Event::Server {
-        segment: from_server(9, Kind::Data, 50),
+        segment: server_segment(9, Kind::Data, 50),
         packet: packet(),
     };
     let actions = handle(&mut agent, ms(2), event);
@@ -228,11 +228,11 @@
 
 /// A frame for another backend server at this address.
 #[test]
-fn a_packet_for_another_server_is_not_delivered() {
-    let mut agent = ready(true);
+fn packet_for_another_server_is_reported_absent() {
+    let mut agent = ready_agent(true);
     let event = Event::Carry {
-        carry: carry(7),
-        segment: from_caller(9, Kind::Data, 100),
+        carry: carry_frame(7),
+        segment: caller_segment(9, Kind::Data, 100),
     };
     let actions = handle(&mut agent, ms(1), event);
     assert!(is_absent(&actions) && !delivers(&actions), "{actions:?}");
@@ -240,13 +240,13 @@
 
 /// A caller that has given up says nothing; its request counts no longer.
 #[test]
-fn a_request_without_an_answer_frees_its_slot_after_the_timeout() {
-    let mut agent = ready(false);
-    open_at(&mut agent, ms(1), 9, open(&[OWN]));
-    accept(&mut agent, ms(1), 9);
+fn unanswered_request_frees_its_slot_after_the_timeout() {
+    let mut agent = ready_agent(false);
+    send_open(&mut agent, ms(1), 9, open_frame(&[OWN]));
+    accept_flow(&mut agent, ms(1), 9);
     let event = Event::Carry {
-        carry: carry(OWN),
-        segment: from_caller(9, Kind::Data, 100),
+        carry: carry_frame(OWN),
+        segment: caller_segment(9, Kind::Data, 100),
     };
     handle(&mut agent, ms(5), event);
     handle(&mut agent, ms(900), Event::Tick);
@@ -257,9 +257,9 @@
 
 /// Its backend server may not have started yet, so that silence means nothing.
 #[test]
-fn a_try_without_any_reaction_does_not_make_a_holder() {
-    let mut agent = ready(true);
-    seek(&mut agent, ms(1), 9);
+fn probe_without_reaction_does_not_create_a_flow() {
+    let mut agent = ready_agent(true);
+    look_up(&mut agent, ms(1), 9);
     let mut actions = Vec::new();
     for time in (100..3_000).step_by(100) {
         actions.extend(handle(&mut agent, ms(time), Event::Tick));
@@ -271,55 +271,58 @@
 /// The flow opened elsewhere; a backend server that saw its opening packet may
 /// answer a later one with a reset.
 #[test]
-fn a_flow_that_was_passed_on_is_not_tried_here() {
-    let mut agent = ready(true);
-    open_at(&mut agent, ms(1), 9, open(&[OWN, 2]));
+fn passed_on_flow_is_not_probed() {
+    let mut agent = ready_agent(true);
+    send_open(&mut agent, ms(1), 9, open_frame(&[OWN, 2]));
     let event = Event::Server {
-        segment: returned(9, Kind::Open),
+        segment: returned_segment(9, Kind::Open),
         packet: packet(),
     };
-    assert!(passed(&handle(&mut agent, ms(2), event)).is_some());
-    assert!(!delivers(&seek(&mut agent, ms(20), 9)));
+    assert!(passed_on(&handle(&mut agent, ms(2), event)).is_some());
+    assert!(!delivers(&look_up(&mut agent, ms(20), 9)));
 }
 
 /// Three packets at a server that does not hold the flow would break it.
 #[test]
-fn an_unknown_flow_is_tried_twice_at_most() {
-    let mut agent = ready(true);
-    let tries = (0..50).filter(|number| delivers(&seek(&mut agent, ms(1 + 500 * number), 9)));
+fn unknown_flow_is_probed_at_most_twice() {
+    let mut agent = ready_agent(true);
+    let tries = (0..50).filter(|number| delivers(&look_up(&mut agent, ms(1 + 500 * number), 9)));
     assert_eq!(tries.count(), 2);
 }
 
 /// Several new servers would each get a packet while the holder gets none.
 #[test]
-fn an_entry_that_may_not_know_all_agents_causes_no_tries() {
-    let mut agent = ready(true);
-    assert_eq!(seek_on(&mut agent, ms(1), 9, Terms::default()), []);
+fn lookup_that_does_not_allow_probes_causes_none() {
+    let mut agent = ready_agent(true);
+    assert_eq!(
+        look_up_with_terms(&mut agent, ms(1), 9, Terms::default()),
+        []
+    );
 }
 
 #[test]
-fn an_agent_that_hears_the_first_announcement_knows_all_flows() {
+fn agent_that_received_the_first_announcement_does_not_probe() {
     let mut agent = Agent::new(Settings::default(), hop(OWN), true, ms(0));
     handle(
         &mut agent,
         ms(0),
-        Event::Backend(backend(OWN, 1, 1, State::Ready)),
+        Event::Backend(announcement(OWN, 1, 1, State::Ready)),
     );
-    assert_eq!(seek(&mut agent, ms(1), 9), []);
+    assert_eq!(look_up(&mut agent, ms(1), 9), []);
 }
 
 /// The caller repeats what its server has answered before this process started.
 #[test]
-fn a_request_of_an_unknown_past_frees_its_slot_soon() {
-    let mut agent = ready(true);
+fn first_request_of_a_prior_flow_frees_its_slot_after_the_reservation() {
+    let mut agent = ready_agent(true);
     let sent = Event::Server {
-        segment: from_server(9, Kind::Data, 0),
+        segment: server_segment(9, Kind::Data, 0),
         packet: packet(),
     };
     handle(&mut agent, ms(1), sent);
     let event = Event::Carry {
-        carry: carry(OWN),
-        segment: from_caller(9, Kind::Data, 100),
+        carry: carry_frame(OWN),
+        segment: caller_segment(9, Kind::Data, 100),
     };
     handle(&mut agent, ms(2), event);
     handle(&mut agent, ms(700), Event::Tick);
@@ -327,17 +330,17 @@
 }
 
 #[test]
-fn a_repeated_packet_is_no_new_request() {
-    let mut agent = ready(false);
-    open_at(&mut agent, ms(1), 9, open(&[OWN]));
-    accept(&mut agent, ms(1), 9);
+fn retransmitted_request_does_not_occupy_a_slot() {
+    let mut agent = ready_agent(false);
+    send_open(&mut agent, ms(1), 9, open_frame(&[OWN]));
+    accept_flow(&mut agent, ms(1), 9);
     let request = || Event::Carry {
-        carry: carry(OWN),
-        segment: from_caller(9, Kind::Data, 100),
+        carry: carry_frame(OWN),
+        segment: caller_segment(9, Kind::Data, 100),
     };
     handle(&mut agent, ms(2), request());
     let answer = Event::Server {
-        segment: from_server(9, Kind::Data, 50),
+        segment: server_segment(9, Kind::Data, 50),
         packet: packet(),
     };
     handle(&mut agent, ms(20), answer);
@@ -348,87 +351,92 @@
 
 /// A backend server that lives beside a killed process serves on at once.
 #[test]
-fn a_server_that_may_have_lived_before_is_taken_to_be_ready_for_a_while() {
+fn server_with_possible_prior_flows_is_assumed_ready_for_a_limited_time() {
     let mut agent = Agent::new(Settings::default(), hop(OWN), true, ms(0));
-    assert!(delivers(&open_at(&mut agent, ms(1), 9, open(&[OWN]))));
+    assert!(delivers(&send_open(
+        &mut agent,
+        ms(1),
+        9,
+        open_frame(&[OWN])
+    )));
     let late = Settings::default().assumed;
     assert_eq!(agent.closed(late), Some(Closed::Unknown));
 }
 
 #[test]
-fn a_server_that_does_not_react_is_not_taken_to_be_ready() {
+fn server_that_does_not_react_to_an_opening_packet_is_mute() {
     let mut agent = Agent::new(Settings::default(), hop(OWN), true, ms(0));
-    open_at(&mut agent, ms(1), 9, open(&[OWN]));
+    send_open(&mut agent, ms(1), 9, open_frame(&[OWN]));
     let mute = ms(1) + Settings::default().reaction_timeout;
     assert_eq!(agent.closed(mute), Some(Closed::Mute));
 }
 
 #[test]
-fn a_server_of_the_first_start_is_waited_for() {
+fn server_without_prior_flows_is_unknown_until_announced() {
     let agent = Agent::new(Settings::default(), hop(OWN), false, ms(0));
     assert_eq!(agent.closed(ms(1)), Some(Closed::Unknown));
 }
 
 /// The caller's packet with this acknowledgement, once the server has accepted
 /// the flow at position 5,000.
-fn first_packet(acknowledged: u32) -> Vec<Action> {
-    let mut agent = ready(true);
-    open_at(&mut agent, ms(1), 9, open(&[OWN]));
+fn packet_after_accept(acknowledged: u32) -> Vec<Action> {
+    let mut agent = ready_agent(true);
+    send_open(&mut agent, ms(1), 9, open_frame(&[OWN]));
     let accept = Event::Server {
         segment: wire::Segment {
             sequence: 5_000,
-            ..from_server(9, Kind::Accept, 0)
+            ..server_segment(9, Kind::Accept, 0)
         },
         packet: packet(),
     };
     handle(&mut agent, ms(2), accept);
     let event = Event::Carry {
-        carry: carry(OWN),
+        carry: carry_frame(OWN),
         segment: wire::Segment {
             acknowledged,
-            ..from_caller(9, Kind::Data, 0)
+            ..caller_segment(9, Kind::Data, 0)
         },
     };
     let mut actions = handle(&mut agent, ms(10), event);
-    actions.extend(seek(&mut agent, ms(11), 9));
+    actions.extend(look_up(&mut agent, ms(11), 9));
     actions
 }
 
 #[test]
-fn a_packet_that_answers_this_server_opens_the_flow() {
-    assert!(delivers(&first_packet(5_001)));
+fn packet_that_acknowledges_this_server_is_delivered() {
+    assert!(delivers(&packet_after_accept(5_001)));
 }
 
 /// A copy of the opening packet came here after another server had taken it.
 #[test]
-fn a_packet_that_answers_another_server_is_not_delivered() {
-    let actions = first_packet(900_000_000);
+fn packet_that_acknowledges_another_server_is_reported_absent() {
+    let actions = packet_after_accept(900_000_000);
     assert!(is_absent(&actions) && !delivers(&actions), "{actions:?}");
 }
 
 /// Its flow may have opened at another server by an earlier copy.
 #[test]
-fn a_copy_that_no_server_can_take_is_not_reset() {
-    let mut agent = ready(false);
-    fill(&mut agent, ms(1));
+fn retransmitted_opening_packet_that_no_server_admits_is_not_reset() {
+    let mut agent = ready_agent(false);
+    fill_slots(&mut agent, ms(1));
     let segment = wire::Segment {
         acknowledged: 1,
-        ..from_caller(9, Kind::Open, 0)
+        ..caller_segment(9, Kind::Open, 0)
     };
     let open = Open {
         patience_ms: 1,
-        ..open(&[OWN])
+        ..open_frame(&[OWN])
     };
     let actions = handle(&mut agent, ms(1), Event::Open { open, segment });
     assert!(!resets(&actions), "{actions:?}");
 }
 
 #[test]
-fn a_flow_that_is_handed_back_late_is_not_reset() {
-    let mut agent = ready(false);
-    open_at(&mut agent, ms(1), 9, open(&[OWN]));
+fn opening_packet_returned_late_is_not_reset() {
+    let mut agent = ready_agent(false);
+    send_open(&mut agent, ms(1), 9, open_frame(&[OWN]));
     let event = Event::Server {
-        segment: returned(9, Kind::Open),
+        segment: returned_segment(9, Kind::Open),
         packet: packet(),
     };
     let actions = handle(&mut agent, ms(300), event);
@@ -436,11 +444,11 @@
 }
 
 #[test]
-fn a_flow_that_is_handed_back_at_once_is_reset() {
-    let mut agent = ready(false);
-    open_at(&mut agent, ms(1), 9, open(&[OWN]));
+fn opening_packet_returned_at_once_is_reset() {
+    let mut agent = ready_agent(false);
+    send_open(&mut agent, ms(1), 9, open_frame(&[OWN]));
     let event = Event::Server {
-        segment: returned(9, Kind::Open),
+        segment: returned_segment(9, Kind::Open),
         packet: packet(),
     };
     assert!(resets(&handle(&mut agent, ms(3), event)));
--- a/roles/forward/tests/entry.rs
+++ b/roles/forward/tests/entry.rs
@@ -1,10 +1,10 @@
 //! The entry's side: which agent gets which packet.
-mod common;
+mod fixtures;
 
 use std::sync::Arc;
 use std::time::Duration;
 
-use common::*;
+use fixtures::*;
 use forward::Entry;
 use forward::Routes;
 use forward::entry::Action;
@@ -39,7 +39,7 @@
 }
 
 fn entry_with(targets: Vec<Target>) -> Entry {
-    let mut core = Entry::new(Settings::default(), entry(), HERE, 1, ms(0));
+    let mut core = Entry::new(Settings::default(), entry_address(), HERE, 1, ms(0));
     handle(&mut core, ms(0), Event::Routes(routes(targets)));
     core
 }
@@ -59,7 +59,7 @@
 }
 
 fn send(core: &mut Entry, now: Duration, kind: Kind) -> Vec<Action> {
-    let segment = from_caller(9, kind, 0);
+    let segment = caller_segment(9, kind, 0);
     let packet = packet();
     handle(core, now, Event::Packet { segment, packet })
 }
@@ -67,14 +67,14 @@
 fn copy(core: &mut Entry, now: Duration) -> Vec<Action> {
     let segment = wire::Segment {
         acknowledged: 1,
-        ..from_caller(9, Kind::Open, 0)
+        ..caller_segment(9, Kind::Open, 0)
     };
     let packet = packet();
     handle(core, now, Event::Packet { segment, packet })
 }
 
 fn flow() -> FlowId {
-    from_caller(9, Kind::Data, 0).from_caller()
+    caller_segment(9, Kind::Data, 0).from_caller()
 }
 
 fn held(core: &mut Entry, now: Duration, target: TargetId) -> Vec<Action> {
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_flow_opens_in_the_own_zone_and_stays_with_its_holder() {
+fn flow_is_opened_in_the_local_zone_and_stays_with_its_holder() {
     let mut core = entry_with(two_zones());
     let first = opened(&send(&mut core, ms(1), Kind::Open));
     assert!(first == [1] || first == [2], "{first:?}");
@@ -134,14 +134,14 @@
 }
 
 #[test]
-fn a_packet_before_the_answer_follows_the_opening_packet() {
+fn packet_before_the_answer_follows_the_opening_packet() {
     let mut core = entry_with(two_zones());
     let first = opened(&send(&mut core, ms(1), Kind::Open));
     assert_eq!(carried(&send(&mut core, ms(2), Kind::Data)), first);
 }
 
 #[test]
-fn a_copy_goes_where_the_opening_packet_went() {
+fn retransmitted_opening_packet_goes_to_the_holder() {
     let mut core = entry_with(two_zones());
     send(&mut core, ms(1), Kind::Open);
     held(&mut core, ms(2), 3);
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn a_copy_avoids_an_agent_that_did_not_answer() {
+fn retransmitted_opening_packet_avoids_an_unresponsive_agent() {
     let mut core = entry_with(two_zones());
     let first = opened(&send(&mut core, ms(1), Kind::Open));
     let second = opened(&copy(&mut core, ms(201)));
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn draining_servers_get_no_flows() {
+fn draining_servers_get_no_new_flows() {
     let targets = vec![
         target(1, HERE, State::Draining),
         target(2, THERE, State::Ready),
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn without_a_server_a_flow_is_refused_at_once() {
+fn flow_without_a_ready_server_is_reset_at_once() {
     let mut core = entry_with(vec![target(1, HERE, State::Draining)]);
     let actions = send(&mut core, ms(1), Kind::Open);
     let refused = matches!(
@@ -182,15 +182,15 @@
 
 /// A young entry that knows no server yet leaves the caller to repeat.
 #[test]
-fn a_young_entry_without_servers_refuses_nothing() {
+fn starting_entry_without_servers_drops_opening_packets() {
     let mut core = entry_with(Vec::new());
     let actions = send(&mut core, ms(1), Kind::Open);
     assert_eq!(actions, [Action::Dropped(Drop::Young)]);
 }
 
 #[test]
-fn an_address_without_a_route_is_refused_only_while_confirmed() {
-    let mut core = Entry::new(Settings::default(), entry(), HERE, 1, ms(0));
+fn address_without_a_route_is_reset_only_if_the_configuration_is_confirmed() {
+    let mut core = Entry::new(Settings::default(), entry_address(), HERE, 1, ms(0));
     let actions = send(&mut core, ms(1), Kind::Open);
     assert_eq!(actions, [Action::Dropped(Drop::Unconfirmed)]);
     let empty = Routes {
@@ -204,7 +204,7 @@
 
 /// A weak entry sends one frame for a search, and each time to another agent.
 #[test]
-fn an_unknown_flow_is_sought_by_one_agent_after_the_other() {
+fn search_asks_one_agent_after_the_other() {
     let mut core = entry_with(two_zones());
     let mut asked = sought(&send(&mut core, later(), Kind::Data));
     assert_eq!(asked.len(), 1);
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn packets_wait_for_the_holder_that_is_sought() {
+fn packets_are_queued_during_a_search() {
     let mut core = entry_with(two_zones());
     send(&mut core, later(), Kind::Data);
     assert_eq!(send(&mut core, later(), Kind::Data), []);
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn a_flow_that_nobody_holds_is_dropped_without_a_reset() {
+fn search_without_a_holder_drops_packets_without_a_reset() {
     let mut core = entry_with(two_zones());
     send(&mut core, later(), Kind::Data);
     let mut actions = Vec::new();
@@ -249,7 +249,7 @@
 
 /// Tries must reach the holder too, which may not be known yet.
 #[test]
-fn tries_wait_until_all_agents_are_known() {
+fn probes_are_not_allowed_until_all_agents_are_known() {
     let mut core = entry_with(two_zones());
     let first = terms(&send(&mut core, ms(100), Kind::Data)).unwrap();
     assert!(!first.may_try);
@@ -262,7 +262,7 @@
 }
 
 #[test]
-fn a_new_agent_delays_tries() {
+fn new_agent_delays_probes() {
     let mut core = entry_with(two_zones());
     let mut more = two_zones();
     more.push(target(4, HERE, State::Draining));
@@ -273,7 +273,7 @@
 }
 
 #[test]
-fn a_holder_that_denies_a_flow_is_left_out_of_its_search() {
+fn holder_that_denies_a_flow_is_left_out_of_its_search() {
     let mut core = entry_with(two_zones());
     send(&mut core, ms(1), Kind::Open);
     held(&mut core, ms(2), 1);
@@ -293,7 +293,7 @@
 
 /// Callers repeat their packets; each repeat must not put the next search off.
 #[test]
-fn a_flow_that_nobody_held_is_searched_for_again_while_its_caller_repeats() {
+fn lost_flow_is_searched_for_again_while_its_caller_retransmits() {
     let mut core = entry_with(two_zones());
     let settings = Settings::default();
     let mut now = later();
@@ -341,7 +341,7 @@
 }
 
 #[test]
-fn a_flow_that_ended_with_everything_else_is_reset() {
+fn flow_denied_by_all_agents_is_reset() {
     let mut core = entry_with(two_zones());
     let asked = send(&mut core, ms(1_000), Kind::Data);
     let settings = Settings::default();
@@ -352,7 +352,7 @@
 
 /// Flows of two services may come to one address.
 #[test]
-fn a_flow_is_not_reset_while_only_one_of_its_services_denies_it() {
+fn flow_is_not_reset_until_all_services_of_its_route_deny_it() {
     let mut both = Arc::unwrap_or_clone(routes(two_zones()));
     let other: ServiceAddress = "[fd00::2]:1".parse().unwrap();
     let mut table = Table::clone(&both.table);
@@ -369,7 +369,7 @@
         ..target(5, HERE, State::Ready)
     };
     both.targets.insert(other, Arc::new(vec![third]));
-    let mut core = Entry::new(Settings::default(), entry(), HERE, 1, ms(0));
+    let mut core = Entry::new(Settings::default(), entry_address(), HERE, 1, ms(0));
     handle(&mut core, ms(0), Event::Routes(Arc::new(both)));
     let asked = sought(&send(&mut core, ms(1_000), Kind::Data));
     assert_eq!(asked.len(), 2, "one agent of each");
@@ -378,13 +378,13 @@
 }
 
 #[test]
-fn a_flow_is_not_reset_while_a_server_may_be_cut_off() {
+fn flow_is_not_reset_while_a_server_may_be_unreachable() {
     let known = Arc::unwrap_or_clone(routes(two_zones()));
     let routes = Routes {
-        silent: [service()].into(),
+        silent: [service_address()].into(),
         ..known
     };
-    let mut core = Entry::new(Settings::default(), entry(), HERE, 1, ms(0));
+    let mut core = Entry::new(Settings::default(), entry_address(), HERE, 1, ms(0));
     handle(&mut core, ms(0), Event::Routes(Arc::new(routes)));
     let asked = send(&mut core, ms(1_000), Kind::Data);
     assert_eq!(terms(&asked).unwrap().max_age_ms, 0);
@@ -392,7 +392,7 @@
 }
 
 #[test]
-fn a_flow_is_not_reset_while_agents_are_still_found() {
+fn flow_is_not_reset_while_agents_are_being_discovered() {
     let mut core = entry_with(two_zones());
     let asked = sought(&send(&mut core, ms(1_000), Kind::Data));
     let mut more = two_zones();
@@ -402,7 +402,7 @@
 }
 
 #[test]
-fn an_old_entry_asks_for_no_denials() {
+fn entry_older_than_stale_flows_asks_for_no_denials() {
     let mut core = entry_with(two_zones());
     let now = Settings::default().stale_flow_window + ms(1);
     let asked = terms(&send(&mut core, now, Kind::Data)).unwrap();
@@ -410,7 +410,7 @@
 }
 
 #[test]
-fn a_flow_is_reset_once_its_holder_has_started_anew() {
+fn flow_is_reset_after_a_restart_of_its_holder() {
     let mut core = entry_with(two_zones());
     send(&mut core, ms(1), Kind::Open);
     held(&mut core, ms(2), 1);
@@ -425,7 +425,7 @@
 /// An agent may take a flow, find that its backend server does not accept it, and
 /// pass it on: what it said first is no evidence that it ever held the flow.
 #[test]
-fn a_flow_is_searched_for_where_its_holder_has_not_started_anew() {
+fn flow_denied_by_its_holder_is_searched_for_if_the_holder_has_not_restarted() {
     let mut core = entry_with(two_zones());
     send(&mut core, ms(1), Kind::Open);
     held(&mut core, ms(2), 1);
@@ -435,7 +435,7 @@
 }
 
 #[test]
-fn flows_are_forgotten_once_they_are_idle() {
+fn idle_flows_are_removed() {
     let mut core = entry_with(two_zones());
     send(&mut core, ms(1), Kind::Open);
     held(&mut core, ms(2), 1);
@@ -446,8 +446,8 @@
 
 /// The flow may be open by a configuration that this entry does not have yet.
 #[test]
-fn only_a_first_opening_packet_without_a_route_is_reset() {
-    let mut core = Entry::new(Settings::default(), entry(), HERE, 1, ms(0));
+fn only_the_first_opening_packet_without_a_route_is_reset() {
+    let mut core = Entry::new(Settings::default(), entry_address(), HERE, 1, ms(0));
     let empty = Routes {
         is_confirmed: true,
         ..Routes::default()
@@ -462,7 +462,7 @@
 }
 
 #[test]
-fn a_copy_that_no_server_can_take_is_not_reset() {
+fn retransmitted_opening_packet_that_no_server_admits_is_not_reset() {
     let mut core = entry_with(vec![target(1, HERE, State::Draining)]);
     let actions = copy(&mut core, ms(201));
     assert!(
--- a/roles/forward/tests/failing.rs
+++ b/roles/forward/tests/failing_server.rs
@@ -1,6 +1,6 @@
 //! Plays short flows to backend servers of which one fails its requests while
 //! its announcements are good, and counts what callers get.
-mod common;
+mod fixtures;
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -8,7 +8,7 @@
 use std::collections::HashSet;
 use std::time::Duration;
 
-use common::*;
+use fixtures::*;
 use forward::Agent;
 use forward::Entry;
 use forward::agent;
@@ -77,12 +77,12 @@
     fn new(failure: Failure, settings: &agent::Settings) -> Self {
         let ids = 1..=SERVERS;
         let known = ids.clone().map(|id| target(id, 1, target::State::Ready));
-        let mut core = Entry::new(entry::Settings::default(), entry(), 1, 1, ms(0));
+        let mut core = Entry::new(entry::Settings::default(), entry_address(), 1, 1, ms(0));
         let routes = entry::Event::Routes(routes(known.collect()));
         core.handle(ms(0), routes, &mut Vec::new());
         let agents = ids.clone().map(|id| {
             let mut agent = Agent::new(settings.clone(), hop(id), false, ms(0));
-            let told = agent::Event::Backend(backend(id, 1, 1, State::Ready));
+            let told = agent::Event::Backend(announcement(id, 1, 1, State::Ready));
             agent.handle(ms(0), told, &mut Vec::new());
             (id, agent)
         });
@@ -130,7 +130,7 @@
             Event::Open(port) => {
                 self.asked += 1;
                 self.waiting.insert(port);
-                self.send(from_caller(port, Kind::Open, 0));
+                self.send(caller_segment(port, Kind::Open, 0));
                 self.at(DEADLINE, Event::GiveUp(port));
                 if self.now < LENGTH {
                     self.at(GAP, Event::Open(port + 1));
@@ -147,13 +147,13 @@
             Event::AtCaller(segment) => self.at_caller(&segment),
             Event::GiveUp(port) => {
                 if self.waiting.remove(&port) {
-                    self.send(from_caller(port, Kind::Reset, 0));
+                    self.send(caller_segment(port, Kind::Reset, 0));
                 }
             }
             Event::Tick => {
                 self.ticks += 1;
                 for id in 1..=SERVERS {
-                    let told = backend(id, 1, 1 + self.ticks, State::Ready);
+                    let told = announcement(id, 1, 1 + self.ticks, State::Ready);
                     self.tell_agent(id, agent::Event::Backend(told));
                 }
                 self.tell_entry(entry::Event::Tick);
@@ -165,10 +165,10 @@
     fn at_caller(&mut self, segment: &Segment) {
         let port = segment.destination.port();
         match segment.kind {
-            Kind::Accept => self.send(from_caller(port, Kind::Data, 100)),
+            Kind::Accept => self.send(caller_segment(port, Kind::Data, 100)),
             Kind::Data if segment.length > 0 && self.waiting.remove(&port) => {
                 self.served += 1;
-                self.send(from_caller(port, Kind::Close, 0));
+                self.send(caller_segment(port, Kind::Close, 0));
             }
             Kind::Reset => {
                 self.waiting.remove(&port);
@@ -200,7 +200,7 @@
         let port = segment.source.port();
         match segment.kind {
             Kind::Open => {
-                let accept = from_server(port, Kind::Accept, 0);
+                let accept = server_segment(port, Kind::Accept, 0);
                 self.at(ms(1), Event::FromServer(id, accept));
             }
             Kind::Data => self.ask(id, port),
@@ -216,7 +216,7 @@
         };
         if fails {
             if self.failure == Failure::Reset {
-                let reset = from_server(port, Kind::Reset, 0);
+                let reset = server_segment(port, Kind::Reset, 0);
                 self.at(ms(1), Event::FromServer(id, reset));
             }
             return;
@@ -226,7 +226,7 @@
         let first = slots.iter_mut().min().unwrap();
         *first = now.max(*first) + WORK;
         let end = first.saturating_sub(now);
-        let answer = from_server(port, Kind::Data, 50);
+        let answer = server_segment(port, Kind::Data, 50);
         self.at(end, Event::FromServer(id, answer));
     }
 
@@ -237,7 +237,7 @@
             match action {
                 entry::Action::Send { to, transit } => self.frame(to, transit),
                 entry::Action::Reset { flow, .. } => {
-                    let reset = from_server(flow.caller.port(), Kind::Reset, 0);
+                    let reset = server_segment(flow.caller.port(), Kind::Reset, 0);
                     self.at(WAY, Event::AtCaller(reset));
                 }
                 _ => {}
@@ -257,7 +257,7 @@
                 }
                 agent::Action::Send { to, transit } => self.frame(to, transit),
                 agent::Action::Reset { flow, .. } => {
-                    let reset = from_server(flow.caller.port(), Kind::Reset, 0);
+                    let reset = server_segment(flow.caller.port(), Kind::Reset, 0);
                     self.at(WAY, Event::AtCaller(reset));
                 }
                 _ => {}
@@ -291,16 +291,16 @@
 }
 
 #[test]
-fn few_requests_go_to_a_server_that_resets_them() {
+fn few_requests_fail_at_a_server_that_resets_them() {
     callers_get(Failure::Reset, 0.97);
 }
 
 #[test]
-fn few_requests_go_to_a_server_that_hangs() {
+fn few_requests_fail_at_a_server_that_never_answers() {
     callers_get(Failure::Hang, 0.97);
 }
 
 #[test]
-fn few_requests_go_to_a_server_that_answers_two_of_three() {
+fn few_requests_fail_at_a_server_that_answers_two_of_three() {
     callers_get(Failure::Mute, 0.97);
 }
--- a/roles/forward/tests/query.rs
+++ b/roles/forward/tests/search.rs
@@ -1,11 +1,11 @@
 //! The agent's side: searches for the holder of a flow.
-mod common;
+mod fixtures;
 
 use std::sync::Arc;
 use std::time::Duration;
 
-use common::agent::*;
-use common::*;
+use fixtures::agent::*;
+use fixtures::*;
 use forward::Agent;
 use forward::agent::Action;
 use forward::agent::Event;
@@ -26,57 +26,57 @@
         may_try: false,
         max_age_ms: u32::try_from(below.as_millis()).unwrap(),
     };
-    seek_on(agent, now, 9, terms)
+    look_up_with_terms(agent, now, 9, terms)
 }
 
 fn denies(actions: &[Action]) -> bool {
     actions.iter().any(|action| {
         matches!(action, Action::Send { to, transit: Transit::Absent(absent) }
-            if absent.age_ms.is_some() && absent.packet.is_empty() && *to == asker())
+            if absent.age_ms.is_some() && absent.packet.is_empty() && *to == searcher_address())
     })
 }
 
 /// An agent beside a backend server that told its first announcement.
 fn anew() -> Agent {
     let mut agent = Agent::new(Settings::default(), hop(OWN), true, ms(0));
-    let first = backend(OWN, 1, 1, State::Ready);
+    let first = announcement(OWN, 1, 1, State::Ready);
     handle(&mut agent, ms(0), Event::Backend(first));
     agent
 }
 
 #[test]
-fn a_server_that_started_with_the_entry_denies_an_unknown_flow() {
+fn server_that_started_with_the_entry_denies_an_unknown_flow() {
     let mut agent = anew();
     assert!(denies(&ask(&mut agent, ms(1_000), ms(4_000))));
 }
 
 #[test]
-fn a_server_that_is_older_than_the_entry_says_nothing() {
+fn server_older_than_the_entry_sends_no_denial() {
     let mut agent = anew();
     assert_eq!(ask(&mut agent, ms(9_000), ms(4_000)), []);
 }
 
 #[test]
-fn a_server_that_may_hold_a_flow_says_nothing() {
-    let mut agent = ready(true);
+fn server_that_may_hold_a_flow_sends_no_denial() {
+    let mut agent = ready_agent(true);
     assert_eq!(ask(&mut agent, ms(1), ms(60_000)), []);
 }
 
 /// A process that lived through the start of its backend server knows all of
 /// its flows.
 #[test]
-fn a_restarted_server_denies_the_flows_of_the_one_before() {
-    let mut agent = ready(true);
-    let next = backend(OWN, 2, 1, State::Ready);
+fn restarted_server_denies_the_flows_of_its_predecessor() {
+    let mut agent = ready_agent(true);
+    let next = announcement(OWN, 2, 1, State::Ready);
     handle(&mut agent, ms(5_000), Event::Backend(next));
     assert!(denies(&ask(&mut agent, ms(5_100), ms(4_000))));
 }
 
 #[test]
-fn a_flow_that_ended_with_its_server_is_reset_also_where_it_is_sought() {
-    let mut agent = ready(false);
-    open_at(&mut agent, ms(1), 9, open(&[OWN]));
-    accept(&mut agent, ms(2), 9);
+fn lookup_of_a_flow_of_a_terminated_server_resets_it() {
+    let mut agent = ready_agent(false);
+    send_open(&mut agent, ms(1), 9, open_frame(&[OWN]));
+    accept_flow(&mut agent, ms(2), 9);
     handle(&mut agent, ms(3), Event::Gone);
     let actions = ask(&mut agent, ms(4), ms(0));
     assert!(matches!(actions[..], [Action::Reset { .. }]), "{actions:?}");
@@ -86,7 +86,7 @@
 fn search(agent: &mut Agent, now: Duration, known: u16, below: Duration) -> Vec<Action> {
     let search = Search {
         target: OWN,
-        entry: entry(),
+        entry: entry_address(),
         terms: Terms {
             may_try: true,
             max_age_ms: u32::try_from(below.as_millis()).unwrap(),
@@ -94,7 +94,7 @@
         known,
         packet: packet(),
     };
-    let segment = from_caller(9, Kind::Data, 100);
+    let segment = caller_segment(9, Kind::Data, 100);
     handle(agent, now, Event::Search { search, segment })
 }
 
@@ -110,7 +110,7 @@
 /// Another agent says that it does not hold the flow.
 fn denied_by(agent: &mut Agent, now: Duration, target: TargetId, age_ms: u32) -> Vec<Action> {
     let absent = Absent {
-        flow: from_caller(9, Kind::Data, 0).from_caller(),
+        flow: caller_segment(9, Kind::Data, 0).from_caller(),
         target,
         acknowledged: 1,
         age_ms: Some(age_ms),
@@ -134,14 +134,14 @@
 
 fn says_nobody(actions: &[Action]) -> bool {
     actions.iter().any(|action| {
-        matches!(action, Action::Send { to, transit: Transit::Unheld(_) } if *to == entry())
+        matches!(action, Action::Send { to, transit: Transit::Unheld(_) } if *to == entry_address())
     })
 }
 
 const YOUNG: Duration = Duration::from_secs(4);
 
 #[test]
-fn a_search_asks_all_others_and_tells_once_all_deny() {
+fn search_asks_all_others_and_reports_once_all_deny() {
     let mut agent = anew();
     introduce(&mut agent, &[2, 3], false);
     let actions = search(&mut agent, ms(100), 3, YOUNG);
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn a_search_tells_nothing_while_one_may_be_cut_off() {
+fn search_reports_nothing_while_an_agent_may_be_unreachable() {
     let mut agent = anew();
     introduce(&mut agent, &[2], true);
     search(&mut agent, ms(100), 2, YOUNG);
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn a_search_tells_nothing_where_a_server_is_older_than_the_entry() {
+fn search_reports_nothing_if_a_server_is_older_than_the_entry() {
     let mut agent = anew();
     introduce(&mut agent, &[2], false);
     search(&mut agent, ms(100), 2, YOUNG);
@@ -168,7 +168,7 @@
 
 /// The one that is not known here may hold the flow.
 #[test]
-fn a_search_among_fewer_agents_than_the_entry_knows_tries_and_tells_nothing() {
+fn search_among_fewer_agents_than_the_entry_knows_allows_no_probes_and_reports_nothing() {
     let mut agent = anew();
     introduce(&mut agent, &[2], false);
     let actions = search(&mut agent, ms(100), 3, YOUNG);
@@ -178,26 +178,26 @@
 
 /// Its own backend server must say so too, which is tried here.
 #[test]
-fn a_search_waits_for_the_own_server() {
+fn search_waits_for_a_probe_of_its_own_server() {
     let mut agent = Agent::new(Settings::default(), hop(OWN), true, ms(0));
-    let second = backend(OWN, 1, 2, State::Ready);
+    let second = announcement(OWN, 1, 2, State::Ready);
     handle(&mut agent, ms(0), Event::Backend(second));
     introduce(&mut agent, &[2], false);
     assert!(delivers(&search(&mut agent, ms(100), 2, YOUNG)));
     assert!(!says_nobody(&denied_by(&mut agent, ms(101), 2, 500)));
     let event = Event::Server {
-        segment: returned(9, Kind::Data),
+        segment: returned_segment(9, Kind::Data),
         packet: packet(),
     };
     assert!(says_nobody(&handle(&mut agent, ms(102), event)));
 }
 
 #[test]
-fn a_searching_agent_that_holds_the_flow_delivers_it() {
-    let mut agent = ready(false);
+fn searching_agent_that_holds_the_flow_delivers_it() {
+    let mut agent = ready_agent(false);
     introduce(&mut agent, &[2], false);
-    open_at(&mut agent, ms(1), 9, open(&[OWN]));
-    accept(&mut agent, ms(2), 9);
+    send_open(&mut agent, ms(1), 9, open_frame(&[OWN]));
+    accept_flow(&mut agent, ms(2), 9);
     let actions = search(&mut agent, ms(100), 2, YOUNG);
     assert!(delivers(&actions));
     assert_eq!(asked(&actions), []);
--- a/roles/forward/tests/world/mod.rs
+++ b/roles/forward/tests/simulation/mod.rs
@@ -22,13 +22,13 @@
 use wire::segment::Kind;
 use wire::target;
 
-use crate::common::backend;
-use crate::common::decode;
-use crate::common::encode;
-use crate::common::hop;
-use crate::common::ms;
-use crate::common::routes;
-use crate::common::target;
+use crate::fixtures::announcement;
+use crate::fixtures::decode;
+use crate::fixtures::encode;
+use crate::fixtures::hop;
+use crate::fixtures::ms;
+use crate::fixtures::routes;
+use crate::fixtures::target;
 
 /// Time of a datagram between two processes.
 const WAY: Duration = Duration::from_millis(1);
@@ -66,7 +66,7 @@
 }
 
 /// A deployment in memory.
-pub struct World {
+pub struct Simulation {
     pub now: Duration,
     queue: BinaryHeap<Reverse<(Duration, u64)>>,
     events: HashMap<u64, Event>,
@@ -86,9 +86,9 @@
     pub faults: Vec<String>,
 }
 
-impl World {
+impl Simulation {
     pub fn new(entries: usize, servers: u64, seed: u64) -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             now: Duration::ZERO,
             queue: BinaryHeap::new(),
             events: HashMap::new(),
@@ -104,16 +104,16 @@
             faults: Vec::new(),
         };
         for id in 1..=servers {
-            world.servers.insert(id, HashSet::new());
-            world.sequences.insert(id, 10);
-            world.start_agent(id, false);
+            simulation.servers.insert(id, HashSet::new());
+            simulation.sequences.insert(id, 10);
+            simulation.start_agent(id, false);
         }
         for _ in 0..entries {
-            let entry = world.new_entry();
-            world.entries.push(entry);
+            let entry = simulation.new_entry();
+            simulation.entries.push(entry);
         }
-        world.at(Duration::ZERO, Event::Tick);
-        world
+        simulation.at(Duration::ZERO, Event::Tick);
+        simulation
     }
 
     /// Opens flows that each bring a request a second.
@@ -122,7 +122,7 @@
             let caller = format!("100.64.{}.{}:4000", number / 250, number % 250 + 1);
             let flow = FlowId {
                 caller: caller.parse().unwrap(),
-                service: crate::common::SERVICE.parse().unwrap(),
+                service: crate::fixtures::SERVICE.parse().unwrap(),
             };
             self.callers.insert(flow, Caller::default());
             let start = ms(self.rng.u64(0..1_000));
@@ -192,7 +192,7 @@
     fn new_entry(&self) -> Entry {
         let settings = entry::Settings::default();
         // Answers go to the entry that the flow's caller is sent to now.
-        let address = crate::common::entry();
+        let address = crate::fixtures::entry_address();
         let mut entry = Entry::new(settings, address, 1, 1, self.now);
         entry.handle(
             self.now,
@@ -202,11 +202,13 @@
         entry
     }
 
-    fn start_agent(&mut self, id: TargetId, has_past: bool) {
+    fn start_agent(&mut self, id: TargetId, may_hold_prior_flows: bool) {
         let settings = agent::Settings::default();
-        self.agents
-            .insert(id, Agent::new(settings, hop(id), has_past, self.now));
-        let wait = if has_past {
+        self.agents.insert(
+            id,
+            Agent::new(settings, hop(id), may_hold_prior_flows, self.now),
+        );
+        let wait = if may_hold_prior_flows {
             ms(self.rng.u64(0..1_000))
         } else {
             Duration::ZERO
@@ -312,7 +314,7 @@
                 let sequence = self.sequences.get_mut(&id).unwrap();
                 *sequence += 1;
                 let start = self.starts.get(&id).copied().unwrap_or_default();
-                let told = backend(id, 1 + start, *sequence, State::Ready);
+                let told = announcement(id, 1 + start, *sequence, State::Ready);
                 self.tell_agent(id, agent::Event::Backend(told));
                 self.at(Duration::from_secs(1), Event::Announce(id));
             }
