--- a/roles/forward/src/agent.rs
+++ b/roles/forward/src/agent.rs
@@ -216,7 +216,7 @@
     /// Returns the reason for which no new flows are admitted, or `None` if
     /// they are.
     #[must_use]
-    pub fn closed(&self, now: Duration) -> Option<Closed> {
+    pub fn closed_reason(&self, now: Duration) -> Option<Closed> {
         let settings = &self.settings;
         let max_running = self.occupancy.slots() + settings.max_queued;
         let reaction_deadline = self
@@ -246,7 +246,7 @@
     #[must_use]
     pub fn is_open(&self, now: Duration) -> bool {
         matches!(
-            self.closed(now),
+            self.closed_reason(now),
             None | Some(Closed::Mute | Closed::Flows | Closed::Queue)
         )
     }
--- a/roles/forward/src/agent/admission.rs
+++ b/roles/forward/src/agent/admission.rs
@@ -81,7 +81,7 @@
     /// admitted.
     fn bid(&self, now: Duration) -> Result<Bid, Closed> {
         let load = self.load(now);
-        match self.closed(now) {
+        match self.closed_reason(now) {
             Some(reason) => Err(reason),
             None => Ok(Bid {
                 wait: load.wait(),
@@ -148,7 +148,7 @@
         actions: &mut Vec<Action>,
     ) {
         let mut load = self.load(now);
-        if target != self.own.target || self.closed(now).is_some() {
+        if target != self.own.target || self.closed_reason(now).is_some() {
             load.running = load.running.max(load.slots + self.settings.max_queued);
         }
         actions.push(Action::Send {
--- a/roles/forward/src/entry.rs
+++ b/roles/forward/src/entry.rs
@@ -266,13 +266,13 @@
             return Vec::new();
         };
         let untried = routes
-            .open(service)
+            .ready_targets(service)
             .filter(|target| !tried.contains(&target.id));
         let ranked = self
             .placement
             .rank(context.now, untried, self.settings.path_length);
         let ranked = if ranked.is_empty() {
-            let all = routes.open(service);
+            let all = routes.ready_targets(service);
             self.placement
                 .rank(context.now, all, self.settings.path_length)
         } else {
@@ -295,7 +295,7 @@
         let flow = segment.from_caller();
         let is_known = routes
             .route(flow.service)
-            .is_some_and(|route| routes.holders(route).next().is_some());
+            .is_some_and(|route| routes.possible_holders(route).next().is_some());
         actions.push(if is_young && !is_known {
             Action::Dropped(Drop::Young)
         } else if segment.is_copy() {
--- a/roles/forward/src/entry/search.rs
+++ b/roles/forward/src/entry/search.rs
@@ -67,7 +67,7 @@
         searching.rounds += 1;
         let terms = self.search_terms(now, route);
         for share in &route.shares {
-            let known = routes.all(share.service).count();
+            let known = routes.targets_of(share.service).count();
             let Some(searcher) = self.choose_searcher(routes, share.service, &searching.tried)
             else {
                 continue;
@@ -103,7 +103,7 @@
         let random = &mut self.random;
         let zone = self.zone;
         routes
-            .all(service)
+            .targets_of(service)
             .map(|target| (tried.contains(&target.id), target.zone != zone, target))
             .min_by_key(|(is_tried, is_remote, _)| (*is_tried, *is_remote, random.u32(..)))
             .map(|(.., target)| target)
@@ -114,7 +114,7 @@
     /// only be unreachable.
     fn search_terms(&self, now: Duration, route: &Route) -> Terms {
         let may_try = self.knows_all_agents(now);
-        let is_conclusive = may_try && !self.routes.has_silent(route);
+        let is_conclusive = may_try && !self.routes.has_down_target(route);
         Terms {
             may_try,
             max_age_ms: if is_conclusive {
@@ -160,7 +160,7 @@
         };
         let mut shares = route.shares.iter();
         let searched_share = shares.find(|share| {
-            let mut targets = routes.all(share.service);
+            let mut targets = routes.targets_of(share.service);
             targets.any(|target| target.id == unheld.target)
         });
         let Some(share) = searched_share.filter(|_| is_conclusive) else {
--- a/roles/forward/src/routes.rs
+++ b/roles/forward/src/routes.rs
@@ -95,13 +95,13 @@
     }
 
     /// Returns the backend servers of a service that accept new flows.
-    pub fn open(&self, service: ServiceAddress) -> impl Iterator<Item = &Target> {
-        let all = self.all(service);
+    pub fn ready_targets(&self, service: ServiceAddress) -> impl Iterator<Item = &Target> {
+        let all = self.targets_of(service);
         all.filter(|target| target.state == State::Ready)
     }
 
     /// Returns all backend servers of a service that may hold flows.
-    pub fn all(&self, service: ServiceAddress) -> impl Iterator<Item = &Target> {
+    pub fn targets_of(&self, service: ServiceAddress) -> impl Iterator<Item = &Target> {
         let targets = self.targets.get(&service);
         targets.into_iter().flat_map(|targets| targets.iter())
     }
@@ -109,14 +109,14 @@
     /// Returns whether a service of a route has a backend server that is marked
     /// down but may only be unreachable.
     #[must_use]
-    pub fn has_silent(&self, route: &Route) -> bool {
+    pub fn has_down_target(&self, route: &Route) -> bool {
         let mut shares = route.shares.iter();
         shares.any(|share| self.silent.contains(&share.service))
     }
 
     /// Returns all backend servers that may hold a flow of a route.
-    pub fn holders<'a>(&'a self, route: &'a Route) -> impl Iterator<Item = &'a Target> {
+    pub fn possible_holders<'a>(&'a self, route: &'a Route) -> impl Iterator<Item = &'a Target> {
         let shares = route.shares.iter();
-        shares.flat_map(|share| self.all(share.service))
+        shares.flat_map(|share| self.targets_of(share.service))
     }
 }
--- a/roles/forward/tests/agent.rs
+++ b/roles/forward/tests/agent.rs
@@ -155,7 +155,7 @@
         ms(2),
         Event::Backend(announcement(OWN, 1, 9, State::Draining)),
     );
-    assert_eq!(agent.closed(ms(3)), None);
+    assert_eq!(agent.closed_reason(ms(3)), None);
 }
 
 #[test]
@@ -366,7 +366,7 @@
         open_frame(&[OWN])
     )));
     let late = Settings::default().assumed;
-    assert_eq!(agent.closed(late), Some(Closed::Unknown));
+    assert_eq!(agent.closed_reason(late), Some(Closed::Unknown));
 }
 
 #[test]
@@ -374,13 +374,13 @@
     let mut agent = Agent::new(Settings::default(), hop(OWN), true, ms(0));
     send_open(&mut agent, ms(1), 9, open_frame(&[OWN]));
     let reaction_deadline = ms(1) + Settings::default().reaction_timeout;
-    assert_eq!(agent.closed(reaction_deadline), Some(Closed::Mute));
+    assert_eq!(agent.closed_reason(reaction_deadline), Some(Closed::Mute));
 }
 
 #[test]
 fn server_without_prior_flows_is_unknown_until_announced() {
     let agent = Agent::new(Settings::default(), hop(OWN), false, ms(0));
-    assert_eq!(agent.closed(ms(1)), Some(Closed::Unknown));
+    assert_eq!(agent.closed_reason(ms(1)), Some(Closed::Unknown));
 }
 
 /// Returns the reaction to a caller's packet with the given acknowledgement,
--- a/roles/forward/tests/failing_server.rs
+++ b/roles/forward/tests/failing_server.rs
@@ -79,9 +79,10 @@
     fn new(failure: Failure, settings: &agent::Settings) -> Self {
         let ids = 1..=SERVERS;
         let known = ids.clone().map(|id| target(id, 1, target::State::Ready));
-        let mut entry = Entry::new(entry::Settings::default(), entry_address(), 1, 1, ms(0));
+        let mut configured_entry =
+            Entry::new(entry::Settings::default(), entry_address(), 1, 1, ms(0));
         let routes = entry::Event::Routes(routes(known.collect()));
-        entry.handle(ms(0), routes, &mut Vec::new());
+        configured_entry.handle(ms(0), routes, &mut Vec::new());
         let agents = ids.clone().map(|id| {
             let mut agent = Agent::new(settings.clone(), hop(id), false, ms(0));
             let announced = agent::Event::Backend(announcement(id, 1, 1, State::Ready));
@@ -93,7 +94,7 @@
             queue: BinaryHeap::new(),
             events: HashMap::new(),
             last_event_id: 0,
-            entry,
+            entry: configured_entry,
             agents: agents.collect(),
             failure,
             slots_busy_until: ids.map(|id| (id, [ms(0); 2])).collect(),
