--- a/roles/entry/src/router.rs
+++ b/roles/entry/src/router.rs
@@ -54,7 +54,7 @@
     holder: Option<Token>,
 }
 
-/// Position of a packet in its flow: opens it or continues it.
+/// Kind of a packet: opens a flow or continues one.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Kind {
     Open,
@@ -68,8 +68,8 @@
         self.services.insert(service.address, Arc::new(service));
     }
 
-    /// Removes an address: packets to it are ignored until a lookup has
-    /// determined whether it has a service.
+    /// Removes an address: packets to it are ignored until the peers have been
+    /// asked whether it has a service.
     pub fn forget(&mut self, address: ServiceAddress) {
         self.services.remove(&address);
         self.absent.remove(&address);
--- a/roles/entry/src/step.rs
+++ b/roles/entry/src/step.rs
@@ -4,24 +4,24 @@
 use wire::Relay;
 use wire::Reply;
 
-/// Action for a caller's datagram.
+/// Action to take on a caller's datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Sends the frame to an agent.
+    /// Relay the packet to an agent.
     Relay {
         /// UDP address of the agent.
         to: SocketAddr,
         /// Frame to send.
         relay: Relay,
     },
-    /// Answers the caller directly.
+    /// Answer the caller directly.
     Refuse {
         /// Answer to send.
         reply: Reply,
         /// Reason, for the counters.
         reason: Drop,
     },
-    /// Sends nothing: the sender could not use an answer.
+    /// Send nothing: the sender could not use an answer.
     Ignore(Drop),
 }
 
@@ -36,10 +36,10 @@
     TooLarge,
     /// The packet is of a kind that only the system sends to callers.
     Direction,
-    /// The address is unknown; a lookup among the peers is needed.
+    /// The address is unknown; the peers must be asked about it.
     Sought,
     /// No service has the address.
     NoService,
-    /// The service has no suitable target.
+    /// The service has no target that can receive the packet.
     NoTarget,
 }
--- a/roles/forward/src/agent.rs
+++ b/roles/forward/src/agent.rs
@@ -372,9 +372,9 @@
     }
 }
 
-/// Forwards a packet to the agent that its flow was passed on to. Also tells
-/// the entry about that agent, because the agent's own notification may have
-/// been lost.
+/// Forwards a packet to the agent that its flow was passed on to. Also names
+/// that agent to the entry, because the agent's own notification may have been
+/// lost.
 fn forward_to_next_holder(flow: FlowId, to: Hop, carry: Carry, actions: &mut Vec<Action>) {
     let held = transit::Held {
         flow,
--- a/roles/forward/src/agent/action.rs
+++ b/roles/forward/src/agent/action.rs
@@ -30,7 +30,7 @@
         /// Frame to send.
         transit: Transit,
     },
-    /// Tell the caller that its flow is refused or has ended.
+    /// Reset a flow that is refused or has ended.
     Reset {
         /// Flow to reset.
         flow: FlowId,
@@ -83,7 +83,7 @@
         /// The flow.
         flow: FlowId,
     },
-    /// The backend server returned a packet that it does not hold.
+    /// The backend server returned a packet of a flow that it does not hold.
     Returned {
         /// The flow.
         flow: FlowId,
--- a/roles/forward/src/entry/action.rs
+++ b/roles/forward/src/entry/action.rs
@@ -19,7 +19,7 @@
         /// Frame to send.
         transit: Transit,
     },
-    /// Tell the caller that its flow is refused or has ended.
+    /// Reset a flow that is refused or has ended.
     Reset {
         /// Flow to reset.
         flow: FlowId,
@@ -68,7 +68,8 @@
     Vanished {
         /// The flow.
         flow: FlowId,
-        /// Number of search attempts, each at another agent of the service.
+        /// Number of search attempts, each at another agent of the service if
+        /// there is one.
         rounds: u8,
     },
     /// A packet was dropped.
--- a/roles/forward/tests/entry.rs
+++ b/roles/forward/tests/entry.rs
@@ -26,8 +26,8 @@
 use wire::transit::Load;
 use wire::transit::Terms;
 
-const HERE: ZoneId = 1;
-const THERE: ZoneId = 2;
+const LOCAL_ZONE: ZoneId = 1;
+const REMOTE_ZONE: ZoneId = 2;
 
 /// Start time of the backend servers that hold flows.
 const SERVER_START: u64 = 7;
@@ -39,16 +39,16 @@
 }
 
 fn entry_with(targets: Vec<Target>) -> Entry {
-    let mut entry = Entry::new(Settings::default(), entry_address(), HERE, 1, ms(0));
+    let mut entry = Entry::new(Settings::default(), entry_address(), LOCAL_ZONE, 1, ms(0));
     handle(&mut entry, ms(0), Event::Routes(routes(targets)));
     entry
 }
 
 fn two_zones() -> Vec<Target> {
     vec![
-        target(1, HERE, State::Ready),
-        target(2, HERE, State::Ready),
-        target(3, THERE, State::Ready),
+        target(1, LOCAL_ZONE, State::Ready),
+        target(2, LOCAL_ZONE, State::Ready),
+        target(3, REMOTE_ZONE, State::Ready),
     ]
 }
 
@@ -159,8 +159,8 @@
 #[test]
 fn draining_servers_get_no_new_flows() {
     let targets = vec![
-        target(1, HERE, State::Draining),
-        target(2, THERE, State::Ready),
+        target(1, LOCAL_ZONE, State::Draining),
+        target(2, REMOTE_ZONE, State::Ready),
     ];
     let mut entry = entry_with(targets);
     assert_eq!(opened(&send(&mut entry, ms(1), Kind::Open)), [2]);
@@ -168,7 +168,7 @@
 
 #[test]
 fn flow_without_a_ready_server_is_reset_at_once() {
-    let mut entry = entry_with(vec![target(1, HERE, State::Draining)]);
+    let mut entry = entry_with(vec![target(1, LOCAL_ZONE, State::Draining)]);
     let actions = send(&mut entry, ms(1), Kind::Open);
     let refused = matches!(
         actions[..],
@@ -191,7 +191,7 @@
 
 #[test]
 fn address_without_a_route_is_reset_only_if_the_configuration_is_confirmed() {
-    let mut entry = Entry::new(Settings::default(), entry_address(), HERE, 1, ms(0));
+    let mut entry = Entry::new(Settings::default(), entry_address(), LOCAL_ZONE, 1, ms(0));
     let actions = send(&mut entry, ms(1), Kind::Open);
     assert_eq!(actions, [Action::Dropped(Drop::Unconfirmed)]);
     let empty = Routes {
@@ -280,7 +280,7 @@
 fn new_agent_delays_probes() {
     let mut entry = entry_with(two_zones());
     let mut more = two_zones();
-    more.push(target(4, HERE, State::Draining));
+    more.push(target(4, LOCAL_ZONE, State::Draining));
     handle(&mut entry, discovery_time(), Event::Routes(routes(more)));
     let asked = search_terms(&send(&mut entry, discovery_time() + ms(1), Kind::Data)).unwrap();
     assert!(!asked.may_try);
@@ -389,10 +389,10 @@
     both.table = Arc::new(table);
     let third = Target {
         service: other,
-        ..target(5, HERE, State::Ready)
+        ..target(5, LOCAL_ZONE, State::Ready)
     };
     both.targets.insert(other, Arc::new(vec![third]));
-    let mut entry = Entry::new(Settings::default(), entry_address(), HERE, 1, ms(0));
+    let mut entry = Entry::new(Settings::default(), entry_address(), LOCAL_ZONE, 1, ms(0));
     handle(&mut entry, ms(0), Event::Routes(Arc::new(both)));
     let asked = asked_to_search(&send(&mut entry, ms(1_000), Kind::Data));
     assert_eq!(asked.len(), 2, "one agent of each service should be asked");
@@ -407,7 +407,7 @@
         silent: [service_address()].into(),
         ..known
     };
-    let mut entry = Entry::new(Settings::default(), entry_address(), HERE, 1, ms(0));
+    let mut entry = Entry::new(Settings::default(), entry_address(), LOCAL_ZONE, 1, ms(0));
     handle(&mut entry, ms(0), Event::Routes(Arc::new(routes)));
     let asked = send(&mut entry, ms(1_000), Kind::Data);
     assert_eq!(search_terms(&asked).unwrap().max_age_ms, 0);
@@ -423,7 +423,7 @@
     let mut entry = entry_with(two_zones());
     let asked = asked_to_search(&send(&mut entry, ms(1_000), Kind::Data));
     let mut more = two_zones();
-    more.push(target(4, HERE, State::Ready));
+    more.push(target(4, LOCAL_ZONE, State::Ready));
     handle(&mut entry, ms(1_001), Event::Routes(routes(more)));
     assert!(!resets(&report_unheld(&mut entry, ms(1_005), asked[0])));
 }
@@ -480,7 +480,7 @@
 /// yet.
 #[test]
 fn only_the_first_opening_packet_without_a_route_is_reset() {
-    let mut entry = Entry::new(Settings::default(), entry_address(), HERE, 1, ms(0));
+    let mut entry = Entry::new(Settings::default(), entry_address(), LOCAL_ZONE, 1, ms(0));
     let empty = Routes {
         is_confirmed: true,
         ..Routes::default()
@@ -499,7 +499,7 @@
 
 #[test]
 fn retransmitted_opening_packet_that_no_server_admits_is_not_reset() {
-    let mut entry = entry_with(vec![target(1, HERE, State::Draining)]);
+    let mut entry = entry_with(vec![target(1, LOCAL_ZONE, State::Draining)]);
     let actions = retransmit_open(&mut entry, ms(201));
     assert!(
         !matches!(actions[..], [Action::Reset { .. }]),
