--- a/roles/forward/src/agent/unknown.rs
+++ b/roles/forward/src/agent/lookup.rs
@@ -1,4 +1,5 @@
-//! Finds out whether the backend server holds flows from before this process.
+//! Finds out whether the backend server holds a flow that this process does not
+//! know.
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -14,35 +15,35 @@
 use super::Action;
 use super::Agent;
 use super::Drop;
-use super::MAX_TRIES;
+use super::MAX_PROBES;
 use super::Probe;
 use super::Refusal;
 use super::backend::Start;
 
-/// What proves that a backend server does not hold a flow.
+/// Evidence that a backend server does not hold a flow.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Evidence {
-    /// Longest time for which it can have run.
-    pub age: Duration,
-    /// When it started, by its own clock.
-    pub start: Start,
+    /// Longest time for which the backend server can have been running.
+    pub max_age: Duration,
+    /// Start time of the backend server by its own clock.
+    pub server_start: Start,
 }
 
 impl Agent {
-    /// Whether the backend server may hold an unknown flow from before this
-    /// process started.
+    /// Returns whether the backend server may hold an unknown flow that was
+    /// opened before this process started.
     pub(super) fn may_hold(&self, now: Duration, flow: &FlowId) -> bool {
-        self.has_past
-            && now < self.started + self.settings.oldest_flow
-            && self.absent.get(now, flow).is_none()
-            && self.passed.get(now, flow).is_none()
-            && self.dead.get(now, flow).is_none()
+        self.may_hold_prior_flows
+            && now < self.started_at + self.settings.oldest_flow
+            && self.flows_not_held.get(now, flow).is_none()
+            && self.passed_flows.get(now, flow).is_none()
+            && self.ended_flows.get(now, flow).is_none()
     }
 
-    /// Takes a packet whose holder is not known. Who does not hold the flow says
-    /// nothing, which saves an answer from each of many agents, unless its
-    /// backend server is young enough for the answer to say something.
-    pub(super) fn seek(
+    /// Handles a lookup for a searching agent. An agent that does not hold the
+    /// flow stays silent, which saves a reply from each of many agents, unless
+    /// its backend server is young enough for a denial to be conclusive.
+    pub(super) fn handle_seek(
         &mut self,
         now: Duration,
         seek: Seek,
@@ -54,7 +55,7 @@
             return;
         }
         let (target, asker) = (seek.target, seek.asker);
-        if self.ask_here(now, seek, segment, actions).is_none() {
+        if self.look_up_locally(now, seek, segment, actions).is_none() {
             return;
         }
         let carry = Carry {
@@ -62,12 +63,14 @@
             entry: asker,
             packet: Bytes::new(),
         };
-        not_here(flow, carry, &segment, self.evidence(now), actions);
+        send_absent(flow, carry, &segment, self.evidence(now), actions);
     }
 
-    /// Delivers or tries a packet whose holder is not known; the age of the
-    /// backend server where it surely does not hold the flow and is young.
-    pub(super) fn ask_here(
+    /// Delivers a packet whose holder is unknown if its flow is held here, or
+    /// sends it as a probe if the flow may be held. Returns the maximum age of
+    /// the backend server if it is certain not to hold the flow and is at most
+    /// `max_age_ms` old.
+    pub(super) fn look_up_locally(
         &mut self,
         now: Duration,
         seek: Seek,
@@ -85,12 +88,12 @@
             let entry = carry.entry;
             self.deliver(now, flow, carry, segment, actions);
             if self.flows.contains_key(&flow) {
-                self.tell(now, flow, entry, actions);
+                self.announce_holder(now, flow, entry, actions);
             }
             return None;
         }
-        if self.dead.get(now, &flow).is_some() {
-            ended(flow, &segment, actions);
+        if self.ended_flows.get(now, &flow).is_some() {
+            reset_ended(flow, &segment, actions);
             return None;
         }
         if self.may_hold(now, &flow) {
@@ -99,30 +102,32 @@
             }
             return None;
         }
-        let age = self.age(now)?;
+        let age = self.max_server_age(now)?;
         (millis(age) <= terms.max_age_ms).then_some(age)
     }
 
-    /// Delivers a packet of an unknown flow to learn whether it is held.
+    /// Delivers a packet of an unknown flow to learn whether the backend server
+    /// holds it.
     pub(super) fn probe(
         &mut self,
         now: Duration,
         flow: FlowId,
         carry: Carry,
-        asker: SocketAddr,
+        reply_to: SocketAddr,
         actions: &mut Vec<Action>,
     ) {
-        let before = self.probes.get(now, &flow).copied();
-        let is_waiting = before
-            .is_some_and(|probe| probe.tries >= MAX_TRIES || now < probe.at + self.settings.probe);
+        let previous = self.probes.get(now, &flow).copied();
+        let is_waiting = previous.is_some_and(|probe| {
+            probe.count >= MAX_PROBES || now < probe.sent_at + self.settings.probe_interval
+        });
         if is_waiting {
             return actions.push(Action::Dropped(Drop::Probing));
         }
         let probe = Probe {
             entry: carry.entry,
-            asker,
-            at: now,
-            tries: before.map_or(1, |probe| probe.tries + 1),
+            reply_to,
+            sent_at: now,
+            count: previous.map_or(1, |probe| probe.count + 1),
         };
         self.probes.insert(now, flow, probe);
         actions.push(Action::Probed { flow });
@@ -130,8 +135,8 @@
     }
 }
 
-/// Tells the caller that the backend server of its flow has ended.
-pub(super) fn ended(flow: FlowId, segment: &Segment, actions: &mut Vec<Action>) {
+/// Resets a flow whose backend server has terminated.
+pub(super) fn reset_ended(flow: FlowId, segment: &Segment, actions: &mut Vec<Action>) {
     if segment.kind != Kind::Reset {
         actions.push(Action::Reset {
             flow,
@@ -142,16 +147,16 @@
     }
 }
 
-/// Says to an entry that a flow is not held here, or returns its packet for
-/// which the entry searches on.
-pub(super) fn not_here(
+/// Reports that a flow is not held here, and returns its packet so that an
+/// entry can search for the holder with it.
+pub(super) fn send_absent(
     flow: FlowId,
     carry: Carry,
     segment: &Segment,
     evidence: Option<Evidence>,
     actions: &mut Vec<Action>,
 ) {
-    // Nobody waits for an answer to a reset.
+    // The sender of a reset expects no answer.
     let evidence = evidence.filter(|_| segment.kind != Kind::Reset);
     actions.push(Action::Send {
         to: carry.entry,
@@ -159,8 +164,8 @@
             flow,
             target: carry.target,
             acknowledged: segment.acknowledged,
-            age_ms: evidence.map(|evidence| millis(evidence.age)),
-            start: evidence.map(|evidence| evidence.start),
+            age_ms: evidence.map(|evidence| millis(evidence.max_age)),
+            start: evidence.map(|evidence| evidence.server_start),
             packet: carry.packet,
         }),
     });
--- a/roles/forward/src/entry.rs
+++ b/roles/forward/src/entry.rs
@@ -1,8 +1,9 @@
-//! The entry's side: finds the agent that holds, or is to take, each flow.
+//! Entry: finds the agent that holds each flow, or selects agents for a new
+//! one.
 //!
-//! What an entry remembers of a flow only saves a search. Any other entry, also
-//! one that has just started, finds the holder by asking one agent of the
-//! service, which asks all others.
+//! The flow table of an entry is only a cache that saves searches. Any other
+//! entry, including one that has just started, finds the holder of a flow by
+//! asking one agent of the service, which asks all others.
 mod action;
 mod flow;
 mod search;
@@ -41,31 +42,31 @@
 use flow::Phase;
 pub use settings::Settings;
 
-/// What happens to an entry.
+/// Input of an entry.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A packet of a caller arrived.
+    /// A packet arrived from a caller.
     Packet {
-        /// Its header.
+        /// Header of the packet.
         segment: Segment,
-        /// All of it.
+        /// Complete packet.
         packet: Bytes,
     },
-    /// An agent names the holder of a flow.
+    /// An agent reports the holder of a flow.
     Held(Held),
-    /// An agent returns a packet whose flow it does not hold.
+    /// An agent returned a packet whose flow it does not hold.
     Absent(Absent),
-    /// No agent of a service holds a flow.
+    /// An agent reports that no agent of its service holds a flow.
     Unheld(Unheld),
-    /// An agent tells its load.
+    /// An agent reported its load instead of admitting a flow.
     Busy(Busy),
     /// The routes or the known backend servers changed.
     Routes(Arc<Routes>),
-    /// Time passed.
+    /// A timer fired: due work such as expiry is done.
     Tick,
 }
 
-/// The decisions of an entry.
+/// State machine of an entry.
 #[derive(Debug)]
 pub struct Entry {
     settings: Settings,
@@ -73,20 +74,20 @@
     zone: ZoneId,
     routes: Arc<Routes>,
     flows: HashMap<FlowId, Flow>,
-    place: Place,
-    started: Duration,
-    known: HashSet<TargetId>,
-    /// When a backend server was last heard of for the first time.
-    grown: Duration,
-    /// Flows whose holder is searched for, in the order in which agents were
-    /// asked.
+    placement: Place,
+    started_at: Duration,
+    known_targets: HashSet<TargetId>,
+    /// Time at which a backend server was last added to the known ones.
+    last_target_added: Duration,
+    /// Flows whose holder is being searched for, ordered by the time at which
+    /// agents were last asked.
     searches: VecDeque<FlowId>,
     random: fastrand::Rng,
-    next_sweep: Duration,
+    next_sweep_at: Duration,
 }
 
-/// A packet on its way through the decisions.
-struct Passing<'a> {
+/// Packet that is being processed, with the output of its processing.
+struct PacketContext<'a> {
     now: Duration,
     segment: Segment,
     packet: Bytes,
@@ -94,7 +95,7 @@
 }
 
 impl Entry {
-    /// Starts without routes. Agents answer to `address`.
+    /// Creates an entry without routes. Agents reply to `address`.
     #[must_use]
     pub fn new(
         settings: Settings,
@@ -104,101 +105,103 @@
         now: Duration,
     ) -> Self {
         Self {
-            place: Place::new(settings.place, zone, seed),
+            placement: Place::new(settings.place, zone, seed),
             random: fastrand::Rng::with_seed(seed),
             address,
             zone,
             routes: Arc::default(),
             flows: HashMap::new(),
-            started: now,
-            known: HashSet::new(),
-            grown: now,
+            started_at: now,
+            known_targets: HashSet::new(),
+            last_target_added: now,
             searches: VecDeque::new(),
-            next_sweep: now + settings.sweep,
+            next_sweep_at: now + settings.sweep_interval,
             settings,
         }
     }
 
-    /// Takes an event.
+    /// Processes an event and appends the resulting actions.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Packet { segment, packet } => {
-                let passing = Passing {
+                let context = PacketContext {
                     now,
                     segment,
                     packet,
                     actions,
                 };
-                self.packet(passing);
+                self.handle_packet(context);
             }
-            Event::Held(held) => self.held(now, &held, actions),
-            Event::Absent(absent) => self.absent(now, absent, actions),
-            Event::Unheld(unheld) => self.unheld(now, unheld, actions),
-            Event::Busy(busy) => self.place.learn(now, busy.target, busy.load),
-            Event::Routes(routes) => self.replace(now, routes),
+            Event::Held(held) => self.record_holder(now, &held, actions),
+            Event::Absent(absent) => self.handle_absent(now, absent, actions),
+            Event::Unheld(unheld) => self.handle_unheld(now, unheld, actions),
+            Event::Busy(busy) => self.placement.learn(now, busy.target, busy.load),
+            Event::Routes(routes) => self.replace_routes(now, routes),
             Event::Tick => {}
         }
-        self.search_on(now, actions);
-        if now >= self.next_sweep {
-            self.next_sweep = now + self.settings.sweep;
+        self.retry_searches(now, actions);
+        if now >= self.next_sweep_at {
+            self.next_sweep_at = now + self.settings.sweep_interval;
             self.sweep(now);
         }
     }
 
-    /// Version of the configuration in force; 0 before the first.
+    /// Returns the version of the current configuration; 0 before the first.
     #[must_use]
     pub fn version(&self) -> Revision {
         self.routes.table.version
     }
 
-    /// Number of flows that are remembered.
+    /// Returns the number of flows in the table.
     #[must_use]
     pub fn len(&self) -> usize {
         self.flows.len()
     }
 
-    /// True where no flow is remembered.
+    /// Returns true if the flow table is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.flows.is_empty()
     }
 
-    /// Takes new routes and backend servers.
-    fn replace(&mut self, now: Duration, routes: Arc<Routes>) {
+    /// Replaces the routes and the known backend servers.
+    fn replace_routes(&mut self, now: Duration, routes: Arc<Routes>) {
         let targets = routes.targets.values().flat_map(|targets| targets.iter());
         let known: HashSet<TargetId> = targets.map(|target| target.id).collect();
-        if !known.is_subset(&self.known) {
-            self.grown = now;
+        if !known.is_subset(&self.known_targets) {
+            self.last_target_added = now;
         }
-        self.place.retain(|target| known.contains(&target));
-        self.known = known;
+        self.placement.retain(|target| known.contains(&target));
+        self.known_targets = known;
         self.routes = routes;
     }
 
-    /// Whether all agents are likely to be known, so that a packet which each
-    /// may try reaches the holder too.
-    fn knows_all(&self, now: Duration) -> bool {
+    /// Returns whether probably all agents are known. Only then may agents
+    /// probe their backend servers, because only then does the actual holder
+    /// also receive the packet.
+    fn knows_all_agents(&self, now: Duration) -> bool {
         let settings = &self.settings;
-        let is_complete = self.routes.is_complete || now >= self.started + settings.untold;
+        let is_complete =
+            self.routes.is_complete || now >= self.started_at + settings.max_discovery;
         is_complete
-            && now >= self.started + settings.first_view
-            && now >= self.grown + settings.quiet
+            && now >= self.started_at + settings.min_discovery
+            && now >= self.last_target_added + settings.discovery_quiet
     }
 
-    fn packet(&mut self, passing: Passing<'_>) {
+    fn handle_packet(&mut self, context: PacketContext<'_>) {
         let routes = Arc::clone(&self.routes);
-        let is_routed = routes.route(passing.segment.destination).is_some();
-        match passing.segment.kind {
-            _ if !is_routed => self.unrouted(&passing.segment, passing.actions),
-            Kind::Open => self.open(&routes, passing),
-            Kind::Accept => passing.actions.push(Action::Dropped(Drop::Direction)),
-            Kind::Data | Kind::Close | Kind::Reset => self.carry(&routes, passing),
+        let is_routed = routes.route(context.segment.destination).is_some();
+        match context.segment.kind {
+            _ if !is_routed => self.handle_unrouted(&context.segment, context.actions),
+            Kind::Open => self.handle_open(&routes, context),
+            Kind::Accept => context.actions.push(Action::Dropped(Drop::Direction)),
+            Kind::Data | Kind::Close | Kind::Reset => self.handle_carry(&routes, context),
         }
     }
 
-    /// Answers a packet to an address without a route. While the configuration
-    /// may have changed unseen, callers are left to repeat.
-    fn unrouted(&mut self, segment: &Segment, actions: &mut Vec<Action>) {
+    /// Handles a packet to an address without a route. While the configuration
+    /// may be out of date, nothing is sent and callers retransmit.
+    fn handle_unrouted(&mut self, segment: &Segment, actions: &mut Vec<Action>) {
         let flow = segment.from_caller();
         self.flows.remove(&flow);
         match segment.kind {
@@ -211,75 +214,88 @@
                 sequence: segment.acknowledged,
                 reason: Refusal::NoRoute,
             }),
-            // The flow may be open by a configuration that is newer than this.
+            // The flow may be open under a newer configuration than this one.
             _ => actions.push(Action::Dropped(Drop::NoRoute)),
         }
     }
 
-    /// Sends an opening packet to the agents that would answer soonest, or its
-    /// copy where the packet itself went.
-    fn open(&mut self, routes: &Routes, passing: Passing<'_>) {
-        let flow = passing.segment.from_caller();
+    /// Sends an opening packet to the agents that are expected to answer
+    /// soonest, or its retransmission to the agent that received the first
+    /// copy. An agent that did not answer in time is skipped.
+    fn handle_open(&mut self, routes: &Routes, context: PacketContext<'_>) {
+        let flow = context.segment.from_caller();
         let mut tried = Vec::new();
         match self.flows.get_mut(&flow).map(|flow| &mut flow.phase) {
             Some(Phase::Held(holder)) => {
                 let holder = *holder;
-                return self.send(holder, passing);
+                return self.send_to_holder(holder, context);
             }
-            Some(Phase::Opening(opening)) if passing.now < opening.sent + self.settings.answer => {
+            Some(Phase::Opening(opening))
+                if context.now < opening.sent_at + self.settings.agent_timeout =>
+            {
                 let first = opening.path[0];
                 tried.clone_from(&opening.tried);
-                return self.send_open(routes, vec![first], tried, passing);
+                return self.send_open(routes, vec![first], tried, context);
             }
             Some(Phase::Opening(opening)) => {
                 let first = opening.path[0].target;
                 tried.clone_from(&opening.tried);
                 tried.push(first);
-                self.place.distrust(passing.now, first);
+                self.placement.distrust(context.now, first);
             }
             _ => {}
         }
-        let path = self.path(routes, &passing, &tried);
+        let path = self.choose_path(routes, &context, &tried);
         if path.is_empty() {
-            return self.unserved(routes, &passing.segment, passing.now, passing.actions);
+            return self.refuse_unserved(routes, &context.segment, context.now, context.actions);
         }
-        self.send_open(routes, path, tried, passing);
+        self.send_open(routes, path, tried, context);
     }
 
-    /// The agents that an opening packet visits.
-    fn path(&mut self, routes: &Routes, passing: &Passing<'_>, tried: &[TargetId]) -> Vec<Hop> {
-        let flow = passing.segment.from_caller();
+    /// Returns the agents that an opening packet visits, best first. Those in
+    /// `tried` are left out unless there are no others.
+    fn choose_path(
+        &mut self,
+        routes: &Routes,
+        context: &PacketContext<'_>,
+        tried: &[TargetId],
+    ) -> Vec<Hop> {
+        let flow = context.segment.from_caller();
         let route = routes.route(flow.service);
         let Some(service) = route.and_then(|route| route.service(&flow)) else {
             return Vec::new();
         };
         let untried = routes
-            .open(service)
+            .ready_targets(service)
             .filter(|target| !tried.contains(&target.id));
-        let ranked = self.place.rank(passing.now, untried, self.settings.hunt);
+        let ranked = self
+            .placement
+            .rank(context.now, untried, self.settings.path_length);
         let ranked = if ranked.is_empty() {
-            let all = routes.open(service);
-            self.place.rank(passing.now, all, self.settings.hunt)
+            let all = routes.ready_targets(service);
+            self.placement
+                .rank(context.now, all, self.settings.path_length)
         } else {
             ranked
         };
         ranked.into_iter().map(Target::hop).collect()
     }
 
-    /// Refuses a flow for which there is no backend server. A young entry may
-    /// not know them yet.
-    fn unserved(
+    /// Refuses a flow for which there is no backend server. An entry that has
+    /// just started drops the packet instead, because it may not know the
+    /// backend servers yet.
+    fn refuse_unserved(
         &self,
         routes: &Routes,
         segment: &Segment,
         now: Duration,
         actions: &mut Vec<Action>,
     ) {
-        let is_young = now < self.started + self.settings.warm_up;
+        let is_young = now < self.started_at + self.settings.startup_grace;
         let flow = segment.from_caller();
         let is_known = routes
             .route(flow.service)
-            .is_some_and(|route| routes.holders(route).next().is_some());
+            .is_some_and(|route| routes.possible_holders(route).next().is_some());
         actions.push(if is_young && !is_known {
             Action::Dropped(Drop::Young)
         } else if segment.is_copy() {
@@ -293,38 +309,38 @@
         });
     }
 
-    /// Sends an opening packet to the first of some agents.
+    /// Sends an opening packet to the first agent of a path.
     fn send_open(
         &mut self,
         routes: &Routes,
         path: Vec<Hop>,
         tried: Vec<TargetId>,
-        passing: Passing<'_>,
+        context: PacketContext<'_>,
     ) {
-        let flow = passing.segment.from_caller();
+        let flow = context.segment.from_caller();
         let first = path[0];
         let timeout = routes.route(flow.service).map(|route| route.timeout);
-        let patience = timeout.unwrap_or_default().as_millis();
-        self.place.sent(first.target);
+        let timeout_ms = timeout.unwrap_or_default().as_millis();
+        self.placement.sent(first.target);
         let is_first = !self.flows.contains_key(&flow);
         if is_first {
-            passing.actions.push(Action::Opened {
+            context.actions.push(Action::Opened {
                 flow,
                 first: first.target,
                 hops: path.len(),
                 version: routes.table.version,
             });
         }
-        self.remember(
-            passing.now,
+        self.store_flow(
+            context.now,
             flow,
             Phase::Opening(flow::Opening {
                 path: path.clone(),
                 tried,
-                sent: passing.now,
+                sent_at: context.now,
             }),
         );
-        passing.actions.push(Action::Send {
+        context.actions.push(Action::Send {
             to: first.address,
             transit: Transit::Open(Open {
                 entry: self.address,
@@ -332,70 +348,71 @@
                 position: 0,
                 bids: Vec::new(),
                 is_settled: false,
-                patience_ms: u32::try_from(patience).unwrap_or(u32::MAX),
-                packet: passing.packet,
+                patience_ms: u32::try_from(timeout_ms).unwrap_or(u32::MAX),
+                packet: context.packet,
             }),
         });
     }
 
-    /// Sends a packet to the agent that holds its flow, or searches for it.
-    fn carry(&mut self, routes: &Routes, passing: Passing<'_>) {
-        let flow = passing.segment.from_caller();
-        let Some(held) = self.flows.get_mut(&flow) else {
-            return self.seek(routes, None, passing);
+    /// Sends a packet to the agent that holds its flow, or starts a search for
+    /// the holder.
+    fn handle_carry(&mut self, routes: &Routes, context: PacketContext<'_>) {
+        let flow = context.segment.from_caller();
+        let Some(state) = self.flows.get_mut(&flow) else {
+            return self.start_search(routes, None, context);
         };
-        let is_lost = matches!(held.phase, Phase::Lost);
-        if is_lost && passing.now >= held.since + self.settings.forget_lost {
-            return self.seek(routes, None, passing);
+        let is_lost = matches!(state.phase, Phase::Lost);
+        if is_lost && context.now >= state.phase_since + self.settings.lost_retry_interval {
+            return self.start_search(routes, None, context);
         }
-        held.used = passing.now;
-        held.is_closing |= matches!(passing.segment.kind, Kind::Close | Kind::Reset);
-        match &mut held.phase {
+        state.last_used = context.now;
+        state.is_closing |= matches!(context.segment.kind, Kind::Close | Kind::Reset);
+        match &mut state.phase {
             Phase::Held(holder) => {
                 let holder = *holder;
-                self.send(holder, passing);
+                self.send_to_holder(holder, context);
             }
             Phase::Opening(opening) => {
                 let first = opening.path[0];
-                self.send(first, passing);
+                self.send_to_holder(first, context);
             }
-            Phase::Seeking(seeking) => {
-                if !seeking.wait(passing.packet) {
-                    passing.actions.push(Action::Dropped(Drop::Crowded));
+            Phase::Searching(searching) => {
+                if !searching.enqueue(context.packet) {
+                    context.actions.push(Action::Dropped(Drop::Crowded));
                 }
             }
-            Phase::Lost => passing.actions.push(Action::Dropped(Drop::Lost)),
+            Phase::Lost => context.actions.push(Action::Dropped(Drop::Lost)),
         }
     }
 
-    /// Sends a packet to the holder of its flow.
-    fn send(&self, holder: Hop, passing: Passing<'_>) {
-        passing.actions.push(Action::Send {
+    /// Sends a packet to the agent that holds its flow or is expected to.
+    fn send_to_holder(&self, holder: Hop, context: PacketContext<'_>) {
+        context.actions.push(Action::Send {
             to: holder.address,
             transit: Transit::Carry(Carry {
                 target: holder.target,
                 entry: self.address,
-                packet: passing.packet,
+                packet: context.packet,
             }),
         });
     }
 
-    /// Notes the holder of a flow, and sends it what waits for it.
-    fn held(&mut self, now: Duration, held: &Held, actions: &mut Vec<Action>) {
+    /// Records the holder of a flow and sends it the queued packets.
+    fn record_holder(&mut self, now: Duration, held: &Held, actions: &mut Vec<Action>) {
         if let Some(load) = held.load {
-            self.place.learn(now, held.holder.target, load);
+            self.placement.learn(now, held.holder.target, load);
         }
-        let before = self.flows.remove(&held.flow);
-        let is_closing = before.as_ref().is_some_and(|flow| flow.is_closing);
-        self.remember(now, held.flow, Phase::Held(held.holder));
+        let previous = self.flows.remove(&held.flow);
+        let is_closing = previous.as_ref().is_some_and(|flow| flow.is_closing);
+        self.store_flow(now, held.flow, Phase::Held(held.holder));
         if let Some(flow) = self.flows.get_mut(&held.flow) {
             flow.is_closing = is_closing;
-            flow.start = held.start;
+            flow.server_start = held.start;
         }
-        let seeking = match before.map(|flow| flow.phase) {
-            Some(Phase::Seeking(seeking)) => seeking,
+        let searching = match previous.map(|flow| flow.phase) {
+            Some(Phase::Searching(searching)) => searching,
             Some(Phase::Opening(opening)) => {
-                let took = now.saturating_sub(opening.sent);
+                let took = now.saturating_sub(opening.sent_at);
                 return actions.push(Action::Accepted { took });
             }
             _ => return,
@@ -403,9 +420,9 @@
         actions.push(Action::Found {
             flow: held.flow,
             holder: held.holder.target,
-            took: now.saturating_sub(seeking.sent),
+            took: now.saturating_sub(searching.asked_at),
         });
-        for packet in seeking.waiting {
+        for packet in searching.queued {
             actions.push(Action::Send {
                 to: held.holder.address,
                 transit: Transit::Carry(Carry {
@@ -417,39 +434,42 @@
         }
     }
 
-    /// Searches on for the holder of a flow, or gives the search up once all
-    /// have answered.
-    fn absent(&mut self, now: Duration, absent: Absent, actions: &mut Vec<Action>) {
-        let Some(held) = self.flows.get(&absent.flow) else {
+    /// Handles a denial by the recorded holder of a flow: resets the flow if
+    /// the holder's backend server has restarted, or else searches for another
+    /// holder.
+    fn handle_absent(&mut self, now: Duration, absent: Absent, actions: &mut Vec<Action>) {
+        let Some(state) = self.flows.get(&absent.flow) else {
             return;
         };
-        match &held.phase {
+        match &state.phase {
             Phase::Held(holder) if holder.target == absent.target => {
-                let is_known = held.start.is_some() && absent.start.is_some();
-                if is_known && absent.start != held.start {
-                    // The holder's backend server has started anew since.
+                let is_known = state.server_start.is_some() && absent.start.is_some();
+                if is_known && absent.start != state.server_start {
+                    // The holder's backend server has restarted since it opened
+                    // the flow.
                     self.flows.remove(&absent.flow);
-                    return actions.push(search::ended(absent.flow, absent.acknowledged));
+                    return actions.push(search::reset_ended(absent.flow, absent.acknowledged));
                 }
                 let routes = Arc::clone(&self.routes);
                 let segment = Segment {
                     acknowledged: absent.acknowledged,
-                    ..header(&absent.flow)
+                    ..search_header(&absent.flow)
                 };
-                let passing = Passing {
+                let context = PacketContext {
                     now,
                     segment,
                     packet: absent.packet,
                     actions,
                 };
-                self.seek(&routes, Some(absent.target), passing);
+                self.start_search(&routes, Some(absent.target), context);
             }
-            Phase::Held(_) | Phase::Opening(_) | Phase::Seeking(_) | Phase::Lost => {}
+            Phase::Held(_) | Phase::Opening(_) | Phase::Searching(_) | Phase::Lost => {}
         }
     }
 
-    /// Remembers a flow; a full table remembers no more, which costs searches.
-    fn remember(&mut self, now: Duration, flow: FlowId, phase: Phase) {
+    /// Stores a flow. A full table ignores new flows, which only costs
+    /// searches.
+    fn store_flow(&mut self, now: Duration, flow: FlowId, phase: Phase) {
         let is_full = self.flows.len() >= self.settings.max_flows;
         if is_full && !self.flows.contains_key(&flow) {
             return;
@@ -457,24 +477,28 @@
         self.flows.insert(flow, Flow::new(now, phase));
     }
 
-    /// Forgets flows that are over or idle.
+    /// Removes flows that are closed or idle.
     fn sweep(&mut self, now: Duration) {
         let settings = &self.settings;
-        let idle = self.routes.table.idle_timeout.max(settings.least_idle);
+        let idle = self
+            .routes
+            .table
+            .idle_timeout
+            .max(settings.min_idle_timeout);
         self.flows.retain(|_, flow| {
             let limit = match &flow.phase {
                 Phase::Held(_) if flow.is_closing => settings.linger,
                 Phase::Held(_) => idle,
-                Phase::Opening(_) | Phase::Seeking(_) => settings.linger,
-                Phase::Lost => settings.forget_lost,
+                Phase::Opening(_) | Phase::Searching(_) => settings.linger,
+                Phase::Lost => settings.lost_retry_interval,
             };
-            now < flow.used + limit
+            now < flow.last_used + limit
         });
     }
 }
 
-/// What a search needs of a packet's header.
-const fn header(flow: &FlowId) -> Segment {
+/// Returns a header with the fields that a search needs.
+const fn search_header(flow: &FlowId) -> Segment {
     Segment {
         source: flow.caller,
         destination: flow.service,
--- a/roles/forward/src/entry/search.rs
+++ b/roles/forward/src/entry/search.rs
@@ -1,7 +1,8 @@
-//! Searches for the holders of flows that this entry does not know.
+//! Searches for the holders of flows that are not in the flow table.
 //!
-//! An entry may be weak, and after a failure it searches for many flows at once:
-//! one agent of each service is asked to search among all others.
+//! An entry may have little processing power, and after a failure it searches
+//! for many flows at once. It therefore asks only one agent of each service,
+//! which in turn asks all others.
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -16,54 +17,62 @@
 
 use super::Action;
 use super::Entry;
-use super::Passing;
+use super::PacketContext;
 use super::Refusal;
 use super::flow;
 use super::flow::Phase;
 use crate::Route;
 use crate::Routes;
 
-/// Agents of one service that are asked in turn to search for a flow.
+/// Maximum number of agents of one service that are asked, one after the other,
+/// to search for a flow.
 const MAX_ROUNDS: u8 = 3;
 
 impl Entry {
-    /// Searches for the holder of a flow, which is not `absent`.
-    pub(super) fn seek(&mut self, routes: &Routes, absent: Option<TargetId>, passing: Passing<'_>) {
-        let flow = passing.segment.from_caller();
-        let mut seeking = flow::Seeking {
-            sent: passing.now,
-            packet: passing.packet,
-            acknowledged: passing.segment.acknowledged,
+    /// Starts a search for the holder of a flow, leaving out the agent
+    /// `absent`, which has denied it.
+    pub(super) fn start_search(
+        &mut self,
+        routes: &Routes,
+        absent: Option<TargetId>,
+        context: PacketContext<'_>,
+    ) {
+        let flow = context.segment.from_caller();
+        let mut searching = flow::Searching {
+            asked_at: context.now,
+            packet: context.packet,
+            acknowledged: context.segment.acknowledged,
             tried: absent.into_iter().collect(),
             rounds: 0,
-            unheld: Vec::new(),
-            waiting: Vec::new(),
+            denied_by: Vec::new(),
+            queued: Vec::new(),
         };
-        self.ask(routes, passing.now, flow, &mut seeking, passing.actions);
+        self.send_search(routes, context.now, flow, &mut searching, context.actions);
         self.searches.push_back(flow);
-        self.remember(passing.now, flow, Phase::Seeking(seeking));
+        self.store_flow(context.now, flow, Phase::Searching(searching));
     }
 
-    /// Asks one agent of each service to search.
-    fn ask(
+    /// Asks one agent of each service of the route to search.
+    fn send_search(
         &mut self,
         routes: &Routes,
         now: Duration,
         flow: FlowId,
-        seeking: &mut flow::Seeking,
+        searching: &mut flow::Searching,
         actions: &mut Vec<Action>,
     ) {
         let Some(route) = routes.route(flow.service) else {
             return;
         };
-        seeking.rounds += 1;
-        let terms = self.terms(now, route);
+        searching.rounds += 1;
+        let terms = self.search_terms(now, route);
         for share in &route.shares {
-            let known = routes.all(share.service).count();
-            let Some(searcher) = self.searcher(routes, share.service, &seeking.tried) else {
+            let known = routes.targets_of(share.service).count();
+            let Some(searcher) = self.choose_searcher(routes, share.service, &searching.tried)
+            else {
                 continue;
             };
-            seeking.tried.push(searcher.id);
+            searching.tried.push(searcher.id);
             actions.push(Action::Send {
                 to: searcher.address,
                 transit: Transit::Search(Search {
@@ -71,7 +80,7 @@
                     entry: self.address,
                     terms,
                     known: u16::try_from(known).unwrap_or(u16::MAX),
-                    packet: seeking.packet.clone(),
+                    packet: searching.packet.clone(),
                 }),
             });
             actions.push(Action::Sought {
@@ -83,9 +92,9 @@
         }
     }
 
-    /// The agent that is to search in a service: one of the own availability zone
-    /// that was not asked before, where there is one.
-    fn searcher<'a>(
+    /// Returns the agent of a service to ask for a search: one that was not
+    /// asked before and is in the local availability zone, if there is one.
+    fn choose_searcher<'a>(
         &mut self,
         routes: &'a Routes,
         service: ServiceAddress,
@@ -94,108 +103,121 @@
         let random = &mut self.random;
         let zone = self.zone;
         routes
-            .all(service)
+            .targets_of(service)
             .map(|target| (tried.contains(&target.id), target.zone != zone, target))
-            .min_by_key(|(is_tried, is_far, _)| (*is_tried, *is_far, random.u32(..)))
+            .min_by_key(|(is_tried, is_remote, _)| (*is_tried, *is_remote, random.u32(..)))
             .map(|(.., target)| target)
     }
 
-    /// How agents are asked. Denials say something only once all agents are
-    /// known, and none is held to be down that may be only cut off.
-    fn terms(&self, now: Duration, route: &Route) -> Terms {
-        let may_try = self.knows_all(now);
-        let is_sure = may_try && !self.routes.has_silent(route);
+    /// Returns the conditions under which agents probe and deny. Denials are
+    /// conclusive only if all agents are known and none is marked down that may
+    /// only be unreachable.
+    fn search_terms(&self, now: Duration, route: &Route) -> Terms {
+        let may_try = self.knows_all_agents(now);
+        let is_conclusive = may_try && !self.routes.has_down_target(route);
         Terms {
             may_try,
-            max_age_ms: if is_sure { self.max_age_ms(now) } else { 0 },
+            max_age_ms: if is_conclusive {
+                self.max_age_ms(now)
+            } else {
+                0
+            },
         }
     }
 
-    /// Time up to which backend servers have started with this entry or after it,
-    /// so that flows which the entry does not know are not theirs. Zero for an
-    /// entry that is older than any flow which its callers may have forgotten.
+    /// Returns the maximum age in milliseconds of a backend server whose denial
+    /// counts. A backend server that started with this entry or later cannot
+    /// hold a flow that this entry does not know. Returns 0 if the entry is
+    /// older than any flow that its callers may still use.
     fn max_age_ms(&self, now: Duration) -> u32 {
-        let age = now.saturating_sub(self.started);
-        if age > self.settings.stale_flows {
+        let age = now.saturating_sub(self.started_at);
+        if age > self.settings.stale_flow_window {
             return 0;
         }
         let limit = age + self.settings.start_skew;
         u32::try_from(limit.as_millis()).unwrap_or(u32::MAX)
     }
 
-    /// Notes that nobody of a service holds a flow. Where that holds for all
-    /// services of its route, it has ended with its backend server, and the
-    /// caller is told.
-    pub(super) fn unheld(&mut self, now: Duration, unheld: Unheld, actions: &mut Vec<Action>) {
+    /// Records that no agent of a service holds a flow. Once this applies to
+    /// all services of its route, the flow ended with its backend server and is
+    /// reset.
+    pub(super) fn handle_unheld(
+        &mut self,
+        now: Duration,
+        unheld: Unheld,
+        actions: &mut Vec<Action>,
+    ) {
         let routes = Arc::clone(&self.routes);
         let flow = unheld.flow;
         let Some(route) = routes.route(flow.service) else {
             return;
         };
-        let is_sure = self.terms(now, route).max_age_ms > 0;
-        let Some(Phase::Seeking(seeking)) = self.flows.get_mut(&flow).map(|held| &mut held.phase)
+        let is_conclusive = self.search_terms(now, route).max_age_ms > 0;
+        let Some(Phase::Searching(searching)) =
+            self.flows.get_mut(&flow).map(|state| &mut state.phase)
         else {
             return;
         };
         let mut shares = route.shares.iter();
-        let of = shares.find(|share| {
-            let mut targets = routes.all(share.service);
+        let searched_share = shares.find(|share| {
+            let mut targets = routes.targets_of(share.service);
             targets.any(|target| target.id == unheld.target)
         });
-        let Some(share) = of.filter(|_| is_sure) else {
+        let Some(share) = searched_share.filter(|_| is_conclusive) else {
             return;
         };
-        seeking.unheld.push(share.service);
+        searching.denied_by.push(share.service);
         let mut shares = route.shares.iter();
-        if shares.all(|share| seeking.unheld.contains(&share.service)) {
-            let sequence = seeking.acknowledged;
+        if shares.all(|share| searching.denied_by.contains(&share.service)) {
+            let sequence = searching.acknowledged;
             self.flows.remove(&flow);
-            actions.push(ended(flow, sequence));
+            actions.push(reset_ended(flow, sequence));
         }
     }
 
-    /// Takes the searches further that have had no answer.
-    pub(super) fn search_on(&mut self, now: Duration, actions: &mut Vec<Action>) {
+    /// Retries the searches that have had no answer in time, and ends those
+    /// that have used up their attempts.
+    pub(super) fn retry_searches(&mut self, now: Duration, actions: &mut Vec<Action>) {
         if self.searches.is_empty() {
             return;
         }
         let routes = Arc::clone(&self.routes);
         while let Some(flow) = self.searches.front().copied() {
-            let Some(held) = self.flows.get_mut(&flow) else {
+            let Some(state) = self.flows.get_mut(&flow) else {
                 self.searches.pop_front();
                 continue;
             };
-            let Phase::Seeking(seeking) = &mut held.phase else {
+            let Phase::Searching(searching) = &mut state.phase else {
                 self.searches.pop_front();
                 continue;
             };
-            if now < seeking.sent + self.settings.answer {
+            if now < searching.asked_at + self.settings.agent_timeout {
                 return;
             }
             self.searches.pop_front();
-            if seeking.rounds >= MAX_ROUNDS {
-                let rounds = seeking.rounds;
-                held.phase = Phase::Lost;
-                held.used = now;
-                held.since = now;
+            if searching.rounds >= MAX_ROUNDS {
+                let rounds = searching.rounds;
+                state.phase = Phase::Lost;
+                state.last_used = now;
+                state.phase_since = now;
                 actions.push(Action::Vanished { flow, rounds });
                 continue;
             }
-            let Some(mut held) = self.flows.remove(&flow) else {
+            let Some(mut state) = self.flows.remove(&flow) else {
                 continue;
             };
-            if let Phase::Seeking(seeking) = &mut held.phase {
-                seeking.sent = now;
-                self.ask(&routes, now, flow, seeking, actions);
+            if let Phase::Searching(searching) = &mut state.phase {
+                searching.asked_at = now;
+                self.send_search(&routes, now, flow, searching, actions);
             }
-            self.flows.insert(flow, held);
+            self.flows.insert(flow, state);
             self.searches.push_back(flow);
         }
     }
 }
 
-/// Tells the caller that its flow has ended with its backend server.
-pub(super) const fn ended(flow: FlowId, sequence: u32) -> Action {
+/// Returns the reset of a flow whose backend server has terminated.
+pub(super) const fn reset_ended(flow: FlowId, sequence: u32) -> Action {
     Action::Reset {
         flow,
         sequence,
--- a/roles/forward/src/entry/settings.rs
+++ b/roles/forward/src/entry/settings.rs
@@ -1,63 +1,68 @@
-//! Settings of an entry that carries flows unread.
+//! Settings of an entry that forwards packets without reading their content.
 use std::time::Duration;
 
 use route::place;
 
-/// Settings of an entry that carries flows unread.
+/// Settings of an entry that forwards packets without reading their content.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// How backend servers are ranked for new flows.
+    /// Settings of the ranking of backend servers for new flows.
     pub place: place::Settings,
-    /// Agents that an opening packet visits before one settles it.
-    pub hunt: usize,
-    /// Time without an answer after which an agent counts as not answering.
-    /// Shorter than the time after which callers repeat an opening packet.
-    pub answer: Duration,
-    /// Time after the start in which not every backend server may be known.
-    pub warm_up: Duration,
-    /// Time after the start in which the agents are not all known.
-    pub first_view: Duration,
-    /// Time after the start after which the agents are taken to be known although
-    /// no other entry has told of them.
-    pub untold: Duration,
-    /// Time without a new agent after which all are taken to be known.
-    pub quiet: Duration,
-    /// Time after the start in which callers may still use flows that ended with
-    /// everything else, before they give them up as idle.
-    pub stale_flows: Duration,
-    /// Longest time by which a backend server that started together with this
-    /// entry, as after a loss of power, is older.
+    /// Maximum number of agents that an opening packet visits before the bids
+    /// decide.
+    pub path_length: usize,
+    /// Time without an answer after which an agent is taken to be unresponsive.
+    /// Shorter than the time after which callers retransmit an opening packet.
+    pub agent_timeout: Duration,
+    /// Time after the start during which some backend servers may not be known
+    /// yet.
+    pub startup_grace: Duration,
+    /// Minimum time after the start before all agents can be taken to be known.
+    pub min_discovery: Duration,
+    /// Time after the start after which all agents can be taken to be known
+    /// even if no other entry has sent its list.
+    pub max_discovery: Duration,
+    /// Time without a new agent after which all agents can be taken to be
+    /// known.
+    pub discovery_quiet: Duration,
+    /// Time after the start during which callers may still use flows that ended
+    /// in the same failure as the entry, for example a power loss, before they
+    /// drop them as idle.
+    pub stale_flow_window: Duration,
+    /// Maximum time by which a backend server that started together with this
+    /// entry, for example after a power loss, may have started earlier.
     pub start_skew: Duration,
-    /// Flows that are remembered; each takes some 150 bytes.
+    /// Maximum number of flows in the flow table; each takes some 150 bytes.
     pub max_flows: usize,
-    /// Least time for which a silent flow is remembered.
-    pub least_idle: Duration,
-    /// Time for which a flow that opens, closes or is searched for is
-    /// remembered.
+    /// Minimum time for which a flow without packets is kept.
+    pub min_idle_timeout: Duration,
+    /// Time for which a flow without packets is kept while it is being opened,
+    /// closed or searched for.
     pub linger: Duration,
-    /// Time before a flow that nobody holds is searched for again.
-    pub forget_lost: Duration,
-    /// Time between two looks for flows to forget.
-    pub sweep: Duration,
+    /// Time after a search without a result before the flow is searched for
+    /// again.
+    pub lost_retry_interval: Duration,
+    /// Interval between two sweeps for expired flows.
+    pub sweep_interval: Duration,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
             place: place::Settings::default(),
-            hunt: 3,
-            answer: Duration::from_millis(150),
-            warm_up: Duration::from_secs(3),
-            first_view: Duration::from_millis(600),
-            untold: Duration::from_millis(1_500),
-            quiet: Duration::from_millis(400),
-            stale_flows: Duration::from_secs(20),
+            path_length: 3,
+            agent_timeout: Duration::from_millis(150),
+            startup_grace: Duration::from_secs(3),
+            min_discovery: Duration::from_millis(600),
+            max_discovery: Duration::from_millis(1_500),
+            discovery_quiet: Duration::from_millis(400),
+            stale_flow_window: Duration::from_secs(20),
             start_skew: Duration::from_secs(3),
             max_flows: 65_536,
-            least_idle: Duration::from_secs(20),
+            min_idle_timeout: Duration::from_secs(20),
             linger: Duration::from_secs(4),
-            forget_lost: Duration::from_millis(400),
-            sweep: Duration::from_secs(1),
+            lost_retry_interval: Duration::from_millis(400),
+            sweep_interval: Duration::from_secs(1),
         }
     }
 }
--- /dev/null
+++ b/roles/forward/tests/search.rs
@@ -0,0 +1,238 @@
+//! Tests an agent's search for the holder of a flow.
+mod fixtures;
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use fixtures::agent::*;
+use fixtures::*;
+use forward::Agent;
+use forward::agent::Action;
+use forward::agent::Event;
+use forward::agent::Peers;
+use forward::agent::Settings;
+use forward::agent::State;
+use wire::TargetId;
+use wire::Transit;
+use wire::segment::Kind;
+use wire::transit::Absent;
+use wire::transit::Search;
+use wire::transit::Terms;
+
+/// Another agent looks up a flow for an entry that started together with the
+/// backend servers.
+fn look_up_with_max_age(agent: &mut Agent, now: Duration, max_age: Duration) -> Vec<Action> {
+    let terms = Terms {
+        may_try: false,
+        max_age_ms: u32::try_from(max_age.as_millis()).unwrap(),
+    };
+    look_up_with_terms(agent, now, 9, terms)
+}
+
+fn sends_denial(actions: &[Action]) -> bool {
+    actions.iter().any(|action| {
+        matches!(action, Action::Send { to, transit: Transit::Absent(absent) }
+            if absent.age_ms.is_some() && absent.packet.is_empty() && *to == searcher_address())
+    })
+}
+
+/// Returns an agent that received the first announcement of its backend server.
+fn agent_since_first_announcement() -> Agent {
+    let mut agent = Agent::new(Settings::default(), hop(OWN), true, ms(0));
+    let first = announcement(OWN, 1, 1, State::Ready);
+    handle(&mut agent, ms(0), Event::Backend(first));
+    agent
+}
+
+#[test]
+fn server_that_started_with_the_entry_denies_an_unknown_flow() {
+    let mut agent = agent_since_first_announcement();
+    assert!(sends_denial(&look_up_with_max_age(
+        &mut agent,
+        ms(1_000),
+        ms(4_000)
+    )));
+}
+
+#[test]
+fn server_older_than_the_entry_sends_no_denial() {
+    let mut agent = agent_since_first_announcement();
+    assert_eq!(look_up_with_max_age(&mut agent, ms(9_000), ms(4_000)), []);
+}
+
+#[test]
+fn server_that_may_hold_a_flow_sends_no_denial() {
+    let mut agent = ready_agent(true);
+    assert_eq!(look_up_with_max_age(&mut agent, ms(1), ms(60_000)), []);
+}
+
+/// An agent that saw the start of its backend server knows all flows of the
+/// server.
+#[test]
+fn restarted_server_denies_the_flows_of_its_predecessor() {
+    let mut agent = ready_agent(true);
+    let next = announcement(OWN, 2, 1, State::Ready);
+    handle(&mut agent, ms(5_000), Event::Backend(next));
+    assert!(sends_denial(&look_up_with_max_age(
+        &mut agent,
+        ms(5_100),
+        ms(4_000)
+    )));
+}
+
+#[test]
+fn lookup_of_a_flow_of_a_terminated_server_resets_it() {
+    let mut agent = ready_agent(false);
+    send_open(&mut agent, ms(1), 9, open_frame(&[OWN]));
+    accept_flow(&mut agent, ms(2), 9);
+    handle(&mut agent, ms(3), Event::Gone);
+    let actions = look_up_with_max_age(&mut agent, ms(4), ms(0));
+    assert!(matches!(actions[..], [Action::Reset { .. }]), "{actions:?}");
+}
+
+/// An entry that knows `known` agents asks this agent to search.
+fn send_search(agent: &mut Agent, now: Duration, known: u16, max_age: Duration) -> Vec<Action> {
+    let search = Search {
+        target: OWN,
+        entry: entry_address(),
+        terms: Terms {
+            may_try: true,
+            max_age_ms: u32::try_from(max_age.as_millis()).unwrap(),
+        },
+        known,
+        packet: packet(),
+    };
+    let segment = caller_segment(9, Kind::Data, 100);
+    handle(agent, now, Event::Search { search, segment })
+}
+
+fn set_peers(agent: &mut Agent, others: &[TargetId], has_silent: bool) {
+    let hops = others.iter().copied().map(hop).collect();
+    let others = Peers {
+        hops: Arc::new(hops),
+        has_silent,
+    };
+    handle(agent, ms(0), Event::Peers(others));
+}
+
+/// Another agent reports that it does not hold the flow.
+fn receive_denial(agent: &mut Agent, now: Duration, target: TargetId, age_ms: u32) -> Vec<Action> {
+    let absent = Absent {
+        flow: caller_segment(9, Kind::Data, 0).from_caller(),
+        target,
+        acknowledged: 1,
+        age_ms: Some(age_ms),
+        start: Some(1),
+        packet: bytes::Bytes::new(),
+    };
+    handle(agent, now, Event::Denied(absent))
+}
+
+/// Returns the agents that are asked, and whether they may probe.
+fn asked_agents(actions: &[Action]) -> Vec<(TargetId, bool)> {
+    let asked = actions.iter().filter_map(|action| match action {
+        Action::Send {
+            transit: Transit::Seek(seek),
+            ..
+        } => Some((seek.target, seek.terms.may_try)),
+        _ => None,
+    });
+    asked.collect()
+}
+
+fn reports_unheld(actions: &[Action]) -> bool {
+    actions.iter().any(|action| {
+        matches!(action, Action::Send { to, transit: Transit::Unheld(_) } if *to == entry_address())
+    })
+}
+
+const MAX_AGE: Duration = Duration::from_secs(4);
+
+#[test]
+fn search_asks_all_others_and_reports_once_all_deny() {
+    let mut agent = agent_since_first_announcement();
+    set_peers(&mut agent, &[2, 3], false);
+    let actions = send_search(&mut agent, ms(100), 3, MAX_AGE);
+    assert_eq!(asked_agents(&actions), [(2, true), (3, true)]);
+    assert!(!reports_unheld(&receive_denial(
+        &mut agent,
+        ms(101),
+        2,
+        500
+    )));
+    assert!(reports_unheld(&receive_denial(&mut agent, ms(102), 3, 500)));
+}
+
+#[test]
+fn search_reports_nothing_while_an_agent_may_be_unreachable() {
+    let mut agent = agent_since_first_announcement();
+    set_peers(&mut agent, &[2], true);
+    send_search(&mut agent, ms(100), 2, MAX_AGE);
+    assert!(!reports_unheld(&receive_denial(
+        &mut agent,
+        ms(101),
+        2,
+        500
+    )));
+}
+
+#[test]
+fn search_reports_nothing_if_a_server_is_older_than_the_entry() {
+    let mut agent = agent_since_first_announcement();
+    set_peers(&mut agent, &[2], false);
+    send_search(&mut agent, ms(100), 2, MAX_AGE);
+    assert!(!reports_unheld(&receive_denial(
+        &mut agent,
+        ms(101),
+        2,
+        60_000
+    )));
+}
+
+/// The agent that is not known here may hold the flow.
+#[test]
+fn search_among_fewer_agents_than_the_entry_knows_allows_no_probes_and_reports_nothing() {
+    let mut agent = agent_since_first_announcement();
+    set_peers(&mut agent, &[2], false);
+    let actions = send_search(&mut agent, ms(100), 3, MAX_AGE);
+    assert_eq!(asked_agents(&actions), [(2, false)]);
+    assert!(!reports_unheld(&receive_denial(
+        &mut agent,
+        ms(101),
+        2,
+        500
+    )));
+}
+
+/// The agent's own backend server must deny the flow too, which only a probe
+/// shows.
+#[test]
+fn search_waits_for_a_probe_of_its_own_server() {
+    let mut agent = Agent::new(Settings::default(), hop(OWN), true, ms(0));
+    let second = announcement(OWN, 1, 2, State::Ready);
+    handle(&mut agent, ms(0), Event::Backend(second));
+    set_peers(&mut agent, &[2], false);
+    assert!(delivers(&send_search(&mut agent, ms(100), 2, MAX_AGE)));
+    assert!(!reports_unheld(&receive_denial(
+        &mut agent,
+        ms(101),
+        2,
+        500
+    )));
+    let event = Event::Server {
+        segment: returned_segment(9, Kind::Data),
+        packet: packet(),
+    };
+    assert!(reports_unheld(&handle(&mut agent, ms(102), event)));
+}
+
+#[test]
+fn searching_agent_that_holds_the_flow_delivers_it() {
+    let mut agent = ready_agent(false);
+    set_peers(&mut agent, &[2], false);
+    send_open(&mut agent, ms(1), 9, open_frame(&[OWN]));
+    accept_flow(&mut agent, ms(2), 9);
+    let actions = send_search(&mut agent, ms(100), 2, MAX_AGE);
+    assert!(delivers(&actions));
+    assert_eq!(asked_agents(&actions), []);
+}
