--- a/roles/agent/src/agent.rs
+++ b/roles/agent/src/agent.rs
@@ -32,9 +32,9 @@
 use crate::View;
 use crate::claim::Claiming;
 use crate::event::JobId;
-use crate::keep::Keep;
 use crate::leave::Leaving;
 use crate::offered::Offers;
+use crate::parked;
 use crate::pinning::Renewal;
 use crate::status::Counter;
 use crate::status::Counters;
@@ -77,7 +77,7 @@
     pub(crate) view: View,
     pub(crate) order: Order,
     /// Targets that were in an earlier view, with their last incarnation.
-    pub(crate) gone: BTreeMap<TargetId, Incarnation>,
+    pub(crate) departed: BTreeMap<TargetId, Incarnation>,
     pub(crate) flows: Table,
     pub(crate) ledger: Ledger,
     pub(crate) pins: pin::Table,
@@ -87,13 +87,13 @@
     pub(crate) budget: Budget,
     pub(crate) tasks: BTreeMap<JobId, Task>,
     /// The task of each request of a flow that is held here.
-    pub(crate) by_request: HashMap<record::Key, JobId>,
+    pub(crate) tasks_by_request: HashMap<record::Key, JobId>,
     /// The task of each offer that another agent has.
-    pub(crate) by_offer: HashMap<u64, JobId>,
+    pub(crate) tasks_by_offer: HashMap<u64, JobId>,
     pub(crate) timers: BTreeSet<Timer>,
     pub(crate) next_id: u64,
     pub(crate) offers: Offers,
-    pub(crate) keep: Keep,
+    pub(crate) parked: parked::Table,
     pub(crate) renewal: Renewal,
     pub(crate) claiming: Option<Claiming>,
     pub(crate) draining: bool,
@@ -106,18 +106,18 @@
 struct Announced {
     state: State,
     weight: u32,
-    next: Duration,
+    next_weight: Duration,
 }
 
 /// One call of [`Agent::handle`].
-pub(crate) struct Turn<'a> {
+pub(crate) struct Outbox<'a> {
     pub(crate) now: Duration,
-    pub(crate) out: &'a mut Vec<Action>,
+    pub(crate) actions: &'a mut Vec<Action>,
 }
 
-impl Turn<'_> {
+impl Outbox<'_> {
     pub(crate) fn push(&mut self, action: Action) {
-        self.out.push(action);
+        self.actions.push(action);
     }
 
     pub(crate) fn send(&mut self, to: SocketAddr, frame: Frame) {
@@ -127,7 +127,7 @@
 
 /// Where replies to a caller go.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Via {
+pub(crate) struct ReplyPath {
     pub(crate) entry: SocketAddr,
     pub(crate) caller: SocketAddr,
 }
@@ -149,7 +149,7 @@
         Self {
             order: Order::new(&view.targets),
             view,
-            gone: BTreeMap::new(),
+            departed: BTreeMap::new(),
             flows: Table::new(settings.flows, random.u64(..), now),
             ledger: Ledger::new(settings.ledger, random.u64(..)),
             pins: pin::Table::new(settings.pins),
@@ -157,12 +157,12 @@
             load: Load::new(settings.load, now),
             budget: Budget::new(settings.retries),
             tasks: BTreeMap::new(),
-            by_request: HashMap::new(),
-            by_offer: HashMap::new(),
+            tasks_by_request: HashMap::new(),
+            tasks_by_offer: HashMap::new(),
             timers: BTreeSet::new(),
             next_id: 1,
             offers: Offers::default(),
-            keep: Keep::default(),
+            parked: parked::Table::default(),
             renewal: Renewal::new(&settings, now),
             claiming: Some(Claiming::new(&settings, now)),
             draining: false,
@@ -170,7 +170,7 @@
             announced: Announced {
                 state: identity.state,
                 weight: identity.weight,
-                next: now,
+                next_weight: now,
             },
             counters: Counters::default(),
             now,
@@ -186,28 +186,28 @@
     /// nobody waits for.
     pub fn handle(&mut self, now: Duration, event: Event, out: &mut Vec<Action>) {
         self.now = now;
-        let mut turn = Turn { now, out };
-        let turn = &mut turn;
-        self.act_on_deadlines(turn);
+        let mut outbox = Outbox { now, actions: out };
+        let outbox = &mut outbox;
+        self.act_on_deadlines(outbox);
         match event {
-            Event::Frame { from: _, frame } => self.on_frame(turn, frame),
-            Event::Finished { job, result } => self.on_finished(turn, job, result),
-            Event::Offered { call, offer } => self.on_offered(turn, call, offer),
-            Event::Withdrawn { offer } => self.on_withdrawn(turn, offer),
-            Event::Passed { offer, outcome } => self.on_passed(turn, offer, outcome),
-            Event::View(view) => self.on_view(turn, view),
-            Event::Park { call, part } => self.on_park(turn, call, part),
-            Event::Parked { index, accepted } => self.on_parked(turn, index, accepted),
-            Event::Claim { call, claim } => self.on_claim(turn, call, claim),
-            Event::Claimed { peer, grant } => self.on_claimed(turn, peer, grant),
+            Event::Frame { from: _, frame } => self.on_frame(outbox, frame),
+            Event::Finished { job, result } => self.on_finished(outbox, job, result),
+            Event::Offered { call, offer } => self.on_offered(outbox, call, offer),
+            Event::Withdrawn { offer } => self.on_withdrawn(outbox, offer),
+            Event::Passed { offer, outcome } => self.on_passed(outbox, offer, outcome),
+            Event::View(view) => self.on_view(outbox, view),
+            Event::Park { call, part } => self.on_park(outbox, call, part),
+            Event::Parked { index, accepted } => self.on_parked(outbox, index, accepted),
+            Event::Claim { call, claim } => self.on_claim(outbox, call, claim),
+            Event::Claimed { peer, grant } => self.on_claimed(outbox, peer, grant),
             Event::Tick => {}
             Event::Drain => self.draining = true,
             Event::Resume => self.draining = false,
-            Event::Stop => self.on_stop(turn),
-            Event::Replace => self.on_replace(turn),
+            Event::Stop => self.on_stop(outbox),
+            Event::Replace => self.on_replace(outbox),
         }
-        self.leave_when_finished(turn);
-        self.announce(turn);
+        self.leave_when_finished(outbox);
+        self.announce(outbox);
     }
 
     /// When [`Agent::handle`] is to be called with [`Event::Tick`] at the
@@ -220,7 +220,7 @@
             self.gate.next_deadline(),
             self.timers.first().map(|timer| timer.at),
             self.offers.next_deadline(),
-            self.keep.next_deadline(),
+            self.parked.next_deadline(),
             Some(self.renewal.next_deadline()),
             self.pins.next_deadline(),
             self.claiming.as_ref().map(Claiming::next_deadline),
@@ -245,26 +245,26 @@
             pin_bytes: self.pins.bytes(),
             tasks: self.tasks.len(),
             expected_wait: self.gate.expected_wait(self.now),
-            parked: self.keep.len(),
+            parked: self.parked.len(),
             counters: self.counters.clone(),
         }
     }
 
-    fn act_on_deadlines(&mut self, turn: &mut Turn<'_>) {
-        self.expire_flows(turn);
-        self.ledger.expire(turn.now);
-        self.expire_tasks(turn);
-        self.offers.expire(turn.now);
-        self.keep.expire(turn.now);
-        self.renew_pins(turn);
-        self.expire_claim(turn);
-        self.expire_leaving(turn);
+    fn act_on_deadlines(&mut self, outbox: &mut Outbox<'_>) {
+        self.expire_flows(outbox);
+        self.ledger.expire(outbox.now);
+        self.expire_tasks(outbox);
+        self.offers.expire(outbox.now);
+        self.parked.expire(outbox.now);
+        self.renew_pins(outbox);
+        self.expire_claim(outbox);
+        self.expire_leaving(outbox);
     }
 
-    fn on_frame(&mut self, turn: &mut Turn<'_>, frame: Frame) {
+    fn on_frame(&mut self, outbox: &mut Outbox<'_>, frame: Frame) {
         match frame {
-            Frame::Relay(relay) => self.on_relay(turn, relay),
-            Frame::Pin(pin) => self.on_pin(turn, &pin),
+            Frame::Relay(relay) => self.on_relay(outbox, relay),
+            Frame::Pin(pin) => self.on_pin(outbox, &pin),
             Frame::Unpin(pin) => self.on_unpin(&pin),
             Frame::Reply(_) | Frame::Control(_) | Frame::Sprayed(_) | Frame::Transit(_) => {
                 self.counters.add(Counter::UnexpectedFrame);
@@ -272,50 +272,50 @@
         }
     }
 
-    fn on_view(&mut self, turn: &mut Turn<'_>, mut view: View) {
+    fn on_view(&mut self, outbox: &mut Outbox<'_>, mut view: View) {
         if !view.targets.iter().any(|it| it.id == self.identity.id) {
             view.targets.push(self.identity.clone());
         }
         let old = std::mem::replace(&mut self.view, view);
         for target in old.targets {
-            self.gone.insert(target.id, target.incarnation);
+            self.departed.insert(target.id, target.incarnation);
         }
         for target in &self.view.targets {
-            self.gone.remove(&target.id);
+            self.departed.remove(&target.id);
         }
-        while self.gone.len() > MAX_GONE {
-            self.gone.pop_first();
+        while self.departed.len() > MAX_DEPARTED {
+            self.departed.pop_first();
         }
         self.order = Order::new(&self.view.targets);
         self.flows.set_idle(self.view.service.idle);
-        self.renewal.restart(turn.now, self.flows.slots());
-        self.pin_kept(turn);
-        self.start_claim(turn);
+        self.renewal.restart(outbox.now, self.flows.slots());
+        self.pin_parked(outbox);
+        self.start_claim(outbox);
     }
 
     /// Announces a changed state at once, and a changed weight now and then.
-    fn announce(&mut self, turn: &mut Turn<'_>) {
+    fn announce(&mut self, outbox: &mut Outbox<'_>) {
         let state = self.state();
         let weight = self.gate.weight();
         let Announced {
             state: old_state,
             weight: old_weight,
-            next,
+            next_weight: next,
         } = self.announced;
-        if state == old_state && (weight == old_weight || turn.now < next) {
+        if state == old_state && (weight == old_weight || outbox.now < next) {
             return;
         }
         self.announced = Announced {
             state,
             weight,
-            next: turn.now + self.settings.announce_interval,
+            next_weight: outbox.now + self.settings.announce_interval,
         };
-        turn.push(Action::Announce { state, weight });
+        outbox.push(Action::Announce { state, weight });
     }
 
     fn state(&self) -> State {
         match &self.leaving {
-            Some(Leaving::Gone) => State::Left,
+            Some(Leaving::Exited) => State::Left,
             Some(_) => State::Draining,
             None if self.draining => State::Draining,
             None => State::Ready,
@@ -323,7 +323,7 @@
     }
 
     /// Whether new flows are taken.
-    pub(crate) fn takes_flows(&self) -> bool {
+    pub(crate) fn accepts_flows(&self) -> bool {
         !self.draining && self.leaving.is_none() && self.claiming.is_none()
     }
 
@@ -364,26 +364,26 @@
         self.jitter(time)
     }
 
-    pub(crate) fn reply(&self, turn: &mut Turn<'_>, via: Via, packet: &Packet) {
+    pub(crate) fn reply(&self, outbox: &mut Outbox<'_>, reply_path: ReplyPath, packet: &Packet) {
         let reply = wire::Reply {
-            caller: via.caller,
+            caller: reply_path.caller,
             service: self.identity.service,
             packet: packet.to_bytes(),
         };
-        turn.send(via.entry, Frame::Reply(reply));
+        outbox.send(reply_path.entry, Frame::Reply(reply));
     }
 
     pub(crate) fn refuse(
         &mut self,
-        turn: &mut Turn<'_>,
-        via: Via,
+        outbox: &mut Outbox<'_>,
+        reply_path: ReplyPath,
         subject: Subject,
         refusal: Refusal,
         outcome: Outcome,
     ) {
         self.counters.refuse(refusal.reason);
         let retry_after = match refusal.retry_after {
-            Duration::ZERO => self.retry_after(turn.now, refusal.reason),
+            Duration::ZERO => self.retry_after(outbox.now, refusal.reason),
             time => time,
         };
         let retry_after = u32::try_from(retry_after.as_millis()).unwrap_or(u32::MAX);
@@ -394,7 +394,7 @@
             outcome,
             retry_after,
         );
-        self.reply(turn, via, &packet);
+        self.reply(outbox, reply_path, &packet);
     }
 }
 
@@ -409,4 +409,4 @@
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(20);
 
 /// Number of targets no longer in the view that are remembered.
-const MAX_GONE: usize = 1_024;
+const MAX_DEPARTED: usize = 1_024;
--- a/roles/agent/src/claim.rs
+++ b/roles/agent/src/claim.rs
@@ -11,7 +11,7 @@
 use crate::Action;
 use crate::Agent;
 use crate::Settings;
-use crate::agent::Turn;
+use crate::agent::Outbox;
 use crate::park;
 use crate::park::Claim;
 use crate::park::Grant;
@@ -21,11 +21,11 @@
 /// An agent's claim to its predecessor's state.
 #[derive(Debug)]
 pub(crate) struct Claiming {
-    until: Duration,
+    deadline: Duration,
     /// Longest time between two parts.
-    patience: Duration,
+    part_timeout: Duration,
     /// Peers that have not answered the first question.
-    asked: Vec<SocketAddr>,
+    pending_peers: Vec<SocketAddr>,
     /// The peer that has the state, and the part that is awaited.
     source: Option<Source>,
 }
@@ -39,36 +39,36 @@
 impl Claiming {
     pub(crate) fn new(settings: &Settings, now: Duration) -> Self {
         Self {
-            until: now + settings.leave.claim,
-            patience: settings.leave.claim,
-            asked: Vec::new(),
+            deadline: now + settings.leave.claim,
+            part_timeout: settings.leave.claim,
+            pending_peers: Vec::new(),
             source: None,
         }
     }
 
     pub(crate) const fn next_deadline(&self) -> Duration {
-        self.until
+        self.deadline
     }
 }
 
 impl Agent {
     /// Asks the peers of the first view.
-    pub(crate) fn start_claim(&mut self, turn: &mut Turn<'_>) {
-        let peers = self.possible_keepers();
+    pub(crate) fn start_claim(&mut self, outbox: &mut Outbox<'_>) {
+        let peers = self.claim_peers();
         let claim = self.claim(0);
         let Some(claiming) = &mut self.claiming else {
             return;
         };
-        if claiming.source.is_some() || !claiming.asked.is_empty() {
+        if claiming.source.is_some() || !claiming.pending_peers.is_empty() {
             return;
         }
         if peers.is_empty() {
             self.claiming = None;
             return;
         }
-        claiming.asked.clone_from(&peers);
+        claiming.pending_peers.clone_from(&peers);
         for to in peers {
-            turn.push(Action::Claim { to, claim });
+            outbox.push(Action::Claim { to, claim });
         }
     }
 
@@ -80,55 +80,55 @@
         }
     }
 
-    pub(crate) fn on_claimed(&mut self, turn: &mut Turn<'_>, peer: SocketAddr, grant: Grant) {
+    pub(crate) fn on_claimed(&mut self, outbox: &mut Outbox<'_>, peer: SocketAddr, grant: Grant) {
         let Some(claiming) = &mut self.claiming else {
             return;
         };
-        claiming.asked.retain(|&asked| asked != peer);
+        claiming.pending_peers.retain(|&asked| asked != peer);
         match (grant, claiming.source) {
-            (Grant::Part(part), None) if part.index == 0 => self.accept(turn, peer, part),
+            (Grant::Part(part), None) if part.index == 0 => self.accept_part(outbox, peer, part),
             (Grant::Part(part), Some(source))
                 if source.peer == peer && source.index == part.index =>
             {
-                self.accept(turn, peer, part);
+                self.accept_part(outbox, peer, part);
             }
             (Grant::Part(_), _) => {}
             (_, Some(source)) if source.peer == peer => self.claiming = None,
-            (_, None) if claiming.asked.is_empty() => self.claiming = None,
+            (_, None) if claiming.pending_peers.is_empty() => self.claiming = None,
             (Grant::Nothing | Grant::Unreachable, _) => {}
         }
     }
 
     /// Takes a part over, and asks for the next.
-    fn accept(&mut self, turn: &mut Turn<'_>, peer: SocketAddr, part: Part) {
+    fn accept_part(&mut self, outbox: &mut Outbox<'_>, peer: SocketAddr, part: Part) {
         let next = part.index + 1;
         let is_last = next == part.count;
         if part.owner.target != self.identity.id || part.service != self.identity.service {
             return;
         }
-        self.inherit(turn.now, part);
+        self.inherit(outbox.now, part);
         if is_last {
             self.claiming = None;
-            self.renewal.restart(turn.now, self.flows.slots());
+            self.renewal.restart(outbox.now, self.flows.slots());
             return;
         }
         if let Some(claiming) = &mut self.claiming {
-            claiming.until = turn.now + claiming.patience;
+            claiming.deadline = outbox.now + claiming.part_timeout;
             claiming.source = Some(Source { peer, index: next });
         }
         let claim = self.claim(next);
-        turn.push(Action::Claim { to: peer, claim });
+        outbox.push(Action::Claim { to: peer, claim });
     }
 
     /// Holds the flows of a part from now on, under their old tokens.
     pub(crate) fn inherit(&mut self, now: Duration, part: Part) {
-        for kept in part.flows {
+        for parked in part.flows {
             let flow = Flow {
-                key: kept.key,
-                token: kept.token,
-                caller: kept.caller,
+                key: parked.key,
+                token: parked.token,
+                caller: parked.caller,
                 last_seen: now,
-                phase: if kept.closed {
+                phase: if parked.closed {
                     Phase::Closed
                 } else {
                     Phase::Open
@@ -136,7 +136,7 @@
                 pending: 0,
                 home: None,
             };
-            let taken = if kept.is_used() {
+            let taken = if parked.is_used() {
                 self.flows.insert_over_half_open(flow)
             } else {
                 self.flows.insert(flow)
@@ -145,30 +145,30 @@
                 continue;
             }
             self.counters.add(Counter::Inherited);
-            let seen = Seen::restore(kept.floor, kept.seen);
-            self.ledger.restore_seen(kept.key, &seen);
-            for record in kept.records {
-                self.inherit_record(now, kept.key, &record);
+            let seen = Seen::restore(parked.floor, parked.seen);
+            self.ledger.restore_seen(parked.key, &seen);
+            for record in parked.records {
+                self.inherit_record(now, parked.key, &record);
             }
         }
     }
 
-    fn inherit_record(&mut self, now: Duration, flow: wire::FlowKey, kept: &park::Record) {
+    fn inherit_record(&mut self, now: Duration, flow: wire::FlowKey, parked: &park::Record) {
         let key = record::Key {
             flow,
-            request: kept.request,
+            request: parked.request,
         };
         let record = Record {
-            idempotent: kept.idempotent,
-            deadline: now + kept.remaining,
-            state: kept.state(),
+            idempotent: parked.idempotent,
+            deadline: now + parked.remaining,
+            state: parked.state(),
         };
         // False where the record is known already, which is newer.
         let _ = self.ledger.restore(now, key, record);
     }
 
-    pub(crate) fn expire_claim(&mut self, turn: &mut Turn<'_>) {
-        let is_over = |claiming: &Claiming| claiming.until <= turn.now;
+    pub(crate) fn expire_claim(&mut self, outbox: &mut Outbox<'_>) {
+        let is_over = |claiming: &Claiming| claiming.deadline <= outbox.now;
         if self.claiming.as_ref().is_some_and(is_over) {
             self.claiming = None;
         }
--- a/roles/agent/src/close.rs
+++ b/roles/agent/src/close.rs
@@ -18,127 +18,133 @@
 use wire::caller::packet::Body;
 
 use crate::Agent;
-use crate::agent::Turn;
-use crate::agent::Via;
+use crate::agent::Outbox;
+use crate::agent::ReplyPath;
 use crate::relay;
-use crate::relay::Place;
-use crate::relay::Stray;
-use crate::relay::Unheld;
+use crate::relay::Fallback;
+use crate::relay::Location;
+use crate::relay::Misrouted;
 use crate::status::Counter;
 use crate::task::End;
 
 impl Agent {
     pub(crate) fn on_cancel(
         &mut self,
-        turn: &mut Turn<'_>,
+        outbox: &mut Outbox<'_>,
         relay: Relay,
         key: FlowKey,
         cancel: &Cancel,
     ) {
         let token = Token::from_bytes(&cancel.holder);
         match self.locate(&relay, key) {
-            Place::Here(flow) if token == Some(flow.token) => {
-                self.flows.touch(turn.now, key);
+            Location::Here(flow) if token == Some(flow.token) => {
+                self.flows.touch(outbox.now, key);
                 let key = record::Key {
                     flow: key,
                     request: cancel.request,
                 };
-                self.cancel(turn, relay::via(&relay), key);
+                self.cancel(outbox, relay::reply_path(&relay), key);
             }
-            Place::Here(_) | Place::Foreign => self.counters.add(Counter::SpoofedCancel),
-            Place::Kept => self.counters.add(Counter::KeptSilent),
-            Place::Elsewhere => self.hand_along_silently(turn, relay, key, token),
+            Location::Here(_) | Location::OtherCaller => self.counters.add(Counter::SpoofedCancel),
+            Location::Parked => self.counters.add(Counter::KeptSilent),
+            Location::Elsewhere => self.forward_silently(outbox, relay, key, token),
         }
     }
 
-    fn cancel(&mut self, turn: &mut Turn<'_>, via: Via, key: record::Key) {
+    fn cancel(&mut self, outbox: &mut Outbox<'_>, reply_path: ReplyPath, key: record::Key) {
         let refusal = self.refusal(Reason::Cancelled, Duration::ZERO);
         match self.ledger.get(key).cloned() {
-            Some(state) if state.is_final() => self.tell(turn, via, key, &state),
+            Some(state) if state.is_final() => self.send_outcome(outbox, reply_path, key, &state),
             Some(_) => {
-                self.redirect(key, via);
-                if let Some(&job) = self.by_request.get(&key) {
-                    self.abandon(turn, job, refusal);
+                self.redirect_reply(key, reply_path);
+                if let Some(&job) = self.tasks_by_request.get(&key) {
+                    self.abandon(outbox, job, refusal);
                 }
             }
-            None => self.cancel_unseen(turn, via, key, refusal),
+            None => self.cancel_unrecorded(outbox, reply_path, key, refusal),
         }
     }
 
     /// A cancel of a request that is not recorded. It may have overtaken the
     /// request, which then will not run; or the request ran, and its record is
     /// gone.
-    fn cancel_unseen(&mut self, turn: &mut Turn<'_>, via: Via, key: record::Key, refusal: Refusal) {
+    fn cancel_unrecorded(
+        &mut self,
+        outbox: &mut Outbox<'_>,
+        reply_path: ReplyPath,
+        key: record::Key,
+        refusal: Refusal,
+    ) {
         if self.is_handing_over() {
             return;
         }
         let state = State::Unknown(refusal);
-        if self.ledger.admit(key, false, turn.now) == Admission::New {
-            let _ = self.ledger.advance(turn.now, key, state.clone());
+        if self.ledger.admit(key, false, outbox.now) == Admission::New {
+            let _ = self.ledger.advance(outbox.now, key, state.clone());
         }
-        self.tell(turn, via, key, &state);
+        self.send_outcome(outbox, reply_path, key, &state);
     }
 
     pub(crate) fn on_close(
         &mut self,
-        turn: &mut Turn<'_>,
+        outbox: &mut Outbox<'_>,
         relay: Relay,
         key: FlowKey,
         close: &Close,
     ) {
         let token = Token::from_bytes(&close.holder);
         match self.locate(&relay, key) {
-            Place::Here(flow) if token == Some(flow.token) => self.close(turn, &relay, &flow),
-            Place::Here(_) if self.names_another(token, &relay) => {
-                self.hand_along_silently(turn, relay, key, token);
+            Location::Here(flow) if token == Some(flow.token) => self.close(outbox, &relay, &flow),
+            Location::Here(_) if self.names_other_holder(token, &relay) => {
+                self.forward_silently(outbox, relay, key, token);
             }
-            Place::Here(_) | Place::Foreign => self.counters.add(Counter::SpoofedClose),
-            Place::Kept => self.counters.add(Counter::KeptSilent),
-            Place::Elsewhere => self.hand_along_silently(turn, relay, key, token),
+            Location::Here(_) | Location::OtherCaller => self.counters.add(Counter::SpoofedClose),
+            Location::Parked => self.counters.add(Counter::KeptSilent),
+            Location::Elsewhere => self.forward_silently(outbox, relay, key, token),
         }
     }
 
-    fn close(&mut self, turn: &mut Turn<'_>, relay: &Relay, flow: &Flow) {
+    fn close(&mut self, outbox: &mut Outbox<'_>, relay: &Relay, flow: &Flow) {
         if self.is_handing_over() {
             return;
         }
         if flow.phase != Phase::Closed {
             self.counters.add(Counter::Closed);
-            self.flows.close(turn.now, flow.key);
-            self.unpin(turn, [*flow]);
+            self.flows.close(outbox.now, flow.key);
+            self.unpin(outbox, [*flow]);
         }
         let packet = Packet::new(flow.key, Body::Closed(Closed {}));
-        self.reply(turn, relay::via(relay), &packet);
+        self.reply(outbox, relay::reply_path(relay), &packet);
     }
 
-    fn names_another(&self, token: Option<Token>, relay: &Relay) -> bool {
-        self.named(token)
+    fn names_other_holder(&self, token: Option<Token>, relay: &Relay) -> bool {
+        self.named_hop(token)
             .is_some_and(|hop| !relay::visited(relay, &hop))
     }
 
-    fn hand_along_silently(
+    fn forward_silently(
         &mut self,
-        turn: &mut Turn<'_>,
+        outbox: &mut Outbox<'_>,
         relay: Relay,
         flow: FlowKey,
         token: Option<Token>,
     ) {
-        let stray = Stray {
+        let misrouted = Misrouted {
             flow,
             token,
-            unheld: Unheld::Silent,
+            fallback: Fallback::Silent,
         };
-        self.hand_along(turn, relay, &stray);
+        self.forward_misrouted(outbox, relay, &misrouted);
     }
 
     /// Ends a request that its caller, or its deadline, gave up.
-    pub(crate) fn abandon(&mut self, turn: &mut Turn<'_>, job: u64, refusal: Refusal) {
-        let ran = self.withdraw(turn, job);
+    pub(crate) fn abandon(&mut self, outbox: &mut Outbox<'_>, job: u64, refusal: Refusal) {
+        let ran = self.withdraw(outbox, job);
         let end = if ran {
             End::Unknown(refusal)
         } else {
             End::NotRun(refusal)
         };
-        self.conclude(turn, job, end);
+        self.conclude(outbox, job, end);
     }
 }
--- a/roles/agent/src/leave.rs
+++ b/roles/agent/src/leave.rs
@@ -7,7 +7,7 @@
 
 use crate::Action;
 use crate::Agent;
-use crate::agent::Turn;
+use crate::agent::Outbox;
 use crate::event::JobId;
 use crate::park::Part;
 use crate::park::Purpose;
@@ -16,25 +16,25 @@
 use crate::view::Binding;
 
 /// Time between two tries to send the last part, or to find a peer.
-const RESEND: Duration = Duration::from_millis(200);
+const RESEND_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Peers that a successor asks, over those that its predecessor did.
-const CLAIM_FACTOR: usize = 2;
+const CLAIM_PEER_FACTOR: usize = 2;
 
 /// How far an agent is on its way out.
 #[derive(Debug)]
 pub(crate) enum Leaving {
     /// Requests that are underway may finish.
-    Finishing { until: Duration, then: Then },
+    Finishing { deadline: Duration, next: NextPhase },
     /// The state goes to a peer; nothing changes here any more.
     HandingOver(Handover),
     /// Nothing is left to do.
-    Gone,
+    Exited,
 }
 
 /// What follows when requests have finished.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Then {
+pub(crate) enum NextPhase {
     /// Hand the flows over.
     Handover(Purpose),
     /// Exit; the flows end with the backend server.
@@ -51,40 +51,40 @@
     parts: Vec<Part>,
     index: usize,
     peers: Vec<SocketAddr>,
-    until: Duration,
-    resend: Option<Duration>,
+    deadline: Duration,
+    resend_at: Option<Duration>,
 }
 
 impl Leaving {
     pub(crate) fn next_deadline(&self) -> Option<Duration> {
         match self {
-            Self::Finishing { until, .. } => Some(*until),
+            Self::Finishing { deadline, .. } => Some(*deadline),
             Self::HandingOver(handover) => {
-                let resend = handover.resend.unwrap_or(handover.until);
-                Some(resend.min(handover.until))
+                let resend = handover.resend_at.unwrap_or(handover.deadline);
+                Some(resend.min(handover.deadline))
             }
-            Self::Gone => None,
+            Self::Exited => None,
         }
     }
 }
 
 impl Agent {
-    pub(crate) fn on_stop(&mut self, turn: &mut Turn<'_>) {
-        let then = match self.view.service.binding {
-            Binding::Bound => Then::Exit,
-            Binding::Independent => Then::Handover(Purpose::Adopt),
+    pub(crate) fn on_stop(&mut self, outbox: &mut Outbox<'_>) {
+        let next = match self.view.service.binding {
+            Binding::Bound => NextPhase::Exit,
+            Binding::Independent => NextPhase::Handover(Purpose::Adopt),
         };
-        self.begin_leaving(turn, then);
+        self.start_leaving(outbox, next);
     }
 
-    pub(crate) fn on_replace(&mut self, turn: &mut Turn<'_>) {
-        self.begin_leaving(turn, Then::Handover(Purpose::Keep));
+    pub(crate) fn on_replace(&mut self, outbox: &mut Outbox<'_>) {
+        self.start_leaving(outbox, NextPhase::Handover(Purpose::Keep));
     }
 
-    fn begin_leaving(&mut self, turn: &mut Turn<'_>, then: Then) {
+    fn start_leaving(&mut self, outbox: &mut Outbox<'_>, next: NextPhase) {
         if self.leaving.is_none() {
-            let until = turn.now + self.settings.leave.grace;
-            self.leaving = Some(Leaving::Finishing { until, then });
+            let deadline = outbox.now + self.settings.leave.grace;
+            self.leaving = Some(Leaving::Finishing { deadline, next });
             self.claiming = None;
         }
     }
@@ -92,51 +92,57 @@
     /// Whether the flows are on their way to a peer, so that nothing may be
     /// recorded here any more.
     pub(crate) fn is_handing_over(&self) -> bool {
-        matches!(self.leaving, Some(Leaving::HandingOver(_) | Leaving::Gone))
+        matches!(
+            self.leaving,
+            Some(Leaving::HandingOver(_) | Leaving::Exited)
+        )
     }
 
     /// Refuses a request that came while the agent leaves. The record goes
     /// along with the flow, so the request will not run.
-    pub(crate) fn refuse_leaving(&mut self, turn: &mut Turn<'_>, job: JobId) {
+    pub(crate) fn refuse_leaving(&mut self, outbox: &mut Outbox<'_>, job: JobId) {
         let reason = match self.leaving {
             Some(Leaving::Finishing {
-                then: Then::Exit, ..
+                next: NextPhase::Exit,
+                ..
             }) => Reason::Draining,
             _ => Reason::HolderAway,
         };
         let refusal = self.refusal(reason, self.settings.leave.away);
-        self.conclude(turn, job, End::NotRun(refusal));
+        self.conclude(outbox, job, End::NotRun(refusal));
     }
 
     /// Goes on once nothing is underway and no successor of another agent has
     /// still to claim what is kept here, or once the time for that is over.
-    pub(crate) fn leave_when_finished(&mut self, turn: &mut Turn<'_>) {
-        let then = match self.leaving {
-            Some(Leaving::Finishing { until, then })
+    pub(crate) fn leave_when_finished(&mut self, outbox: &mut Outbox<'_>) {
+        let next = match self.leaving {
+            Some(Leaving::Finishing { deadline, next })
                 if self.tasks.is_empty()
-                    && (until <= turn.now || !self.keep.awaits_successor()) =>
+                    && (deadline <= outbox.now || !self.parked.has_unclaimed()) =>
             {
-                then
+                next
             }
             _ => return,
         };
-        match then {
-            Then::Exit => self.exit(turn),
-            Then::Handover(purpose) => self.begin_handover(turn, purpose),
+        match next {
+            NextPhase::Exit => self.exit(outbox),
+            NextPhase::Handover(purpose) => self.start_handover(outbox, purpose),
         }
     }
 
-    pub(crate) fn expire_leaving(&mut self, turn: &mut Turn<'_>) {
+    pub(crate) fn expire_leaving(&mut self, outbox: &mut Outbox<'_>) {
         match &self.leaving {
-            Some(Leaving::Finishing { until, .. }) if *until <= turn.now => {
-                self.abandon_all(turn);
-                self.leave_when_finished(turn);
+            Some(Leaving::Finishing { deadline, .. }) if *deadline <= outbox.now => {
+                self.abandon_tasks(outbox);
+                self.leave_when_finished(outbox);
+            }
+            Some(Leaving::HandingOver(handover)) if handover.deadline <= outbox.now => {
+                self.exit(outbox)
             }
-            Some(Leaving::HandingOver(handover)) if handover.until <= turn.now => self.exit(turn),
             Some(Leaving::HandingOver(handover))
-                if handover.resend.is_some_and(|at| at <= turn.now) =>
+                if handover.resend_at.is_some_and(|at| at <= outbox.now) =>
             {
-                self.send_part(turn);
+                self.send_part(outbox);
             }
             _ => {}
         }
@@ -144,54 +150,54 @@
 
     /// Gives up what is underway, and what waits first, so that no slot that
     /// becomes free is taken by a request that would be cut at once.
-    fn abandon_all(&mut self, turn: &mut Turn<'_>) {
+    fn abandon_tasks(&mut self, outbox: &mut Outbox<'_>) {
         let (waiting, others): (Vec<JobId>, Vec<JobId>) = self
             .tasks
             .keys()
             .partition(|job| matches!(self.tasks[*job].stage, Stage::New | Stage::Queued));
         for job in waiting.into_iter().chain(others) {
             let refusal = self.refusal(Reason::HolderAway, self.settings.leave.away);
-            self.abandon(turn, job, refusal);
+            self.abandon(outbox, job, refusal);
         }
     }
 
-    fn begin_handover(&mut self, turn: &mut Turn<'_>, purpose: Purpose) {
-        let parts = self.parts(turn.now, purpose);
+    fn start_handover(&mut self, outbox: &mut Outbox<'_>, purpose: Purpose) {
+        let parts = self.parts(outbox.now, purpose);
         if parts.len() == 1 {
-            return self.exit(turn);
+            return self.exit(outbox);
         }
-        let peers = self.keepers();
+        let peers = self.handover_peers();
         self.leaving = Some(Leaving::HandingOver(Handover {
             parts,
             index: 0,
             peers,
-            until: turn.now + self.settings.leave.handover,
-            resend: None,
+            deadline: outbox.now + self.settings.leave.handover,
+            resend_at: None,
         }));
-        self.send_part(turn);
+        self.send_part(outbox);
     }
 
     /// Sends the part that is next. While no peer takes the state, those that
     /// are there are asked again: the only one may be starting.
-    fn send_part(&mut self, turn: &mut Turn<'_>) {
-        let keepers = self.keepers();
+    fn send_part(&mut self, outbox: &mut Outbox<'_>) {
+        let peers = self.handover_peers();
         let Some(Leaving::HandingOver(handover)) = &mut self.leaving else {
             return;
         };
         if handover.peers.is_empty() {
-            handover.peers = keepers;
+            handover.peers = peers;
         }
-        handover.resend = None;
+        handover.resend_at = None;
         match (handover.peers.first(), handover.parts.get(handover.index)) {
-            (Some(&to), Some(part)) => turn.push(Action::Park {
+            (Some(&to), Some(part)) => outbox.push(Action::Park {
                 to,
                 part: part.clone(),
             }),
-            _ => handover.resend = Some(turn.now + RESEND),
+            _ => handover.resend_at = Some(outbox.now + RESEND_INTERVAL),
         }
     }
 
-    pub(crate) fn on_parked(&mut self, turn: &mut Turn<'_>, index: u32, accepted: bool) {
+    pub(crate) fn on_parked(&mut self, outbox: &mut Outbox<'_>, index: u32, accepted: bool) {
         let Some(Leaving::HandingOver(handover)) = &mut self.leaving else {
             return;
         };
@@ -200,45 +206,45 @@
         }
         let is_last = handover.index + 1 == handover.parts.len();
         match accepted {
-            true if is_last => return self.exit(turn),
+            true if is_last => return self.exit(outbox),
             true => handover.index += 1,
             false if is_last => {
-                handover.resend = Some(turn.now + RESEND);
+                handover.resend_at = Some(outbox.now + RESEND_INTERVAL);
                 return;
             }
             false => {
                 handover.peers.remove(0);
                 handover.index = 0;
                 if handover.peers.is_empty() {
-                    handover.resend = Some(turn.now + RESEND);
+                    handover.resend_at = Some(outbox.now + RESEND_INTERVAL);
                     return;
                 }
             }
         }
-        self.send_part(turn);
+        self.send_part(outbox);
     }
 
-    fn exit(&mut self, turn: &mut Turn<'_>) {
-        self.leaving = Some(Leaving::Gone);
-        turn.push(Action::Announce {
+    fn exit(&mut self, outbox: &mut Outbox<'_>) {
+        self.leaving = Some(Leaving::Exited);
+        outbox.push(Action::Announce {
             state: State::Left,
             weight: self.gate.weight(),
         });
-        turn.push(Action::Exit);
+        outbox.push(Action::Exit);
     }
 
     /// Control addresses of the peers that an agent leaves its state with, in an
     /// order that depends on their ids alone, so that an agent and its successor
     /// ask the same ones.
-    fn keepers(&self) -> Vec<SocketAddr> {
+    fn handover_peers(&self) -> Vec<SocketAddr> {
         self.peers(self.settings.leave.peers, |state| state == State::Ready)
     }
 
     /// Control addresses of the peers that may have the state of a predecessor.
     /// Since it was left with one of them, some may have begun to leave, and
     /// others have come.
-    pub(crate) fn possible_keepers(&self) -> Vec<SocketAddr> {
-        let count = self.settings.leave.peers * CLAIM_FACTOR;
+    pub(crate) fn claim_peers(&self) -> Vec<SocketAddr> {
+        let count = self.settings.leave.peers * CLAIM_PEER_FACTOR;
         self.peers(count, |state| state != State::Left)
     }
 
--- a/roles/agent/src/offered.rs
+++ b/roles/agent/src/offered.rs
@@ -12,7 +12,7 @@
 use crate::Agent;
 use crate::Offer;
 use crate::Outcome;
-use crate::agent::Turn;
+use crate::agent::Outbox;
 use crate::event::CallId;
 use crate::event::JobId;
 use crate::offer;
@@ -24,13 +24,13 @@
 /// The offers of other agents.
 #[derive(Debug, Default)]
 pub(crate) struct Offers {
-    entries: HashMap<offer::Id, Entry>,
+    by_id: HashMap<offer::Id, OfferState>,
     expiries: BTreeSet<Expiry>,
     answer_bytes: usize,
 }
 
 #[derive(Debug)]
-enum Entry {
+enum OfferState {
     /// It runs; these calls wait for it.
     Running { job: JobId, calls: Vec<CallId> },
     /// It ended so.
@@ -52,7 +52,7 @@
     pub(crate) fn expire(&mut self, now: Duration) {
         while self.expiries.first().is_some_and(|expiry| expiry.at <= now) {
             if let Some(expiry) = self.expiries.pop_first()
-                && let Some(entry) = self.entries.remove(&expiry.id)
+                && let Some(entry) = self.by_id.remove(&expiry.id)
             {
                 self.answer_bytes -= entry.bytes();
             }
@@ -60,22 +60,22 @@
     }
 
     fn is_full(&self, max_offers: usize) -> bool {
-        self.entries.len() >= max_offers
+        self.by_id.len() >= max_offers
     }
 
     /// Remembers how an offer ended, without the answer where it is too large.
     fn end(&mut self, id: offer::Id, at: Duration, outcome: Outcome, max_bytes: usize) {
-        let mut entry = Entry::Ended(outcome);
+        let mut entry = OfferState::Ended(outcome);
         if self.answer_bytes + entry.bytes() > max_bytes {
-            entry = Entry::Ended(Outcome::Unknown);
+            entry = OfferState::Ended(Outcome::Unknown);
         }
         self.answer_bytes += entry.bytes();
-        self.entries.insert(id, entry);
+        self.by_id.insert(id, entry);
         self.expiries.insert(Expiry { at, id });
     }
 }
 
-impl Entry {
+impl OfferState {
     fn bytes(&self) -> usize {
         match self {
             Self::Ended(Outcome::Answered(bytes)) => bytes.len(),
@@ -85,70 +85,70 @@
 }
 
 impl Agent {
-    pub(crate) fn on_offered(&mut self, turn: &mut Turn<'_>, call: CallId, offer: Offer) {
+    pub(crate) fn on_offered(&mut self, outbox: &mut Outbox<'_>, call: CallId, offer: Offer) {
         let is_full = self.offers.is_full(self.settings.pass.max_offers);
-        match self.offers.entries.get_mut(&offer.id) {
-            Some(Entry::Running { calls, .. }) => calls.push(call),
-            Some(Entry::Ended(outcome)) => {
+        match self.offers.by_id.get_mut(&offer.id) {
+            Some(OfferState::Running { calls, .. }) => calls.push(call),
+            Some(OfferState::Ended(outcome)) => {
                 let outcome = outcome.clone();
-                turn.push(Action::Resolve { call, outcome });
+                outbox.push(Action::Resolve { call, outcome });
             }
             None if is_full => {
                 // A refusal could not be remembered, so it must not promise
                 // that the offer will not run.
                 let outcome = Outcome::Unknown;
-                turn.push(Action::Resolve { call, outcome });
+                outbox.push(Action::Resolve { call, outcome });
             }
-            None => self.take_offer(turn, call, offer),
+            None => self.accept_offer(outbox, call, offer),
         }
     }
 
-    fn take_offer(&mut self, turn: &mut Turn<'_>, call: CallId, offer: Offer) {
+    fn accept_offer(&mut self, outbox: &mut Outbox<'_>, call: CallId, offer: Offer) {
         let id = offer.id;
-        let forget_at = turn.now + offer.remaining + self.settings.ledger.late_copy;
-        if let Some(reason) = self.refuses_offer(&offer) {
+        let forget_at = outbox.now + offer.remaining + self.settings.ledger.late_copy;
+        if let Some(reason) = self.offer_refusal(&offer) {
             self.counters.add(Counter::OfferRefused);
-            let retry_after = self.gate.expected_wait(turn.now);
+            let retry_after = self.gate.expected_wait(outbox.now);
             let outcome = Outcome::NotRun {
                 reason,
                 retry_after: self.jitter(retry_after),
             };
             self.end_offer(id, forget_at, outcome.clone());
-            turn.push(Action::Resolve { call, outcome });
+            outbox.push(Action::Resolve { call, outcome });
             return;
         }
         self.counters.add(Counter::OfferTaken);
-        let entry = Entry::Running {
+        let entry = OfferState::Running {
             job: self.next_id,
             calls: vec![call],
         };
-        self.offers.entries.insert(id, entry);
-        let task = Task::lent(offer, turn.now);
-        self.start(turn, task);
+        self.offers.by_id.insert(id, entry);
+        let task = Task::from_offer(offer, outbox.now);
+        self.start_task(outbox, task);
     }
 
     /// Why this agent does not take an offer, if it does not.
-    fn refuses_offer(&self, offer: &Offer) -> Option<Refusal> {
+    fn offer_refusal(&self, offer: &Offer) -> Option<Refusal> {
         if offer.service != self.identity.service {
             return Some(Refusal::Unreachable);
         }
-        if !self.takes_flows() {
+        if !self.accepts_flows() {
             return Some(Refusal::Draining);
         }
         (!self.gate.free()).then_some(Refusal::Overloaded)
     }
 
-    pub(crate) fn on_withdrawn(&mut self, turn: &mut Turn<'_>, id: offer::Id) {
-        match self.offers.entries.get(&id) {
-            Some(&Entry::Running { job, .. }) => {
+    pub(crate) fn on_withdrawn(&mut self, outbox: &mut Outbox<'_>, id: offer::Id) {
+        match self.offers.by_id.get(&id) {
+            Some(&OfferState::Running { job, .. }) => {
                 let refusal = self.refusal(Reason::Cancelled, Duration::ZERO);
-                self.abandon(turn, job, refusal);
+                self.abandon(outbox, job, refusal);
             }
-            Some(Entry::Ended(_)) => {}
+            Some(OfferState::Ended(_)) => {}
             None if self.offers.is_full(self.settings.pass.max_offers) => {}
             None => {
                 // The withdrawal overtook the offer, which must not run.
-                let forget_at = turn.now + WITHDRAWN + self.settings.ledger.late_copy;
+                let forget_at = outbox.now + WITHDRAWAL_RETENTION + self.settings.ledger.late_copy;
                 let outcome = Outcome::NotRun {
                     reason: Refusal::Cancelled,
                     retry_after: Duration::ZERO,
@@ -161,20 +161,20 @@
     /// Records how an offer ended, and answers the calls that wait for it.
     pub(crate) fn conclude_offer(
         &mut self,
-        turn: &mut Turn<'_>,
+        outbox: &mut Outbox<'_>,
         id: offer::Id,
         deadline: Duration,
         end: End,
     ) {
-        let Some(Entry::Running { calls, .. }) = self.offers.entries.remove(&id) else {
+        let Some(OfferState::Running { calls, .. }) = self.offers.by_id.remove(&id) else {
             return;
         };
         let outcome = Outcome::from(end);
-        let forget_at = deadline.max(turn.now) + self.settings.ledger.late_copy;
+        let forget_at = deadline.max(outbox.now) + self.settings.ledger.late_copy;
         self.end_offer(id, forget_at, outcome.clone());
         for call in calls {
             let outcome = outcome.clone();
-            turn.push(Action::Resolve { call, outcome });
+            outbox.push(Action::Resolve { call, outcome });
         }
     }
 
@@ -185,7 +185,7 @@
 }
 
 /// Time that a withdrawn offer that never came is remembered.
-const WITHDRAWN: Duration = Duration::from_mins(1);
+const WITHDRAWAL_RETENTION: Duration = Duration::from_mins(1);
 
 impl From<Reason> for Refusal {
     fn from(reason: Reason) -> Self {
--- a/roles/agent/src/keep.rs
+++ b/roles/agent/src/parked.rs
@@ -22,7 +22,7 @@
 
 use crate::Action;
 use crate::Agent;
-use crate::agent::Turn;
+use crate::agent::Outbox;
 use crate::event::CallId;
 use crate::park::Claim;
 use crate::park::Grant;
@@ -36,32 +36,32 @@
 
 /// The states of other agents.
 #[derive(Debug, Default)]
-pub(crate) struct Keep {
-    states: BTreeMap<TargetId, Kept>,
+pub(crate) struct Table {
+    states: BTreeMap<TargetId, Parked>,
     flows: HashMap<FlowKey, Position>,
     bytes: usize,
 }
 
 /// The state of one agent, whole or in part.
 #[derive(Debug)]
-struct Kept {
+struct Parked {
     owner: Token,
     count: u32,
     received: u32,
     parts: Vec<Part>,
-    claimed_by: Option<Incarnation>,
+    successor: Option<Incarnation>,
     /// Number of parts that the successor was given.
     granted: u32,
     expiry: Duration,
 }
 
-impl Kept {
+impl Parked {
     fn is_whole(&self) -> bool {
         self.received == self.count
     }
 
     /// Whether parts wait here for a successor.
-    fn is_awaited(&self) -> bool {
+    fn is_unclaimed(&self) -> bool {
         self.is_whole() && !self.parts.is_empty() && self.granted < self.count
     }
 }
@@ -73,7 +73,7 @@
     flow: usize,
 }
 
-impl Keep {
+impl Table {
     /// Number of flows that are kept.
     pub(crate) fn len(&self) -> usize {
         self.flows.len()
@@ -84,23 +84,23 @@
         self.flows
             .get(&flow)
             .and_then(|position| self.states.get(&position.owner))
-            .is_some_and(|kept| kept.claimed_by.is_none())
+            .is_some_and(|parked| parked.successor.is_none())
     }
 
     /// Whether a successor has still to claim what is kept for it.
-    pub(crate) fn awaits_successor(&self) -> bool {
-        self.states.values().any(Kept::is_awaited)
+    pub(crate) fn has_unclaimed(&self) -> bool {
+        self.states.values().any(Parked::is_unclaimed)
     }
 
     pub(crate) fn next_deadline(&self) -> Option<Duration> {
-        self.states.values().map(|kept| kept.expiry).min()
+        self.states.values().map(|parked| parked.expiry).min()
     }
 
     pub(crate) fn expire(&mut self, now: Duration) {
         let due: Vec<TargetId> = self
             .states
             .iter()
-            .filter(|(_, kept)| kept.expiry <= now)
+            .filter(|(_, parked)| parked.expiry <= now)
             .map(|(&owner, _)| owner)
             .collect();
         for owner in due {
@@ -109,57 +109,58 @@
     }
 
     fn remove(&mut self, owner: TargetId) {
-        if let Some(kept) = self.states.remove(&owner) {
-            self.bytes -= kept.parts.iter().map(Part::bytes).sum::<usize>();
+        if let Some(parked) = self.states.remove(&owner) {
+            self.bytes -= parked.parts.iter().map(Part::bytes).sum::<usize>();
             self.flows.retain(|_, position| position.owner != owner);
         }
     }
 
     fn get(&self, flow: FlowKey) -> Option<&crate::park::Flow> {
         let position = self.flows.get(&flow)?;
-        let kept = self.states.get(&position.owner)?;
-        kept.parts.get(position.part)?.flows.get(position.flow)
+        let parked = self.states.get(&position.owner)?;
+        parked.parts.get(position.part)?.flows.get(position.flow)
     }
 
     /// Stores a part that is the next of its state; false where it is refused.
     fn store(&mut self, part: Part, expiry: Duration, max_bytes: usize) -> bool {
         let owner = part.owner;
         let stored = self.states.get(&owner.target);
-        if stored.is_some_and(|kept| kept.owner.incarnation < owner.incarnation) {
+        if stored.is_some_and(|parked| parked.owner.incarnation < owner.incarnation) {
             self.remove(owner.target);
         }
-        let kept = self.states.entry(owner.target).or_insert_with(|| Kept {
+        let parked = self.states.entry(owner.target).or_insert_with(|| Parked {
             owner,
             count: part.count,
             received: 0,
             parts: Vec::new(),
-            claimed_by: None,
+            successor: None,
             granted: 0,
             expiry,
         });
-        let is_sound = kept.owner == owner && kept.count == part.count && part.index < part.count;
-        if !is_sound || part.index > kept.received {
+        let is_sound =
+            parked.owner == owner && parked.count == part.count && part.index < part.count;
+        if !is_sound || part.index > parked.received {
             return false;
         }
-        if part.index < kept.received {
+        if part.index < parked.received {
             return true;
         }
         if self.bytes + part.bytes() > max_bytes {
             return false;
         }
-        kept.received += 1;
-        kept.expiry = expiry;
+        parked.received += 1;
+        parked.expiry = expiry;
         self.bytes += part.bytes();
-        kept.parts.push(part);
+        parked.parts.push(part);
         true
     }
 
     /// Makes the flows of a whole state known.
-    fn index(&mut self, owner: TargetId) {
-        let Some(kept) = self.states.get(&owner) else {
+    fn index_flows(&mut self, owner: TargetId) {
+        let Some(parked) = self.states.get(&owner) else {
             return;
         };
-        for (part, stored) in kept.parts.iter().enumerate() {
+        for (part, stored) in parked.parts.iter().enumerate() {
             for (flow, stored) in stored.flows.iter().enumerate() {
                 let position = Position { owner, part, flow };
                 self.flows.insert(stored.key, position);
@@ -168,29 +169,29 @@
     }
 
     /// Takes the parts of a whole state out, and remembers that it was here.
-    fn take(&mut self, owner: TargetId) -> Vec<Part> {
-        let Some(kept) = self.states.get_mut(&owner) else {
+    fn take_parts(&mut self, owner: TargetId) -> Vec<Part> {
+        let Some(parked) = self.states.get_mut(&owner) else {
             return Vec::new();
         };
-        let parts = std::mem::take(&mut kept.parts);
+        let parts = std::mem::take(&mut parked.parts);
         self.bytes -= parts.iter().map(Part::bytes).sum::<usize>();
         parts
     }
 
     fn grant(&mut self, claim: Claim) -> Grant {
-        let Some(kept) = self.states.get_mut(&claim.target) else {
+        let Some(parked) = self.states.get_mut(&claim.target) else {
             return Grant::Nothing;
         };
-        let is_whole = kept.is_whole();
-        let is_successor = claim.incarnation > kept.owner.incarnation
-            && kept.claimed_by.is_none_or(|it| it == claim.incarnation);
+        let is_whole = parked.is_whole();
+        let is_successor = claim.incarnation > parked.owner.incarnation
+            && parked.successor.is_none_or(|it| it == claim.incarnation);
         let part = usize::try_from(claim.index)
             .ok()
-            .and_then(|index| kept.parts.get(index));
+            .and_then(|index| parked.parts.get(index));
         match part {
             Some(part) if is_whole && is_successor => {
-                kept.claimed_by = Some(claim.incarnation);
-                kept.granted = kept.granted.max(claim.index + 1);
+                parked.successor = Some(claim.incarnation);
+                parked.granted = parked.granted.max(claim.index + 1);
                 Grant::Part(part.clone())
             }
             _ => Grant::Nothing,
@@ -199,77 +200,77 @@
 }
 
 impl Agent {
-    pub(crate) fn on_park(&mut self, turn: &mut Turn<'_>, call: CallId, part: Part) {
+    pub(crate) fn on_park(&mut self, outbox: &mut Outbox<'_>, call: CallId, part: Part) {
         let owner = part.owner.target;
         let purpose = part.purpose;
         let is_last = part.index + 1 == part.count;
-        let takes = self.takes_flows()
+        let takes = self.accepts_flows()
             && part.service == self.identity.service
             && owner != self.identity.id;
-        let expiry = turn.now + self.settings.leave.keep;
+        let expiry = outbox.now + self.settings.leave.keep;
         let max_bytes = self.settings.leave.max_kept_bytes;
         let was_whole = self.is_whole(owner);
-        let accepted = takes && self.keep.store(part, expiry, max_bytes);
-        turn.push(Action::Parked { call, accepted });
+        let accepted = takes && self.parked.store(part, expiry, max_bytes);
+        outbox.push(Action::Parked { call, accepted });
         if !accepted || !is_last || was_whole {
             return;
         }
         match purpose {
             Purpose::Keep => {
-                self.keep.index(owner);
-                self.pin_kept(turn);
+                self.parked.index_flows(owner);
+                self.pin_parked(outbox);
             }
             Purpose::Adopt => {
-                let parts = self.keep.take(owner);
+                let parts = self.parked.take_parts(owner);
                 let flows: Vec<FlowKey> = parts.iter().flat_map(Part::keys).collect();
                 for part in parts {
-                    self.inherit(turn.now, part);
+                    self.inherit(outbox.now, part);
                 }
-                self.pin_adopted(turn, owner, flows);
-                self.renewal.restart(turn.now, self.flows.slots());
+                self.pin_adopted(outbox, owner, flows);
+                self.renewal.restart(outbox.now, self.flows.slots());
             }
         }
     }
 
     fn is_whole(&self, owner: TargetId) -> bool {
-        let kept = self.keep.states.get(&owner);
-        kept.is_some_and(Kept::is_whole)
+        let parked = self.parked.states.get(&owner);
+        parked.is_some_and(Parked::is_whole)
     }
 
-    pub(crate) fn on_claim(&mut self, turn: &mut Turn<'_>, call: CallId, claim: Claim) {
-        let grant = self.keep.grant(claim);
-        turn.push(Action::Claimed { call, grant });
+    pub(crate) fn on_claim(&mut self, outbox: &mut Outbox<'_>, call: CallId, claim: Claim) {
+        let grant = self.parked.grant(claim);
+        outbox.push(Action::Claimed { call, grant });
     }
 
     /// Tells the homes of kept flows to send packets here.
-    pub(crate) fn pin_kept(&mut self, turn: &mut Turn<'_>) {
+    pub(crate) fn pin_parked(&mut self, outbox: &mut Outbox<'_>) {
         let mut batches = Batches::new();
-        for kept in self.keep.states.values() {
-            if kept.received < kept.count || kept.claimed_by.is_some() {
+        for parked in self.parked.states.values() {
+            if parked.received < parked.count || parked.successor.is_some() {
                 continue;
             }
-            for flow in kept.parts.iter().flat_map(Part::keys) {
-                self.pin_without(kept.owner.target, flow, &mut batches);
+            for flow in parked.parts.iter().flat_map(Part::keys) {
+                self.batch_without_owner(parked.owner.target, flow, &mut batches);
             }
         }
-        self.send_pins(turn, batches);
+        self.send_pins(outbox, batches);
     }
 
     /// Tells the homes that adopted flows have once their former holder has
     /// left. Entries may know of that before the agents do.
-    fn pin_adopted(&mut self, turn: &mut Turn<'_>, owner: TargetId, flows: Vec<FlowKey>) {
+    fn pin_adopted(&mut self, outbox: &mut Outbox<'_>, owner: TargetId, flows: Vec<FlowKey>) {
         let mut batches = Batches::new();
         for flow in flows {
             let held = self.flows.get(flow);
             if held.is_some_and(|held| held.phase != Phase::Closed) {
-                self.pin_without(owner, flow, &mut batches);
+                self.batch_without_owner(owner, flow, &mut batches);
             }
         }
-        self.send_pins(turn, batches);
+        self.send_pins(outbox, batches);
     }
 
     /// Adds a flow to those that the home it has without `owner` is told of.
-    fn pin_without(&self, owner: TargetId, flow: FlowKey, batches: &mut Batches) {
+    fn batch_without_owner(&self, owner: TargetId, flow: FlowKey, batches: &mut Batches) {
         let home = self
             .order
             .top(flow, 2)
@@ -282,25 +283,25 @@
 
     /// Answers a packet of a kept flow from its record. Without one nothing is
     /// said, so that the caller repeats until the successor is there.
-    pub(crate) fn answer_kept(
+    pub(crate) fn answer_from_parked(
         &mut self,
-        turn: &mut Turn<'_>,
+        outbox: &mut Outbox<'_>,
         relay: &Relay,
         flow: FlowKey,
         request: RequestId,
     ) {
-        let Some(kept) = self.keep.get(flow) else {
+        let Some(parked) = self.parked.get(flow) else {
             return;
         };
-        let record = kept
+        let record = parked
             .records
             .iter()
-            .filter(|_| kept.caller == relay.caller)
+            .filter(|_| parked.caller == relay.caller)
             .find(|record| record.request == request);
         match record.map(Record::state) {
             Some(state) => {
                 let key = record::Key { flow, request };
-                self.tell(turn, relay::via(relay), key, &state);
+                self.send_outcome(outbox, relay::reply_path(relay), key, &state);
             }
             None => self.counters.add(Counter::KeptSilent),
         }
@@ -315,13 +316,13 @@
                 Some(answer) => State::Done(answer),
                 None => State::Unknown(refusal(Reason::TooLarge)),
             },
-            Outcome::NotRun(reason) => State::NotRun(refusal(read(*reason))),
-            Outcome::Unknown(reason) => State::Unknown(refusal(read(*reason))),
+            Outcome::NotRun(reason) => State::NotRun(refusal(decode_reason(*reason))),
+            Outcome::Unknown(reason) => State::Unknown(refusal(decode_reason(*reason))),
         }
     }
 }
 
-fn read(reason: i32) -> Reason {
+fn decode_reason(reason: i32) -> Reason {
     Reason::try_from(reason).unwrap_or(Reason::HolderAway)
 }
 
--- a/roles/agent/src/parts.rs
+++ b/roles/agent/src/parts.rs
@@ -79,7 +79,7 @@
             let mut left_of_part = limits.part_bytes;
             // The latest answers are the likeliest to be asked for again.
             for record in records.iter_mut().rev() {
-                record.keep_within(left.min(left_of_part));
+                record.limit_answer(left.min(left_of_part));
                 left -= record.answer_bytes();
                 left_of_part -= record.answer_bytes();
             }
@@ -110,7 +110,7 @@
 
 impl park::Record {
     /// Gives the answer up where it is larger than `bytes`.
-    fn keep_within(&mut self, bytes: usize) {
+    fn limit_answer(&mut self, bytes: usize) {
         if self.answer_bytes() > bytes {
             self.outcome = Outcome::Unknown(Reason::TableFull.into());
         }
--- a/roles/agent/src/pinning.rs
+++ b/roles/agent/src/pinning.rs
@@ -17,17 +17,17 @@
 
 use crate::Agent;
 use crate::Settings;
-use crate::agent::Turn;
+use crate::agent::Outbox;
 use crate::status::Counter;
 
 /// Largest number of flows in one frame.
-const BATCH: usize = 128;
+const MAX_BATCH_FLOWS: usize = 128;
 
 /// Number of table slots looked at in one step.
 const STEP_SLOTS: usize = 1_024;
 
 /// Time between two steps of a round.
-const STEP: Duration = Duration::from_millis(50);
+const STEP_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The rounds over the flow table in which homes are told.
 ///
@@ -97,7 +97,7 @@
 pub(crate) type Batches = BTreeMap<SocketAddr, Vec<FlowKey>>;
 
 impl Agent {
-    pub(crate) fn on_pin(&mut self, turn: &mut Turn<'_>, pin: &Pin) {
+    pub(crate) fn on_pin(&mut self, outbox: &mut Outbox<'_>, pin: &Pin) {
         if pin.service != self.identity.service {
             self.counters.add(Counter::ForeignService);
             return;
@@ -107,7 +107,7 @@
             address: pin.address,
         };
         for &flow in &pin.flows {
-            let outcome = self.pins.pin(turn.now, pin.service, flow, holder);
+            let outcome = self.pins.pin(outbox.now, pin.service, flow, holder);
             if outcome == Outcome::Full {
                 self.counters.add(Counter::PinTableFull);
             }
@@ -126,7 +126,7 @@
         let holder = self.pins.get(self.identity.service, flow)?;
         let target = holder.token.target;
         let has_left = self
-            .gone
+            .departed
             .get(&target)
             .is_some_and(|&incarnation| incarnation >= holder.token.incarnation);
         if target == self.identity.id || has_left {
@@ -140,7 +140,7 @@
     }
 
     /// Tells the home of a flow that was just opened.
-    pub(crate) fn pin_new(&mut self, turn: &mut Turn<'_>, home: Hop, key: FlowKey) {
+    pub(crate) fn pin_opened(&mut self, outbox: &mut Outbox<'_>, home: Hop, key: FlowKey) {
         // Where the entry's view is ahead, the home is told again.
         let told = self.target(home.target).map(token);
         if let Some(flow) = self.flows.get_mut(key) {
@@ -148,12 +148,12 @@
         }
         if home.target != self.identity.id {
             let flows = vec![key];
-            turn.send(home.address, Frame::Pin(self.pin_frame(flows)));
+            outbox.send(home.address, Frame::Pin(self.pin_frame(flows)));
         }
     }
 
     /// Tells the homes of flows that they have ended.
-    pub(crate) fn unpin(&mut self, turn: &mut Turn<'_>, flows: impl IntoIterator<Item = Flow>) {
+    pub(crate) fn unpin(&mut self, outbox: &mut Outbox<'_>, flows: impl IntoIterator<Item = Flow>) {
         let mut batches = Batches::new();
         for flow in flows {
             let home = flow.home.and_then(|home| self.target(home.target));
@@ -162,14 +162,19 @@
             }
         }
         for (to, flows) in batches {
-            for flows in flows.chunks(BATCH) {
-                turn.send(to, Frame::Unpin(self.pin_frame(flows.to_vec())));
+            for flows in flows.chunks(MAX_BATCH_FLOWS) {
+                outbox.send(to, Frame::Unpin(self.pin_frame(flows.to_vec())));
             }
         }
     }
 
     /// Tells the home that its pin names this agent in vain.
-    pub(crate) fn report_stale_pin(&mut self, turn: &mut Turn<'_>, relay: &Relay, flow: FlowKey) {
+    pub(crate) fn report_stale_pin(
+        &mut self,
+        outbox: &mut Outbox<'_>,
+        relay: &Relay,
+        flow: FlowKey,
+    ) {
         let previous = usize::from(relay.position)
             .checked_sub(1)
             .and_then(|index| relay.path.get(index));
@@ -177,26 +182,26 @@
         if is_from_home && self.claiming.is_none() {
             self.counters.add(Counter::StalePin);
             let flows = vec![flow];
-            turn.send(relay.home.address, Frame::Unpin(self.pin_frame(flows)));
+            outbox.send(relay.home.address, Frame::Unpin(self.pin_frame(flows)));
         }
     }
 
     /// Takes the next step of a round that is due.
-    pub(crate) fn renew_pins(&mut self, turn: &mut Turn<'_>) {
-        if self.pins.next_deadline().is_some_and(|at| at <= turn.now) {
-            self.pins.expire(turn.now);
+    pub(crate) fn renew_pins(&mut self, outbox: &mut Outbox<'_>) {
+        if self.pins.next_deadline().is_some_and(|at| at <= outbox.now) {
+            self.pins.expire(outbox.now);
         }
-        self.renewal.start_if_due(turn.now, self.flows.slots());
+        self.renewal.start_if_due(outbox.now, self.flows.slots());
         let due = self
             .renewal
             .round
-            .filter(|round| round.next_step <= turn.now);
+            .filter(|round| round.next_step <= outbox.now);
         if let Some(round) = due {
-            self.renewal.round = self.step_round(turn, round);
+            self.renewal.round = self.step_round(outbox, round);
         }
     }
 
-    fn step_round(&mut self, turn: &mut Turn<'_>, round: Round) -> Option<Round> {
+    fn step_round(&mut self, outbox: &mut Outbox<'_>, round: Round) -> Option<Round> {
         let slots = STEP_SLOTS.min(round.slots_left);
         if slots == 0 {
             return None;
@@ -211,11 +216,11 @@
         for flow in flows.iter().filter(|flow| flow.phase != Phase::Closed) {
             self.renew_pin(flow, round.renews_all, &mut batches);
         }
-        self.send_pins(turn, batches);
+        self.send_pins(outbox, batches);
         Some(Round {
             next_slot: round.next_slot + slots,
             slots_left: round.slots_left - slots,
-            next_step: turn.now + STEP,
+            next_step: outbox.now + STEP_INTERVAL,
             renews_all: round.renews_all,
         })
     }
@@ -234,10 +239,10 @@
         }
     }
 
-    pub(crate) fn send_pins(&self, turn: &mut Turn<'_>, batches: Batches) {
+    pub(crate) fn send_pins(&self, outbox: &mut Outbox<'_>, batches: Batches) {
         for (to, flows) in batches {
-            for flows in flows.chunks(BATCH) {
-                turn.send(to, Frame::Pin(self.pin_frame(flows.to_vec())));
+            for flows in flows.chunks(MAX_BATCH_FLOWS) {
+                outbox.send(to, Frame::Pin(self.pin_frame(flows.to_vec())));
             }
         }
     }
@@ -251,9 +256,9 @@
         }
     }
 
-    pub(crate) fn expire_flows(&mut self, turn: &mut Turn<'_>) {
+    pub(crate) fn expire_flows(&mut self, outbox: &mut Outbox<'_>) {
         let mut expired = Vec::new();
-        self.flows.expire(turn.now, &mut expired);
+        self.flows.expire(outbox.now, &mut expired);
         for flow in &expired {
             self.ledger.forget(flow.key);
             match flow.phase {
@@ -265,7 +270,7 @@
         let live = expired
             .into_iter()
             .filter(|flow| flow.phase != Phase::Closed);
-        self.unpin(turn, live);
+        self.unpin(outbox, live);
     }
 }
 
--- a/roles/agent/src/relay.rs
+++ b/roles/agent/src/relay.rs
@@ -15,35 +15,35 @@
 use wire::target::State;
 
 use crate::Agent;
+use crate::agent::Outbox;
+use crate::agent::ReplyPath;
 use crate::agent::Subject;
-use crate::agent::Turn;
-use crate::agent::Via;
 use crate::status::Counter;
 
 /// Where the flow of a packet is, as far as this agent knows.
-pub(crate) enum Place {
+pub(crate) enum Location {
     /// Held here.
     Here(Flow),
     /// Held here, for another caller.
-    Foreign,
+    OtherCaller,
     /// Kept here for the successor of its holder.
-    Kept,
+    Parked,
     /// Not here.
     Elsewhere,
 }
 
 /// A packet of a flow that is not held here.
-pub(crate) struct Stray {
+pub(crate) struct Misrouted {
     pub(crate) flow: FlowKey,
     /// The holder, as the caller names it.
     pub(crate) token: Option<Token>,
     /// What the caller is told where nobody holds the flow.
-    pub(crate) unheld: Unheld,
+    pub(crate) fallback: Fallback,
 }
 
 /// What a caller is told where nobody holds the flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Unheld {
+pub(crate) enum Fallback {
     /// That the outcome of this request is unknown.
     Unknown(RequestId),
     /// Nothing: the sender may not be the caller.
@@ -51,7 +51,7 @@
 }
 
 impl Agent {
-    pub(crate) fn on_relay(&mut self, turn: &mut Turn<'_>, relay: Relay) {
+    pub(crate) fn on_relay(&mut self, outbox: &mut Outbox<'_>, relay: Relay) {
         if relay.service != self.identity.service {
             self.counters.add(Counter::ForeignService);
             return;
@@ -62,86 +62,94 @@
         }
         let packet = match Packet::from_bytes(relay.packet.clone()) {
             Ok(packet) => packet,
-            Err(error) => return self.reject(turn, &relay, error),
+            Err(error) => return self.reject(outbox, &relay, error),
         };
         let flow = packet.flow;
         match packet.body {
-            Some(Body::Open(_)) => self.on_open(turn, relay, flow),
-            Some(Body::Request(request)) => self.on_request(turn, relay, flow, request),
-            Some(Body::Cancel(cancel)) => self.on_cancel(turn, relay, flow, &cancel),
-            Some(Body::Fetch(fetch)) => self.on_fetch(turn, relay, flow, &fetch),
-            Some(Body::Close(close)) => self.on_close(turn, relay, flow, &close),
+            Some(Body::Open(_)) => self.on_open(outbox, relay, flow),
+            Some(Body::Request(request)) => self.on_request(outbox, relay, flow, request),
+            Some(Body::Cancel(cancel)) => self.on_cancel(outbox, relay, flow, &cancel),
+            Some(Body::Fetch(fetch)) => self.on_fetch(outbox, relay, flow, &fetch),
+            Some(Body::Close(close)) => self.on_close(outbox, relay, flow, &close),
             Some(Body::Opened(_) | Body::Chunk(_) | Body::Refusal(_) | Body::Closed(_)) | None => {
                 self.counters.add(Counter::UnexpectedPacket);
             }
         }
     }
 
-    fn reject(&mut self, turn: &mut Turn<'_>, relay: &Relay, error: wire::caller::Error) {
+    fn reject(&mut self, outbox: &mut Outbox<'_>, relay: &Relay, error: wire::caller::Error) {
         let packet = Packet::reject(relay.packet.clone(), error);
         if let Some(Body::Refusal(refusal)) = &packet.body {
             self.counters.refuse(refusal.reason());
         }
-        self.reply(turn, via(relay), &packet);
+        self.reply(outbox, reply_path(relay), &packet);
     }
 
-    pub(crate) fn locate(&mut self, relay: &Relay, flow: FlowKey) -> Place {
+    pub(crate) fn locate(&mut self, relay: &Relay, flow: FlowKey) -> Location {
         match self.flows.get(flow) {
-            Some(held) if held.caller == relay.caller => Place::Here(*held),
+            Some(held) if held.caller == relay.caller => Location::Here(*held),
             Some(_) => {
                 self.counters.add(Counter::ForeignCaller);
-                Place::Foreign
+                Location::OtherCaller
             }
-            None if self.keep.holds(flow) => Place::Kept,
-            None => Place::Elsewhere,
+            None if self.parked.holds(flow) => Location::Parked,
+            None => Location::Elsewhere,
         }
     }
 
     /// Hands a packet along: to the pinned holder, the holder that the caller
     /// names, the rest of the path, and this agent's own order.
-    pub(crate) fn hand_along(&mut self, turn: &mut Turn<'_>, relay: Relay, stray: &Stray) {
-        if self.awaits_state(stray.token) {
+    pub(crate) fn forward_misrouted(
+        &mut self,
+        outbox: &mut Outbox<'_>,
+        relay: Relay,
+        misrouted: &Misrouted,
+    ) {
+        if self.may_be_inherited(misrouted.token) {
             self.counters.add(Counter::AwaitingState);
             return;
         }
-        self.report_stale_pin(turn, &relay, stray.flow);
-        let hop = if stray.token == Some(self.token) {
+        self.report_stale_pin(outbox, &relay, misrouted.flow);
+        let hop = if misrouted.token == Some(self.token) {
             None
         } else {
-            self.next_hop(&relay, stray)
+            self.next_hop(&relay, misrouted)
         };
         match hop {
             Some(hop) => {
                 self.counters.add(Counter::HandedAlong);
-                forward(turn, relay, hop);
+                forward(outbox, relay, hop);
             }
-            None => self.declare_unheld(turn, &relay, stray),
+            None => self.refuse_unknown_flow(outbox, &relay, misrouted),
         }
     }
 
     /// Whether the flow may be among those that a predecessor left and that
     /// have not been claimed yet.
-    fn awaits_state(&self, token: Option<Token>) -> bool {
+    fn may_be_inherited(&self, token: Option<Token>) -> bool {
         let names_predecessor = token.is_none_or(|token| {
             token.target == self.identity.id && token.incarnation < self.identity.incarnation
         });
         self.claiming.is_some() && names_predecessor
     }
 
-    fn next_hop(&mut self, relay: &Relay, stray: &Stray) -> Option<Hop> {
+    fn next_hop(&mut self, relay: &Relay, misrouted: &Misrouted) -> Option<Hop> {
         let next = usize::from(relay.position) + 1;
         if next >= MAX_HOPS {
             return None;
         }
-        self.pinned(stray.flow)
+        self.pinned(misrouted.flow)
             .filter(|hop| !visited(relay, hop))
-            .or_else(|| self.named(stray.token).filter(|hop| !visited(relay, hop)))
+            .or_else(|| {
+                self.named_hop(misrouted.token)
+                    .filter(|hop| !visited(relay, hop))
+            })
             .or_else(|| relay.path.get(next).copied())
-            .or_else(|| self.next_of_order(relay, stray.flow))
+            .or_else(|| self.next_in_order(relay, misrouted.flow))
     }
 
     /// The agent of the target that a token names, whichever incarnation.
-    pub(crate) fn named(&self, token: Option<Token>) -> Option<Hop> {
+    pub(crate) fn named_hop(&self, token: Option<Token>) -> Option<Hop> {
         let target = self.target(token?.target)?;
         (target.state != State::Left && target.id != self.identity.id).then(|| target.hop())
     }
@@ -152,7 +160,7 @@
         target.is_none_or(|target| target.state == State::Left)
     }
 
-    fn next_of_order(&self, relay: &Relay, flow: FlowKey) -> Option<Hop> {
+    fn next_in_order(&self, relay: &Relay, flow: FlowKey) -> Option<Hop> {
         self.order
             .top(flow, MAX_HOPS + 1)
             .map(Target::hop)
@@ -162,23 +170,34 @@
             })
     }
 
-    fn declare_unheld(&mut self, turn: &mut Turn<'_>, relay: &Relay, stray: &Stray) {
-        let request = match stray.unheld {
-            Unheld::Unknown(request) => request,
-            Unheld::Silent => return,
+    fn refuse_unknown_flow(
+        &mut self,
+        outbox: &mut Outbox<'_>,
+        relay: &Relay,
+        misrouted: &Misrouted,
+    ) {
+        let request = match misrouted.fallback {
+            Fallback::Unknown(request) => request,
+            Fallback::Silent => return,
         };
         let subject = Subject {
-            flow: stray.flow,
+            flow: misrouted.flow,
             request,
         };
         let refusal = self.refusal(Reason::FlowUnknown, self.settings.leave.away);
-        self.refuse(turn, via(relay), subject, refusal, Outcome::Unknown);
+        self.refuse(
+            outbox,
+            reply_path(relay),
+            subject,
+            refusal,
+            Outcome::Unknown,
+        );
     }
 }
 
 /// Where replies to a relayed packet go.
-pub(crate) const fn via(relay: &Relay) -> Via {
-    Via {
+pub(crate) const fn reply_path(relay: &Relay) -> ReplyPath {
+    ReplyPath {
         entry: relay.entry,
         caller: relay.caller,
     }
@@ -191,12 +210,12 @@
 }
 
 /// Sends a packet to an agent that it has not visited.
-pub(crate) fn forward(turn: &mut Turn<'_>, mut relay: Relay, hop: Hop) {
+pub(crate) fn forward(outbox: &mut Outbox<'_>, mut relay: Relay, hop: Hop) {
     let next = usize::from(relay.position) + 1;
     let later = relay.path.split_off(next);
     relay.path.push(hop);
     let rest = later.into_iter().filter(|it| it.target != hop.target);
     relay.path.extend(rest.take(MAX_HOPS - next - 1));
     relay.position += 1;
-    turn.send(hop.address, Frame::Relay(relay));
+    outbox.send(hop.address, Frame::Relay(relay));
 }
--- a/roles/agent/src/request.rs
+++ b/roles/agent/src/request.rs
@@ -18,52 +18,58 @@
 use wire::caller::packet::Body;
 
 use crate::Agent;
+use crate::agent::Outbox;
+use crate::agent::ReplyPath;
 use crate::agent::Subject;
-use crate::agent::Turn;
-use crate::agent::Via;
 use crate::relay;
-use crate::relay::Place;
-use crate::relay::Stray;
-use crate::relay::Unheld;
+use crate::relay::Fallback;
+use crate::relay::Location;
+use crate::relay::Misrouted;
 use crate::status::Counter;
 use crate::task::Origin;
 use crate::task::Task;
 
 /// Largest number of chunks that one fetch is answered with.
-const MAX_FETCH: usize = 64;
+const MAX_FETCHED_CHUNKS: usize = 64;
 
 impl Agent {
     pub(crate) fn on_request(
         &mut self,
-        turn: &mut Turn<'_>,
+        outbox: &mut Outbox<'_>,
         relay: Relay,
         key: FlowKey,
         request: Request,
     ) {
         let token = Token::from_bytes(&request.holder);
-        let stray = Stray {
+        let misrouted = Misrouted {
             flow: key,
             token,
-            unheld: Unheld::Unknown(request.request),
+            fallback: Fallback::Unknown(request.request),
         };
         match self.locate(&relay, key) {
-            Place::Here(flow) if accepts(&flow, &request, token) => {
-                self.admit(turn, &relay, &flow, request);
+            Location::Here(flow) if accepts(&flow, &request, token) => {
+                self.admit(outbox, &relay, &flow, request);
             }
-            Place::Here(_) if self.keep.holds(key) => {
-                self.answer_kept(turn, &relay, key, request.request);
+            Location::Here(_) if self.parked.holds(key) => {
+                self.answer_from_parked(outbox, &relay, key, request.request);
             }
-            Place::Here(_) => self.on_wrong_holder(turn, relay, &stray, request.request),
-            Place::Foreign => {
+            Location::Here(_) => self.on_wrong_holder(outbox, relay, &misrouted, request.request),
+            Location::OtherCaller => {
                 let subject = Subject {
                     flow: key,
                     request: request.request,
                 };
                 let refusal = self.refusal(Reason::FlowUnknown, Duration::ZERO);
-                self.refuse(turn, relay::via(&relay), subject, refusal, Outcome::Unknown);
+                self.refuse(
+                    outbox,
+                    relay::reply_path(&relay),
+                    subject,
+                    refusal,
+                    Outcome::Unknown,
+                );
             }
-            Place::Kept => self.answer_kept(turn, &relay, key, request.request),
-            Place::Elsewhere => self.hand_along(turn, relay, &stray),
+            Location::Parked => self.answer_from_parked(outbox, &relay, key, request.request),
+            Location::Elsewhere => self.forward_misrouted(outbox, relay, &misrouted),
         }
     }
 
@@ -71,63 +77,69 @@
     /// target gets the request, or where it has left, whoever has its flows.
     fn on_wrong_holder(
         &mut self,
-        turn: &mut Turn<'_>,
+        outbox: &mut Outbox<'_>,
         relay: Relay,
-        stray: &Stray,
+        misrouted: &Misrouted,
         request: wire::RequestId,
     ) {
         let named = self
-            .named(stray.token)
+            .named_hop(misrouted.token)
             .filter(|hop| !relay::visited(&relay, hop))
             .filter(|_| usize::from(relay.position) + 1 < wire::frame::MAX_HOPS);
         if let Some(hop) = named {
             self.counters.add(Counter::HandedAlong);
-            return relay::forward(turn, relay, hop);
+            return relay::forward(outbox, relay, hop);
         }
-        if stray.token.is_some_and(|token| self.has_left(token)) {
-            return self.hand_along(turn, relay, stray);
+        if misrouted.token.is_some_and(|token| self.has_left(token)) {
+            return self.forward_misrouted(outbox, relay, misrouted);
         }
         let subject = Subject {
-            flow: stray.flow,
+            flow: misrouted.flow,
             request,
         };
         let refusal = self.refusal(Reason::WrongHolder, Duration::ZERO);
-        self.refuse(turn, relay::via(&relay), subject, refusal, Outcome::Unknown);
+        self.refuse(
+            outbox,
+            relay::reply_path(&relay),
+            subject,
+            refusal,
+            Outcome::Unknown,
+        );
     }
 
     /// Records a request before anything else is done with it.
-    fn admit(&mut self, turn: &mut Turn<'_>, relay: &Relay, flow: &Flow, request: Request) {
-        let via = relay::via(relay);
+    fn admit(&mut self, outbox: &mut Outbox<'_>, relay: &Relay, flow: &Flow, request: Request) {
+        let reply_path = relay::reply_path(relay);
         let key = record::Key {
             flow: flow.key,
             request: request.request,
         };
-        let deadline = turn.now + self.time_left(&request);
+        let deadline = outbox.now + self.time_left(&request);
         if flow.phase == Phase::Closed || self.is_handing_over() {
-            return self.answer_record(turn, via, key, flow.phase);
+            return self.answer_from_record(outbox, reply_path, key, flow.phase);
         }
-        self.flows.touch(turn.now, flow.key);
+        self.flows.touch(outbox.now, flow.key);
         match self.ledger.admit(key, request.idempotent, deadline) {
             Admission::New => {
                 self.counters.add(Counter::Request);
                 self.budget.deposit();
                 if flow.phase == Phase::Open {
-                    self.load.request(turn.now);
+                    self.load.request(outbox.now);
                 }
-                let task = Task::new(Origin::Caller(via), key, request, deadline);
-                self.start(turn, task);
+                let task = Task::new(Origin::Caller(reply_path), key, request, deadline);
+                self.start_task(outbox, task);
             }
             Admission::Pending => {
                 self.counters.add(Counter::Repeat);
-                self.redirect(key, via);
+                self.redirect_reply(key, reply_path);
             }
             Admission::Final(state) => {
                 self.counters.add(Counter::Repeat);
-                self.tell(turn, via, key, &state);
+                self.send_outcome(outbox, reply_path, key, &state);
             }
             Admission::Forgotten | Admission::Full => {
                 let refusal = self.refusal(Reason::TableFull, self.settings.leave.away);
-                self.tell(turn, via, key, &State::Unknown(refusal));
+                self.send_outcome(outbox, reply_path, key, &State::Unknown(refusal));
             }
         }
     }
@@ -142,13 +154,19 @@
     }
 
     /// Answers from the record alone; nothing new runs.
-    fn answer_record(&mut self, turn: &mut Turn<'_>, via: Via, key: record::Key, phase: Phase) {
+    fn answer_from_record(
+        &mut self,
+        outbox: &mut Outbox<'_>,
+        reply_path: ReplyPath,
+        key: record::Key,
+        phase: Phase,
+    ) {
         match self.ledger.get(key).cloned() {
-            Some(state) if state.is_final() => self.tell(turn, via, key, &state),
-            Some(_) => self.redirect(key, via),
+            Some(state) if state.is_final() => self.send_outcome(outbox, reply_path, key, &state),
+            Some(_) => self.redirect_reply(key, reply_path),
             None if phase == Phase::Closed => {
                 let refusal = self.refusal(Reason::FlowUnknown, Duration::ZERO);
-                self.tell(turn, via, key, &State::Unknown(refusal));
+                self.send_outcome(outbox, reply_path, key, &State::Unknown(refusal));
             }
             // The flow is on its way to another agent, which will answer.
             None => self.counters.add(Counter::KeptSilent),
@@ -156,18 +174,24 @@
     }
 
     /// Sends the answer of a request that is underway through another entry.
-    pub(crate) fn redirect(&mut self, key: record::Key, via: Via) {
+    pub(crate) fn redirect_reply(&mut self, key: record::Key, reply_path: ReplyPath) {
         let task = self
-            .by_request
+            .tasks_by_request
             .get(&key)
             .and_then(|job| self.tasks.get_mut(job));
         if let Some(task) = task {
-            task.origin = Origin::Caller(via);
+            task.origin = Origin::Caller(reply_path);
         }
     }
 
     /// Tells a caller the final state of a request.
-    pub(crate) fn tell(&mut self, turn: &mut Turn<'_>, via: Via, key: record::Key, state: &State) {
+    pub(crate) fn send_outcome(
+        &mut self,
+        outbox: &mut Outbox<'_>,
+        reply_path: ReplyPath,
+        key: record::Key,
+        state: &State,
+    ) {
         let subject = Subject {
             flow: key.flow,
             request: key.request,
@@ -176,22 +200,32 @@
             State::Done(answer) => {
                 let burst = usize::try_from(self.settings.burst_chunks).unwrap_or(usize::MAX);
                 for chunk in answer.chunks(key.request).take(burst) {
-                    self.send_chunk(turn, via, key.flow, chunk);
+                    self.send_chunk(outbox, reply_path, key.flow, chunk);
                 }
             }
-            State::NotRun(refusal) => self.refuse(turn, via, subject, *refusal, Outcome::NotRun),
-            State::Unknown(refusal) => self.refuse(turn, via, subject, *refusal, Outcome::Unknown),
+            State::NotRun(refusal) => {
+                self.refuse(outbox, reply_path, subject, *refusal, Outcome::NotRun)
+            }
+            State::Unknown(refusal) => {
+                self.refuse(outbox, reply_path, subject, *refusal, Outcome::Unknown)
+            }
             State::Recorded | State::Queued | State::Running => {}
         }
     }
 
-    pub(crate) fn send_chunk(&self, turn: &mut Turn<'_>, via: Via, flow: FlowKey, chunk: Chunk) {
-        self.reply(turn, via, &Packet::new(flow, Body::Chunk(chunk)));
+    pub(crate) fn send_chunk(
+        &self,
+        outbox: &mut Outbox<'_>,
+        reply_path: ReplyPath,
+        flow: FlowKey,
+        chunk: Chunk,
+    ) {
+        self.reply(outbox, reply_path, &Packet::new(flow, Body::Chunk(chunk)));
     }
 
     pub(crate) fn on_fetch(
         &mut self,
-        turn: &mut Turn<'_>,
+        outbox: &mut Outbox<'_>,
         relay: Relay,
         flow: FlowKey,
         fetch: &Fetch,
@@ -201,37 +235,43 @@
             request: fetch.request,
         };
         match self.locate(&relay, flow) {
-            Place::Here(_) => {
-                self.flows.touch(turn.now, flow);
-                self.fetch(turn, relay::via(&relay), key, fetch);
+            Location::Here(_) => {
+                self.flows.touch(outbox.now, flow);
+                self.fetch(outbox, relay::reply_path(&relay), key, fetch);
             }
-            Place::Foreign => {}
-            Place::Kept => self.answer_kept(turn, &relay, flow, fetch.request),
-            Place::Elsewhere => {
-                let stray = Stray {
+            Location::OtherCaller => {}
+            Location::Parked => self.answer_from_parked(outbox, &relay, flow, fetch.request),
+            Location::Elsewhere => {
+                let misrouted = Misrouted {
                     flow,
                     token: Token::from_bytes(&fetch.holder),
-                    unheld: Unheld::Unknown(fetch.request),
+                    fallback: Fallback::Unknown(fetch.request),
                 };
-                self.hand_along(turn, relay, &stray);
+                self.forward_misrouted(outbox, relay, &misrouted);
             }
         }
     }
 
-    fn fetch(&mut self, turn: &mut Turn<'_>, via: Via, key: record::Key, fetch: &Fetch) {
+    fn fetch(
+        &mut self,
+        outbox: &mut Outbox<'_>,
+        reply_path: ReplyPath,
+        key: record::Key,
+        fetch: &Fetch,
+    ) {
         match self.ledger.get(key).cloned() {
             Some(State::Done(answer)) => {
-                for &index in fetch.chunks.iter().take(MAX_FETCH) {
+                for &index in fetch.chunks.iter().take(MAX_FETCHED_CHUNKS) {
                     if let Some(chunk) = answer.chunk(key.request, index) {
-                        self.send_chunk(turn, via, key.flow, chunk);
+                        self.send_chunk(outbox, reply_path, key.flow, chunk);
                     }
                 }
             }
-            Some(state) if state.is_final() => self.tell(turn, via, key, &state),
-            Some(_) => self.redirect(key, via),
+            Some(state) if state.is_final() => self.send_outcome(outbox, reply_path, key, &state),
+            Some(_) => self.redirect_reply(key, reply_path),
             None => {
                 let refusal = self.refusal(Reason::TableFull, Duration::ZERO);
-                self.tell(turn, via, key, &State::Unknown(refusal));
+                self.send_outcome(outbox, reply_path, key, &State::Unknown(refusal));
             }
         }
     }
--- a/roles/agent/src/retry.rs
+++ b/roles/agent/src/retry.rs
@@ -6,7 +6,7 @@
 use wire::caller::Reason;
 
 use crate::Agent;
-use crate::agent::Turn;
+use crate::agent::Outbox;
 use crate::event::JobId;
 use crate::status::Counter;
 use crate::task::End;
@@ -16,45 +16,45 @@
 
 /// Where a request that did not run may be tried again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Elsewhere {
+pub(crate) enum Placement {
     /// Only at another backend server.
-    Only,
+    OtherServers,
     /// At another backend server, or else here.
-    First,
+    AnyServer,
 }
 
 impl Agent {
     /// Tries a request again that is known not to have run, or refuses it.
     pub(crate) fn retry_not_run(
         &mut self,
-        turn: &mut Turn<'_>,
+        outbox: &mut Outbox<'_>,
         job: JobId,
         refusal: Refusal,
-        elsewhere: Elsewhere,
+        elsewhere: Placement,
     ) {
-        if !self.may_retry(turn.now, job) {
-            return self.conclude(turn, job, End::NotRun(refusal));
+        if !self.may_retry(outbox.now, job) {
+            return self.conclude(outbox, job, End::NotRun(refusal));
         }
         self.counters.add(Counter::RetryNotRun);
         match elsewhere {
-            _ if self.pass(turn, job) => {}
-            Elsewhere::First if self.leaving.is_none() => self.offer_to_gate(turn, job),
-            _ => self.conclude(turn, job, End::NotRun(refusal)),
+            _ if self.pass(outbox, job) => {}
+            Placement::AnyServer if self.leaving.is_none() => self.submit_to_gate(outbox, job),
+            _ => self.conclude(outbox, job, End::NotRun(refusal)),
         }
     }
 
     /// Tries a request again whose outcome was lost, if it is idempotent.
-    pub(crate) fn retry_unknown(&mut self, turn: &mut Turn<'_>, job: JobId) {
+    pub(crate) fn retry_unknown(&mut self, outbox: &mut Outbox<'_>, job: JobId) {
         let Some(task) = self.tasks.get_mut(&job) else {
             return;
         };
-        task.is_uncertain = true;
-        if !task.idempotent || !self.may_retry(turn.now, job) {
-            return self.end_unknown(turn, job, Reason::BackendFailed);
+        task.may_have_run = true;
+        if !task.idempotent || !self.may_retry(outbox.now, job) {
+            return self.end_unknown(outbox, job, Reason::BackendFailed);
         }
         self.counters.add(Counter::RetryIdempotent);
-        if !self.pass(turn, job) {
-            self.offer_to_gate(turn, job);
+        if !self.pass(outbox, job) {
+            self.submit_to_gate(outbox, job);
         }
     }
 
@@ -65,7 +65,7 @@
         let Some(task) = self
             .tasks
             .get_mut(&job)
-            .filter(|task| task.is_own() && latest < task.deadline)
+            .filter(|task| task.is_from_caller() && latest < task.deadline)
             .filter(|task| task.retries < MAX_RETRIES)
         else {
             return false;
--- a/roles/agent/src/task.rs
+++ b/roles/agent/src/task.rs
@@ -20,12 +20,12 @@
 use crate::Job;
 use crate::Offer;
 use crate::Outcome;
-use crate::agent::Turn;
-use crate::agent::Via;
+use crate::agent::Outbox;
+use crate::agent::ReplyPath;
 use crate::event::JobId;
 use crate::offer;
-use crate::pass::Lent;
-use crate::retry::Elsewhere;
+use crate::pass::Assignment;
+use crate::retry::Placement;
 use crate::status::Counter;
 
 /// A request that is underway.
@@ -39,9 +39,9 @@
     pub(crate) stage: Stage,
     /// Whether it may have run in a try that is over, or may run at another
     /// agent that holds the flow too, since its caller named none.
-    pub(crate) is_uncertain: bool,
+    pub(crate) may_have_run: bool,
     /// The agents that it was passed to.
-    pub(crate) tried: Vec<TargetId>,
+    pub(crate) tried_targets: Vec<TargetId>,
     /// How often it was tried again.
     pub(crate) retries: u8,
 }
@@ -50,7 +50,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Origin {
     /// A caller; the flow is held here.
-    Caller(Via),
+    Caller(ReplyPath),
     /// Another agent, which holds the flow.
     Offer(offer::Id),
 }
@@ -65,7 +65,7 @@
     /// Runs at the backend server here.
     Running,
     /// Another agent has it.
-    Passed(Lent),
+    Passed(Assignment),
 }
 
 /// How a request ended.
@@ -91,20 +91,20 @@
         deadline: Duration,
     ) -> Self {
         Self {
-            is_uncertain: request.holder.is_empty(),
+            may_have_run: request.holder.is_empty(),
             origin,
             key,
             idempotent: request.idempotent,
             deadline,
             payload: request.payload,
             stage: Stage::New,
-            tried: Vec::new(),
+            tried_targets: Vec::new(),
             retries: 0,
         }
     }
 
     /// Takes a request over that another agent passes.
-    pub(crate) fn lent(offer: Offer, now: Duration) -> Self {
+    pub(crate) fn from_offer(offer: Offer, now: Duration) -> Self {
         Self {
             origin: Origin::Offer(offer.id),
             key: record::Key {
@@ -115,62 +115,62 @@
             deadline: now + offer.remaining,
             payload: offer.payload,
             stage: Stage::New,
-            is_uncertain: false,
-            tried: Vec::new(),
+            may_have_run: false,
+            tried_targets: Vec::new(),
             retries: 0,
         }
     }
 
-    pub(crate) const fn is_own(&self) -> bool {
+    pub(crate) const fn is_from_caller(&self) -> bool {
         matches!(self.origin, Origin::Caller(_))
     }
 }
 
 impl Agent {
     /// Takes up a request that has just been recorded.
-    pub(crate) fn start(&mut self, turn: &mut Turn<'_>, task: Task) -> JobId {
+    pub(crate) fn start_task(&mut self, outbox: &mut Outbox<'_>, task: Task) -> JobId {
         let job = self.next_id();
         self.timers.insert(Timer {
             at: task.deadline,
             job,
         });
-        if task.is_own() {
-            self.by_request.insert(task.key, job);
+        if task.is_from_caller() {
+            self.tasks_by_request.insert(task.key, job);
             if let Some(flow) = self.flows.get_mut(task.key.flow) {
                 flow.pending += 1;
             }
         }
-        let may_pass = task.is_own();
-        let expired = task.deadline <= turn.now;
+        let may_pass = task.is_from_caller();
+        let expired = task.deadline <= outbox.now;
         self.tasks.insert(job, task);
         if expired {
             let refusal = self.refusal(Reason::Deadline, Duration::ZERO);
-            self.conclude(turn, job, End::NotRun(refusal));
+            self.conclude(outbox, job, End::NotRun(refusal));
             return job;
         }
-        if may_pass && self.prefers_passing(turn.now) && self.pass(turn, job) {
+        if may_pass && self.prefers_passing(outbox.now) && self.pass(outbox, job) {
             return job;
         }
         if may_pass && self.leaving.is_some() {
-            self.refuse_leaving(turn, job);
+            self.refuse_leaving(outbox, job);
             return job;
         }
-        self.offer_to_gate(turn, job);
+        self.submit_to_gate(outbox, job);
         job
     }
 
     /// Offers a request to the backend server here.
-    pub(crate) fn offer_to_gate(&mut self, turn: &mut Turn<'_>, job: JobId) {
+    pub(crate) fn submit_to_gate(&mut self, outbox: &mut Outbox<'_>, job: JobId) {
         let Some(task) = self.tasks.get(&job) else {
             return;
         };
-        let is_own = task.is_own();
-        let gate_job = self.gate_job(turn.now, job, task.deadline);
-        let verdict = self.admit_job(turn.now, gate_job);
+        let is_own = task.is_from_caller();
+        let gate_job = self.gate_job(outbox.now, job, task.deadline);
+        let verdict = self.admit_job(outbox.now, gate_job);
         match verdict {
-            Verdict::Start => self.run(turn, job),
-            Verdict::Queued => self.queue(turn.now, job),
-            Verdict::Refuse { .. } if is_own && self.pass(turn, job) => {}
+            Verdict::Start => self.run(outbox, job),
+            Verdict::Queued => self.queue(outbox.now, job),
+            Verdict::Refuse { .. } if is_own && self.pass(outbox, job) => {}
             Verdict::Refuse {
                 reason,
                 retry_after,
@@ -183,7 +183,7 @@
                     reason,
                     retry_after,
                 };
-                self.conclude(turn, job, End::NotRun(refusal));
+                self.conclude(outbox, job, End::NotRun(refusal));
             }
         }
     }
@@ -219,22 +219,22 @@
             return;
         };
         task.stage = Stage::Queued;
-        if task.is_own() {
+        if task.is_from_caller() {
             // A request that comes back from another agent stays as it is.
             let _ = self.ledger.advance(now, task.key, State::Queued);
         }
     }
 
     /// Hands a request to the backend server.
-    fn run(&mut self, turn: &mut Turn<'_>, job: JobId) {
+    fn run(&mut self, outbox: &mut Outbox<'_>, job: JobId) {
         let Some(task) = self.tasks.get_mut(&job) else {
             return;
         };
         task.stage = Stage::Running;
-        if task.is_own() {
-            let _ = self.ledger.advance(turn.now, task.key, State::Running);
+        if task.is_from_caller() {
+            let _ = self.ledger.advance(outbox.now, task.key, State::Running);
         }
-        turn.push(Action::Run(Job {
+        outbox.push(Action::Run(Job {
             id: job,
             flow: task.key.flow,
             request: task.key.request,
@@ -244,7 +244,7 @@
         }));
     }
 
-    pub(crate) fn on_finished(&mut self, turn: &mut Turn<'_>, job: JobId, result: Completion) {
+    pub(crate) fn on_finished(&mut self, outbox: &mut Outbox<'_>, job: JobId, result: Completion) {
         let is_running = self
             .tasks
             .get(&job)
@@ -258,95 +258,98 @@
             Completion::Failed { .. } => Finish::Failed,
         };
         let mut released = Vec::new();
-        self.gate.finish(turn.now, job, finish, &mut released);
-        self.release(turn, released);
+        self.gate.finish(outbox.now, job, finish, &mut released);
+        self.release(outbox, released);
         match result {
-            Completion::Completed(bytes) => self.answer(turn, job, bytes),
-            Completion::TooLarge => self.end_unknown(turn, job, Reason::TooLarge),
+            Completion::Completed(bytes) => self.answer(outbox, job, bytes),
+            Completion::TooLarge => self.end_unknown(outbox, job, Reason::TooLarge),
             Completion::Shed { retry_after } => {
                 let refusal = self.refusal(Reason::Overloaded, retry_after);
-                self.retry_not_run(turn, job, refusal, Elsewhere::Only);
+                self.retry_not_run(outbox, job, refusal, Placement::OtherServers);
             }
             Completion::Failed { ran: false } => {
                 let refusal = self.refusal(Reason::BackendFailed, self.settings.leave.away);
-                self.retry_not_run(turn, job, refusal, Elsewhere::First);
+                self.retry_not_run(outbox, job, refusal, Placement::AnyServer);
             }
-            Completion::Failed { ran: true } => self.retry_unknown(turn, job),
+            Completion::Failed { ran: true } => self.retry_unknown(outbox, job),
         }
     }
 
-    pub(crate) fn answer(&mut self, turn: &mut Turn<'_>, job: JobId, bytes: Bytes) {
+    pub(crate) fn answer(&mut self, outbox: &mut Outbox<'_>, job: JobId, bytes: Bytes) {
         let max_bytes = self.view.service.max_answer_bytes;
         match Answer::new(bytes).filter(|answer| answer.bytes().len() <= max_bytes) {
-            Some(answer) => self.conclude(turn, job, End::Answered(answer)),
-            None => self.end_unknown(turn, job, Reason::TooLarge),
+            Some(answer) => self.conclude(outbox, job, End::Answered(answer)),
+            None => self.end_unknown(outbox, job, Reason::TooLarge),
         }
     }
 
-    pub(crate) fn end_unknown(&mut self, turn: &mut Turn<'_>, job: JobId, reason: Reason) {
+    pub(crate) fn end_unknown(&mut self, outbox: &mut Outbox<'_>, job: JobId, reason: Reason) {
         let refusal = self.refusal(reason, self.settings.leave.away);
-        self.conclude(turn, job, End::Unknown(refusal));
+        self.conclude(outbox, job, End::Unknown(refusal));
     }
 
-    pub(crate) fn release(&mut self, turn: &mut Turn<'_>, released: Vec<Release>) {
+    pub(crate) fn release(&mut self, outbox: &mut Outbox<'_>, released: Vec<Release>) {
         for release in released {
             match release {
-                Release::Start(job) => self.run(turn, job),
+                Release::Start(job) => self.run(outbox, job),
                 Release::Expire(job) => {
                     let refusal = self.refusal(Reason::Deadline, Duration::ZERO);
-                    self.conclude(turn, job, End::NotRun(refusal));
+                    self.conclude(outbox, job, End::NotRun(refusal));
                 }
             }
         }
     }
 
     /// Ends the requests whose deadline has passed.
-    pub(crate) fn expire_tasks(&mut self, turn: &mut Turn<'_>) {
+    pub(crate) fn expire_tasks(&mut self, outbox: &mut Outbox<'_>) {
         while self
             .timers
             .first()
-            .is_some_and(|timer| timer.at <= turn.now)
+            .is_some_and(|timer| timer.at <= outbox.now)
         {
             if let Some(timer) = self.timers.pop_first() {
                 let refusal = self.refusal(Reason::Deadline, Duration::ZERO);
-                self.abandon(turn, timer.job, refusal);
+                self.abandon(outbox, timer.job, refusal);
             }
         }
-        if self.gate.next_deadline().is_some_and(|at| at <= turn.now) {
+        if self.gate.next_deadline().is_some_and(|at| at <= outbox.now) {
             let mut released = Vec::new();
-            self.gate.expire(turn.now, &mut released);
-            self.release(turn, released);
+            self.gate.expire(outbox.now, &mut released);
+            self.release(outbox, released);
         }
     }
 
     /// Takes a request back from where it is; true where it may have run.
-    pub(crate) fn withdraw(&mut self, turn: &mut Turn<'_>, job: JobId) -> bool {
+    pub(crate) fn withdraw(&mut self, outbox: &mut Outbox<'_>, job: JobId) -> bool {
         let Some(task) = self.tasks.get_mut(&job) else {
             return false;
         };
         let stage = std::mem::replace(&mut task.stage, Stage::New);
         match stage {
             Stage::New => return false,
-            Stage::Passed(lent) => {
-                self.by_offer.remove(&lent.number);
+            Stage::Passed(assignment) => {
+                self.tasks_by_offer.remove(&assignment.number);
                 let offer = offer::Id {
                     origin: self.token,
-                    number: lent.number,
+                    number: assignment.number,
                 };
-                turn.push(Action::Withdraw { to: lent.to, offer });
+                outbox.push(Action::Withdraw {
+                    to: assignment.to,
+                    offer,
+                });
                 return true;
             }
             Stage::Queued => {}
-            Stage::Running => turn.push(Action::Abort { job }),
+            Stage::Running => outbox.push(Action::Abort { job }),
         }
         let mut released = Vec::new();
-        self.gate.cancel(turn.now, job, &mut released);
-        self.release(turn, released);
+        self.gate.cancel(outbox.now, job, &mut released);
+        self.release(outbox, released);
         stage == Stage::Running
     }
 
     /// Ends a request: records its final state, then tells who waits for it.
-    pub(crate) fn conclude(&mut self, turn: &mut Turn<'_>, job: JobId, end: End) {
+    pub(crate) fn conclude(&mut self, outbox: &mut Outbox<'_>, job: JobId, end: End) {
         let Some(task) = self.tasks.remove(&job) else {
             return;
         };
@@ -355,31 +358,39 @@
             job,
         });
         let end = match end {
-            End::NotRun(refusal) if task.is_uncertain => End::Unknown(refusal),
+            End::NotRun(refusal) if task.may_have_run => End::Unknown(refusal),
             end => end,
         };
         match task.origin {
-            Origin::Caller(via) => self.conclude_own(turn, via, task.key, end),
-            Origin::Offer(id) => self.conclude_offer(turn, id, task.deadline, end),
+            Origin::Caller(reply_path) => {
+                self.conclude_from_caller(outbox, reply_path, task.key, end)
+            }
+            Origin::Offer(id) => self.conclude_offer(outbox, id, task.deadline, end),
         }
     }
 
-    fn conclude_own(&mut self, turn: &mut Turn<'_>, via: Via, key: record::Key, end: End) {
-        self.by_request.remove(&key);
+    fn conclude_from_caller(
+        &mut self,
+        outbox: &mut Outbox<'_>,
+        reply_path: ReplyPath,
+        key: record::Key,
+        end: End,
+    ) {
+        self.tasks_by_request.remove(&key);
         if let Some(flow) = self.flows.get_mut(key.flow) {
             flow.pending = flow.pending.saturating_sub(1);
-            flow.last_seen = turn.now;
+            flow.last_seen = outbox.now;
         }
         let state = match end {
             End::Answered(answer) => State::Done(answer),
             End::NotRun(refusal) => State::NotRun(refusal),
             End::Unknown(refusal) => State::Unknown(refusal),
         };
-        if self.ledger.advance(turn.now, key, state.clone()) {
+        if self.ledger.advance(outbox.now, key, state.clone()) {
             if matches!(state, State::Done(_)) {
                 self.counters.add(Counter::Answered);
             }
-            self.tell(turn, via, key, &state);
+            self.send_outcome(outbox, reply_path, key, &state);
         }
     }
 }
--- a/roles/agent/tests/world/message.rs
+++ b/roles/agent/tests/cluster/message.rs
@@ -10,7 +10,7 @@
 use wire::Frame;
 
 use super::Call;
-use super::World;
+use super::Cluster;
 
 /// A message on its way.
 #[derive(Clone, Debug)]
@@ -58,13 +58,13 @@
     },
 }
 
-impl World {
+impl Cluster {
     /// Delivers one message.
     pub fn deliver(&mut self, message: Message) {
         match message {
             Message::Frame { from, to, frame } => {
                 let from = self.targets[from].address;
-                if let Some(index) = self.by_address(to) {
+                if let Some(index) = self.live_index(to) {
                     self.event(index, Event::Frame { from, frame });
                 }
             }
@@ -75,7 +75,7 @@
                 offer,
             } => self.deliver_offer(from, to, connected, offer),
             Message::Withdraw { to, offer } => {
-                if let Some(index) = self.by_address(to) {
+                if let Some(index) = self.live_index(to) {
                     self.event(index, Event::Withdrawn { offer });
                 }
             }
@@ -84,9 +84,9 @@
             }
             Message::Park { from, to, part } => {
                 let index = part.index;
-                match self.by_address(to) {
+                match self.live_index(to) {
                     Some(peer) => {
-                        let call = self.call(Call::Park { from, index });
+                        let call = self.register_call(Call::Park { from, index });
                         self.event(peer, Event::Park { call, part });
                     }
                     None => self.messages.push(Message::Parked {
@@ -101,9 +101,9 @@
                 index,
                 accepted,
             } => self.event(to, Event::Parked { index, accepted }),
-            Message::Claim { from, to, claim } => match self.by_address(to) {
+            Message::Claim { from, to, claim } => match self.live_index(to) {
                 Some(peer) => {
-                    let call = self.call(Call::Claim { from, peer: to });
+                    let call = self.register_call(Call::Claim { from, peer: to });
                     self.event(peer, Event::Claim { call, claim });
                 }
                 None => self.messages.push(Message::Claimed {
@@ -122,11 +122,11 @@
     fn deliver_offer(&mut self, from: usize, to: SocketAddr, connected: Option<u64>, offer: Offer) {
         let id = offer.id;
         let receiver = self
-            .by_address(to)
+            .live_index(to)
             .filter(|&index| connected == Some(self.targets[index].incarnation));
         let outcome = match receiver {
             Some(index) => {
-                let call = self.call(Call::Offer { from, offer: id });
+                let call = self.register_call(Call::Offer { from, offer: id });
                 return self.event(index, Event::Offered { call, offer });
             }
             None if connected.is_none() => Outcome::NotRun {
--- a/roles/agent/tests/world/mod.rs
+++ b/roles/agent/tests/cluster/mod.rs
@@ -57,7 +57,7 @@
     pub job: Job,
 }
 
-pub struct World {
+pub struct Cluster {
     pub now: Duration,
     pub agents: Vec<Option<Agent>>,
     pub targets: Vec<Target>,
@@ -121,7 +121,7 @@
     }
 }
 
-impl World {
+impl Cluster {
     /// Starts agents that know each other and have nothing to claim.
     pub fn new(count: usize, settings: Settings, service: Service) -> Self {
         let targets: Vec<Target> = (0..count).map(target).collect();
@@ -130,7 +130,7 @@
             .iter()
             .map(|target| Some(Agent::new(settings.clone(), target.clone(), 7, now)))
             .collect();
-        let mut world = Self {
+        let mut cluster = Self {
             now,
             agents,
             targets,
@@ -148,29 +148,29 @@
             next_call: 0,
         };
         for index in 0..count {
-            world.tell_view(index);
+            cluster.send_view(index);
         }
-        world.settle();
-        world
+        cluster.deliver_all();
+        cluster
     }
 
     pub fn bound(count: usize) -> Self {
         Self::new(count, settings(), Service::default())
     }
 
-    pub fn tell_view(&mut self, index: usize) {
-        let targets = self.live();
-        self.tell_view_of(index, targets);
+    pub fn send_view(&mut self, index: usize) {
+        let targets = self.present_targets();
+        self.send_view_of(index, targets);
     }
 
     /// The targets that have not left.
-    pub fn live(&self) -> Vec<Target> {
+    pub fn present_targets(&self) -> Vec<Target> {
         let live = |target: &&Target| target.state != State::Left;
         self.targets.iter().filter(live).cloned().collect()
     }
 
     /// Gives an agent a view that differs from that of others.
-    pub fn tell_view_of(&mut self, index: usize, targets: Vec<Target>) {
+    pub fn send_view_of(&mut self, index: usize, targets: Vec<Target>) {
         let service = self.service;
         self.event(index, Event::View(View { targets, service }));
     }
@@ -187,7 +187,7 @@
         let mut actions = Vec::new();
         agent.handle(self.now, event, &mut actions);
         for action in actions {
-            self.act(index, action);
+            self.perform(index, action);
         }
     }
 
@@ -201,10 +201,10 @@
         for event in self.frozen.remove(&index).unwrap_or_default() {
             self.event(index, event);
         }
-        self.settle();
+        self.deliver_all();
     }
 
-    fn act(&mut self, index: usize, action: Action) {
+    fn perform(&mut self, index: usize, action: Action) {
         match action {
             Action::Send {
                 frame: Frame::Reply(reply),
@@ -231,7 +231,7 @@
                     .retain(|it| it.agent != index || it.job.id != job);
             }
             Action::Pass { to, offer } => {
-                let connected = self.by_address(to).map(|it| self.targets[it].incarnation);
+                let connected = self.live_index(to).map(|it| self.targets[it].incarnation);
                 self.messages.push(Message::Offer {
                     from: index,
                     to,
@@ -290,13 +290,13 @@
         }
     }
 
-    fn call(&mut self, call: Call) -> u64 {
+    fn register_call(&mut self, call: Call) -> u64 {
         self.next_call += 1;
         self.calls.insert(self.next_call, call);
         self.next_call
     }
 
-    fn by_address(&self, address: SocketAddr) -> Option<usize> {
+    fn live_index(&self, address: SocketAddr) -> Option<usize> {
         self.targets
             .iter()
             .position(|target| target.address == address || target.control == address)
@@ -304,7 +304,7 @@
     }
 
     /// Delivers all messages, in order.
-    pub fn settle(&mut self) {
+    pub fn deliver_all(&mut self) {
         while !self.messages.is_empty() {
             let message = self.messages.remove(0);
             self.deliver(message);
@@ -312,16 +312,16 @@
     }
 
     /// Lets time pass, with the ticks that the agents ask for.
-    pub fn pass(&mut self, time: Duration) {
+    pub fn advance(&mut self, time: Duration) {
         let end = self.now + time;
         while let Some(next) = self.next_deadline().filter(|&at| at <= end) {
             self.now = self.now.max(next);
             self.tick();
-            self.settle();
+            self.deliver_all();
         }
         self.now = end;
         self.tick();
-        self.settle();
+        self.deliver_all();
     }
 
     pub fn next_deadline(&self) -> Option<Duration> {
@@ -343,10 +343,10 @@
         let Running { agent, job } = self.running.remove(0);
         let job = job.id;
         self.event(agent, Event::Finished { job, result });
-        self.settle();
+        self.deliver_all();
     }
 
-    pub fn answer(&mut self, text: &str) {
+    pub fn finish_with(&mut self, text: &str) {
         self.finish(Completion::Completed(Bytes::from(text.to_owned())));
     }
 
@@ -360,26 +360,26 @@
         self.agents[index] = Some(agent);
     }
 
-    pub fn tell_all(&mut self) {
+    pub fn send_views(&mut self) {
         for index in 0..self.agents.len() {
-            self.tell_view(index);
+            self.send_view(index);
         }
-        self.settle();
+        self.deliver_all();
     }
 
     /// Tells all agents that one has left.
-    pub fn tell_others(&mut self, gone: usize) {
-        let id = self.targets[gone].id;
+    pub fn remove_from_views(&mut self, left: usize) {
+        let id = self.targets[left].id;
         let targets: Vec<Target> = self
             .targets
             .iter()
             .filter(|target| target.id != id)
             .cloned()
             .collect();
-        for index in (0..self.agents.len()).filter(|&index| index != gone) {
-            self.tell_view_of(index, targets.clone());
+        for index in (0..self.agents.len()).filter(|&index| index != left) {
+            self.send_view_of(index, targets.clone());
         }
-        self.settle();
+        self.deliver_all();
     }
 
     /// Takes the oldest message on its way.
@@ -399,19 +399,19 @@
 }
 
 /// Checks that a caller was refused, and how.
-pub fn assert_refused(world: &mut World, reason: Reason, outcome: caller::Outcome) {
-    let refusal = world.take_refusal().expect("a refusal should be sent");
+pub fn assert_refused(cluster: &mut Cluster, reason: Reason, outcome: caller::Outcome) {
+    let refusal = cluster.take_refusal().expect("a refusal should be sent");
     assert_eq!(refusal.reason(), reason);
     assert_eq!(refusal.outcome(), outcome);
 }
 
-/// A world of one agent with one slot, which is taken by request 1.
-pub fn busy() -> (World, Token) {
+/// A cluster of one agent with one slot, which is taken by request 1.
+pub fn one_busy_agent() -> (Cluster, Token) {
     let mut settings = settings();
     settings.gate.slots = 1;
-    let mut world = World::new(1, settings, Service::default());
-    let token = world.open(FLOW);
-    world.send(&request(FLOW, 1, token));
-    assert_eq!(world.runs.len(), 1);
-    (world, token)
+    let mut cluster = Cluster::new(1, settings, Service::default());
+    let token = cluster.open(FLOW);
+    cluster.send(&request(FLOW, 1, token));
+    assert_eq!(cluster.runs.len(), 1);
+    (cluster, token)
 }
--- a/roles/agent/tests/world/relay.rs
+++ b/roles/agent/tests/cluster/relay.rs
@@ -10,13 +10,13 @@
 use wire::caller::Refusal;
 use wire::caller::packet::Body;
 
-use super::World;
+use super::Cluster;
 use super::caller;
 use super::entry;
 use super::open;
 use super::service;
 
-impl World {
+impl Cluster {
     fn hop(&self, index: usize) -> Hop {
         Hop {
             target: self.targets[index].id,
@@ -31,7 +31,7 @@
 
     /// Indexes of the agents in the order of a flow.
     pub fn ranked(&self, flow: u64) -> Vec<usize> {
-        let order = route::Order::new(&self.live());
+        let order = route::Order::new(&self.present_targets());
         order
             .top(flow, self.targets.len())
             .map(|target| usize::try_from(target.id - 1000).unwrap())
@@ -73,7 +73,7 @@
 
     pub fn send_relay(&mut self, relay: Relay) {
         let to = relay.path[usize::from(relay.position)].address;
-        if let Some(index) = self.by_address(to) {
+        if let Some(index) = self.live_index(to) {
             let frame = Frame::Relay(relay);
             self.event(
                 index,
@@ -83,7 +83,7 @@
                 },
             );
         }
-        self.settle();
+        self.deliver_all();
     }
 
     /// Opens a flow and returns its token.
--- a/roles/agent/tests/half_open.rs
+++ b/roles/agent/tests/half_open.rs
@@ -1,36 +1,36 @@
 //! A flow that two agents took, of which the caller uses one.
-mod world;
+mod cluster;
 
 use agent::Event;
+use cluster::Cluster;
+use cluster::FLOW;
+use cluster::holder;
+use cluster::independent;
+use cluster::request;
+use cluster::settings;
 use wire::Token;
-use world::FLOW;
-use world::World;
-use world::holder;
-use world::independent;
-use world::request;
-use world::settings;
 
 const AGENTS: usize = 4;
 
 /// A flow that is held, and half open at another agent.
-struct Twice {
-    world: World,
+struct Duplicate {
+    cluster: Cluster,
     token: Token,
     holder: usize,
     other: usize,
 }
 
 /// The other agent is so many after the holder; the next one gets its state.
-fn twice(mut world: World, distance: usize) -> Twice {
-    let token = world.open(FLOW);
+fn open_twice(mut cluster: Cluster, distance: usize) -> Duplicate {
+    let token = cluster.open(FLOW);
     let holder = holder(token);
-    world.send(&request(FLOW, 1, token));
-    world.answer("first");
-    world.replies.clear();
+    cluster.send(&request(FLOW, 1, token));
+    cluster.finish_with("first");
+    cluster.replies.clear();
     let other = (holder + distance) % AGENTS;
-    assert_ne!(world.open_at(FLOW, other), token);
-    Twice {
-        world,
+    assert_ne!(cluster.open_at(FLOW, other), token);
+    Duplicate {
+        cluster,
         token,
         holder,
         other,
@@ -38,19 +38,19 @@
 }
 
 fn replaced_holder_gets_its_flow_back(distance: usize) {
-    let mut twice = twice(World::bound(AGENTS), distance);
-    let world = &mut twice.world;
-    world.event(twice.holder, Event::Replace);
-    world.settle();
-    world.tell_others(twice.holder);
-    world.replies.clear();
-    world.send_along(&request(FLOW, 2, twice.token), &[twice.other]);
-    assert!(world.replies.is_empty(), "{:?}", world.replies);
-    world.restart(twice.holder);
-    world.tell_all();
-    world.send_along(&request(FLOW, 2, twice.token), &[twice.other]);
-    assert_eq!(world.runs.len(), 2);
-    assert_eq!(world.runs[1].agent, twice.holder);
+    let mut duplicate = open_twice(Cluster::bound(AGENTS), distance);
+    let cluster = &mut duplicate.cluster;
+    cluster.event(duplicate.holder, Event::Replace);
+    cluster.deliver_all();
+    cluster.remove_from_views(duplicate.holder);
+    cluster.replies.clear();
+    cluster.send_along(&request(FLOW, 2, duplicate.token), &[duplicate.other]);
+    assert!(cluster.replies.is_empty(), "{:?}", cluster.replies);
+    cluster.restart(duplicate.holder);
+    cluster.send_views();
+    cluster.send_along(&request(FLOW, 2, duplicate.token), &[duplicate.other]);
+    assert_eq!(cluster.runs.len(), 2);
+    assert_eq!(cluster.runs[1].agent, duplicate.holder);
 }
 
 cases::cases! { replaced_holder_gets_its_flow_back;
@@ -60,16 +60,16 @@
 }
 
 fn peer_that_adopted_the_flow_is_found(distance: usize) {
-    let world = World::new(AGENTS, settings(), independent());
-    let mut twice = twice(world, distance);
-    let world = &mut twice.world;
-    world.event(twice.holder, Event::Stop);
-    world.settle();
-    world.tell_others(twice.holder);
-    world.replies.clear();
-    world.send_along(&request(FLOW, 2, twice.token), &[twice.other]);
-    world.answer("second");
-    assert_eq!(world.take_answer(2).unwrap(), b"second");
+    let cluster = Cluster::new(AGENTS, settings(), independent());
+    let mut duplicate = open_twice(cluster, distance);
+    let cluster = &mut duplicate.cluster;
+    cluster.event(duplicate.holder, Event::Stop);
+    cluster.deliver_all();
+    cluster.remove_from_views(duplicate.holder);
+    cluster.replies.clear();
+    cluster.send_along(&request(FLOW, 2, duplicate.token), &[duplicate.other]);
+    cluster.finish_with("second");
+    assert_eq!(cluster.take_answer(2).unwrap(), b"second");
 }
 
 cases::cases! { peer_that_adopted_the_flow_is_found;
--- a/roles/agent/tests/interleavings.rs
+++ b/roles/agent/tests/interleavings.rs
@@ -2,8 +2,8 @@
 //! replacements: a non-idempotent request runs at most once, nothing runs of
 //! which "not run" was said, and a caller gets the whole answer to its own
 //! request.
-mod steps;
-mod world;
+mod cluster;
+mod transitions;
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -15,57 +15,57 @@
 use agent::park::Grant;
 use agent::view::Service;
 use bytes::Bytes;
+use cluster::Cluster;
+use cluster::Message;
 use proptest::prelude::*;
-use steps::AGENTS;
-use steps::Ending;
-use steps::FIRST_IDEMPOTENT;
-use steps::Step;
-use steps::step;
+use transitions::AGENTS;
+use transitions::FIRST_IDEMPOTENT;
+use transitions::JobResult;
+use transitions::Transition;
+use transitions::transition;
 use wire::Token;
 use wire::caller;
 use wire::caller::Packet;
 use wire::caller::packet::Body;
-use world::Message;
-use world::World;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Name {
+struct RequestKey {
     flow: u64,
     request: u64,
 }
 
 struct Trial {
-    world: World,
+    cluster: Cluster,
     tokens: BTreeMap<u64, Vec<Token>>,
     /// The token of a request's first transmission, which repeats carry too.
-    named: BTreeMap<Name, Token>,
+    first_tokens: BTreeMap<RequestKey, Token>,
     /// Runs that are known not to have happened.
-    undone: BTreeMap<Name, usize>,
-    answers: BTreeMap<Name, BTreeSet<Vec<u8>>>,
+    not_run: BTreeMap<RequestKey, usize>,
+    answers: BTreeMap<RequestKey, BTreeSet<Vec<u8>>>,
     replies: Vec<Packet>,
 }
 
 impl Trial {
     fn new(service: Service, max_bytes: usize) -> Self {
-        let mut settings = world::settings();
+        let mut settings = cluster::settings();
         settings.gate.slots = 1;
         settings.ledger.max_bytes = max_bytes;
         settings.leave.grace = Duration::from_secs(1);
         Self {
-            world: World::new(AGENTS, settings, service),
+            cluster: Cluster::new(AGENTS, settings, service),
             tokens: BTreeMap::new(),
-            named: BTreeMap::new(),
-            undone: BTreeMap::new(),
+            first_tokens: BTreeMap::new(),
+            not_run: BTreeMap::new(),
             answers: BTreeMap::new(),
             replies: Vec::new(),
         }
     }
 
-    fn take(&mut self, step: Step) {
-        let world = &mut self.world;
-        match step {
-            Step::Open { flow, agent } => self.send(&world::open(flow), agent),
-            Step::Request {
+    fn apply(&mut self, transition: Transition) {
+        let cluster = &mut self.cluster;
+        match transition {
+            Transition::Open { flow, agent } => self.send(&cluster::open(flow), agent),
+            Transition::Request {
                 flow,
                 request,
                 token,
@@ -76,150 +76,153 @@
                 let Some(&token) = tokens.get(token % tokens.len().max(1)) else {
                     return;
                 };
-                let name = Name { flow, request };
-                let token = *self.named.entry(name).or_insert(token);
-                let mut packet = world::with_deadline(flow, request, token, deadline_ms);
+                let name = RequestKey { flow, request };
+                let token = *self.first_tokens.entry(name).or_insert(token);
+                let mut packet = cluster::with_deadline(flow, request, token, deadline_ms);
                 if let Some(Body::Request(body)) = &mut packet.body {
                     body.idempotent = request >= FIRST_IDEMPOTENT;
                 }
                 self.send(&packet, agent);
             }
-            Step::Cancel {
+            Transition::Cancel {
                 flow,
                 request,
                 agent,
             } => {
                 let last = self.tokens.get(&flow).and_then(|it| it.last().copied());
                 if let Some(last) = last {
-                    let token = *self.named.entry(Name { flow, request }).or_insert(last);
-                    self.send(&world::cancel(flow, request, token), agent);
+                    let token = *self
+                        .first_tokens
+                        .entry(RequestKey { flow, request })
+                        .or_insert(last);
+                    self.send(&cluster::cancel(flow, request, token), agent);
                 }
             }
-            Step::Close { flow, agent } => {
+            Transition::Close { flow, agent } => {
                 if let Some(&token) = self.tokens.get(&flow).and_then(|it| it.last()) {
-                    self.send(&world::close(flow, token), agent);
+                    self.send(&cluster::close(flow, token), agent);
                 }
             }
-            Step::Deliver(index) => {
-                if let Some(message) = take_at(&mut world.messages, index) {
-                    world.deliver(message);
+            Transition::Deliver(index) => {
+                if let Some(message) = remove_at(&mut cluster.messages, index) {
+                    cluster.deliver(message);
                 }
             }
-            Step::DeliverAll => world.settle(),
-            Step::Duplicate(index) => {
-                let index = index % world.messages.len().max(1);
-                if let Some(message) = world.messages.get(index).cloned()
+            Transition::DeliverAll => cluster.deliver_all(),
+            Transition::Duplicate(index) => {
+                let index = index % cluster.messages.len().max(1);
+                if let Some(message) = cluster.messages.get(index).cloned()
                     && !matches!(message, Message::Outcome { .. })
                 {
-                    world.deliver(message);
+                    cluster.deliver(message);
                 }
             }
-            Step::Lose(index) => {
-                if let Some(message) = take_at(&mut world.messages, index) {
-                    lose(world, message);
+            Transition::Lose(index) => {
+                if let Some(message) = remove_at(&mut cluster.messages, index) {
+                    lose(cluster, message);
                 }
             }
-            Step::Finish { job, result } => self.finish(job, result),
-            Step::Wait { millis } => self.wait(Duration::from_millis(millis)),
-            Step::Restart(agent) => {
-                let exited = world.agents.iter().position(Option::is_none);
+            Transition::Finish { job, result } => self.finish(job, result),
+            Transition::Wait { millis } => self.wait(Duration::from_millis(millis)),
+            Transition::Restart(agent) => {
+                let exited = cluster.agents.iter().position(Option::is_none);
                 let agent = exited.unwrap_or(agent);
-                break_connections(world, agent);
-                world.restart(agent);
-                world.tell_view(agent);
+                break_connections(cluster, agent);
+                cluster.restart(agent);
+                cluster.send_view(agent);
             }
-            Step::Replace(agent) => world.event(agent, Event::Replace),
-            Step::Succeed { agent, lost } => self.succeed(agent, lost),
-            Step::Stop(agent) => world.event(agent, Event::Stop),
-            Step::Drain(agent) => world.event(agent, Event::Drain),
-            Step::Resume(agent) => world.event(agent, Event::Resume),
-            Step::View { agent, without } => {
-                let mut targets = world.targets.clone();
+            Transition::Replace(agent) => cluster.event(agent, Event::Replace),
+            Transition::ReplaceAndRestart { agent, lost } => self.replace_and_restart(agent, lost),
+            Transition::Stop(agent) => cluster.event(agent, Event::Stop),
+            Transition::Drain(agent) => cluster.event(agent, Event::Drain),
+            Transition::Resume(agent) => cluster.event(agent, Event::Resume),
+            Transition::View { agent, without } => {
+                let mut targets = cluster.targets.clone();
                 targets.remove(without);
-                world.tell_view_of(agent, targets);
+                cluster.send_view_of(agent, targets);
             }
         }
-        self.note_replies();
+        self.record_replies();
     }
 
     /// Sends a packet to an agent without delivering what follows.
     fn send(&mut self, packet: &Packet, agent: usize) {
         let path: Vec<usize> = (0..AGENTS).map(|it| (agent + it) % AGENTS).collect();
-        let relay = self.world.relay_along(packet, &path);
+        let relay = self.cluster.relay_along(packet, &path);
         let frame = wire::Frame::Relay(relay);
-        let from = world::entry();
-        self.world.event(agent, Event::Frame { from, frame });
+        let from = cluster::entry();
+        self.cluster.event(agent, Event::Frame { from, frame });
     }
 
-    fn succeed(&mut self, agent: usize, lost: usize) {
-        self.world.event(agent, Event::Replace);
-        self.deliver_but(lost);
+    fn replace_and_restart(&mut self, agent: usize, lost: usize) {
+        self.cluster.event(agent, Event::Replace);
+        self.deliver_except(lost);
         self.wait(Duration::from_secs(6));
-        self.deliver_but(usize::MAX);
-        if self.world.agents[agent].is_none() {
-            self.world.restart(agent);
-            self.world.tell_view(agent);
-            self.deliver_but(lost);
+        self.deliver_except(usize::MAX);
+        if self.cluster.agents[agent].is_none() {
+            self.cluster.restart(agent);
+            self.cluster.send_view(agent);
+            self.deliver_except(lost);
         }
     }
 
     /// Delivers all messages but one.
-    fn deliver_but(&mut self, lost: usize) {
+    fn deliver_except(&mut self, lost: usize) {
         let mut number = 0;
-        while let Some(message) = self.world.take_message() {
+        while let Some(message) = self.cluster.take_message() {
             if number == lost {
-                lose(&mut self.world, message);
+                lose(&mut self.cluster, message);
             } else {
-                self.world.deliver(message);
+                self.cluster.deliver(message);
             }
             number += 1;
         }
     }
 
-    fn finish(&mut self, job: usize, result: Ending) {
-        let Some(running) = take_at(&mut self.world.running, job) else {
+    fn finish(&mut self, job: usize, result: JobResult) {
+        let Some(running) = remove_at(&mut self.cluster.running, job) else {
             return;
         };
-        let name = Name {
+        let name = RequestKey {
             flow: running.job.flow,
             request: running.job.request,
         };
         let result = match result {
-            Ending::Completed => {
+            JobResult::Completed => {
                 let number = self.answers.values().map(BTreeSet::len).sum::<usize>();
                 let text = format!("{name:?} {number} ").repeat(100).into_bytes();
                 self.answers.entry(name).or_default().insert(text.clone());
                 Completion::Completed(Bytes::from(text))
             }
-            Ending::Shed => {
-                *self.undone.entry(name).or_default() += 1;
+            JobResult::Shed => {
+                *self.not_run.entry(name).or_default() += 1;
                 Completion::Shed {
                     retry_after: Duration::from_millis(100),
                 }
             }
-            Ending::NotRun => {
-                *self.undone.entry(name).or_default() += 1;
+            JobResult::NotRun => {
+                *self.not_run.entry(name).or_default() += 1;
                 Completion::Failed { ran: false }
             }
-            Ending::Failed => Completion::Failed { ran: true },
+            JobResult::Failed => Completion::Failed { ran: true },
         };
         let job = running.job.id;
         let agent = running.agent;
-        self.world.event(agent, Event::Finished { job, result });
+        self.cluster.event(agent, Event::Finished { job, result });
     }
 
     /// Lets time pass without delivering anything.
     fn wait(&mut self, time: Duration) {
-        let end = self.world.now + time;
-        while let Some(at) = self.world.next_deadline().filter(|&at| at <= end) {
-            self.world.now = self.world.now.max(at);
-            self.world.tick();
+        let end = self.cluster.now + time;
+        while let Some(at) = self.cluster.next_deadline().filter(|&at| at <= end) {
+            self.cluster.now = self.cluster.now.max(at);
+            self.cluster.tick();
         }
-        self.world.now = end;
+        self.cluster.now = end;
     }
 
-    fn note_replies(&mut self) {
-        for packet in std::mem::take(&mut self.world.replies) {
+    fn record_replies(&mut self) {
+        for packet in std::mem::take(&mut self.cluster.replies) {
             if let Some(Body::Opened(opened)) = &packet.body {
                 let token = Token::from_bytes(&opened.holder).unwrap();
                 let tokens = self.tokens.entry(packet.flow).or_default();
@@ -232,16 +235,16 @@
     }
 
     fn check(&self) {
-        let mut runs: BTreeMap<Name, usize> = BTreeMap::new();
-        for run in &self.world.runs {
-            let name = Name {
+        let mut runs: BTreeMap<RequestKey, usize> = BTreeMap::new();
+        for run in &self.cluster.runs {
+            let name = RequestKey {
                 flow: run.job.flow,
                 request: run.job.request,
             };
             *runs.entry(name).or_default() += 1;
         }
-        let ran = |name: &Name| {
-            let undone = self.undone.get(name).copied().unwrap_or(0);
+        let ran = |name: &RequestKey| {
+            let undone = self.not_run.get(name).copied().unwrap_or(0);
             runs.get(name).copied().unwrap_or(0) - undone
         };
         for name in runs.keys().filter(|it| it.request < FIRST_IDEMPOTENT) {
@@ -252,17 +255,17 @@
         }
     }
 
-    fn check_reply(&self, packet: &Packet, ran: &impl Fn(&Name) -> usize) {
+    fn check_reply(&self, packet: &Packet, ran: &impl Fn(&RequestKey) -> usize) {
         match &packet.body {
             Some(Body::Refusal(refusal)) if refusal.outcome() == caller::Outcome::NotRun => {
-                let name = Name {
+                let name = RequestKey {
                     flow: packet.flow,
                     request: refusal.request,
                 };
                 assert_eq!(ran(&name), 0, "{name:?} ran, and {refusal:?} was said");
             }
             Some(Body::Chunk(chunk)) => {
-                let name = Name {
+                let name = RequestKey {
                     flow: packet.flow,
                     request: chunk.request,
                 };
@@ -284,60 +287,60 @@
 }
 
 /// Calls to an agent do not outlive it.
-fn break_connections(world: &mut World, agent: usize) {
-    let address = world.targets[agent].control;
-    let messages = std::mem::take(&mut world.messages);
+fn break_connections(cluster: &mut Cluster, agent: usize) {
+    let address = cluster.targets[agent].control;
+    let messages = std::mem::take(&mut cluster.messages);
     let (calls, others) = messages.into_iter().partition(|message| match message {
         Message::Offer { to, .. } | Message::Park { to, .. } | Message::Claim { to, .. } => {
             *to == address
         }
         _ => false,
     });
-    world.messages = others;
+    cluster.messages = others;
     for message in calls {
-        lose(world, message);
+        lose(cluster, message);
     }
 }
 
 /// A lost frame vanishes; the sender of a lost call learns so.
-fn lose(world: &mut World, message: Message) {
+fn lose(cluster: &mut Cluster, message: Message) {
     match message {
-        Message::Offer { from, offer, .. } => world.event(
+        Message::Offer { from, offer, .. } => cluster.event(
             from,
             Event::Passed {
                 offer: offer.id,
                 outcome: Outcome::Unknown,
             },
         ),
-        Message::Outcome { to, offer, .. } => world.event(
+        Message::Outcome { to, offer, .. } => cluster.event(
             to,
             Event::Passed {
                 offer,
                 outcome: Outcome::Unknown,
             },
         ),
-        Message::Park { from, part, .. } => world.event(
+        Message::Park { from, part, .. } => cluster.event(
             from,
             Event::Parked {
                 index: part.index,
                 accepted: false,
             },
         ),
-        Message::Parked { to, index, .. } => world.event(
+        Message::Parked { to, index, .. } => cluster.event(
             to,
             Event::Parked {
                 index,
                 accepted: false,
             },
         ),
-        Message::Claim { from, to, .. } => world.event(
+        Message::Claim { from, to, .. } => cluster.event(
             from,
             Event::Claimed {
                 peer: to,
                 grant: Grant::Unreachable,
             },
         ),
-        Message::Claimed { to, peer, .. } => world.event(
+        Message::Claimed { to, peer, .. } => cluster.event(
             to,
             Event::Claimed {
                 peer,
@@ -348,12 +351,12 @@
     }
 }
 
-fn take_at<T>(items: &mut Vec<T>, index: usize) -> Option<T> {
+fn remove_at<T>(items: &mut Vec<T>, index: usize) -> Option<T> {
     (!items.is_empty()).then(|| items.remove(index % items.len()))
 }
 
 fn services() -> impl Strategy<Value = Service> {
-    prop_oneof![Just(Service::default()), Just(world::independent())]
+    prop_oneof![Just(Service::default()), Just(cluster::independent())]
 }
 
 /// Room for a few records, or for all.
@@ -377,14 +380,14 @@
     fn requests_run_at_most_once(
         service in services(),
         max_bytes in limits(),
-        steps in prop::collection::vec(step(), 1..150),
+        transitions in prop::collection::vec(transition(), 1..150),
     ) {
         let mut trial = Trial::new(service, max_bytes);
-        for step in steps {
-            trial.take(step);
+        for transition in transitions {
+            trial.apply(transition);
         }
-        trial.world.settle();
-        trial.note_replies();
+        trial.cluster.deliver_all();
+        trial.record_replies();
         trial.check();
     }
 }
--- a/roles/agent/tests/passing.rs
+++ b/roles/agent/tests/passing.rs
@@ -1,6 +1,6 @@
 //! Single requests of independent flows run elsewhere, and the holder stays the
 //! one authority.
-mod world;
+mod cluster;
 
 use std::time::Duration;
 
@@ -8,239 +8,288 @@
 use agent::Event;
 use agent::Outcome;
 use agent::status::Counter;
+use cluster::Cluster;
+use cluster::FLOW;
+use cluster::Message;
+use cluster::REQUEST;
+use cluster::cancel;
+use cluster::idempotent;
+use cluster::independent;
+use cluster::request;
+use cluster::settings;
+use cluster::with_deadline;
 use wire::Token;
 use wire::caller;
 use wire::caller::Reason;
-use world::FLOW;
-use world::Message;
-use world::REQUEST;
-use world::World;
-use world::cancel;
-use world::idempotent;
-use world::independent;
-use world::request;
-use world::settings;
-use world::with_deadline;
 
 /// A flow whose holder has its only slot taken, so that it passes on.
-struct Full {
-    world: World,
+struct Saturated {
+    cluster: Cluster,
     token: Token,
     holder: usize,
 }
 
-fn full(agents: usize) -> Full {
+fn saturated(agents: usize) -> Saturated {
     let mut settings = settings();
     settings.gate.slots = 1;
-    let mut world = World::new(agents, settings, independent());
-    let token = world.open(FLOW);
-    let holder = world::holder(token);
-    world.send(&request(FLOW, 1, token));
-    assert_eq!(world.runs[0].agent, holder);
-    world.replies.clear();
-    Full {
-        world,
+    let mut cluster = Cluster::new(agents, settings, independent());
+    let token = cluster.open(FLOW);
+    let holder = cluster::holder(token);
+    cluster.send(&request(FLOW, 1, token));
+    assert_eq!(cluster.runs[0].agent, holder);
+    cluster.replies.clear();
+    Saturated {
+        cluster,
         token,
         holder,
     }
 }
 
-fn outcome(world: &mut World) -> caller::Outcome {
-    let refusal = world.take_refusal().expect("a refusal should be sent");
+fn refused_outcome(cluster: &mut Cluster) -> caller::Outcome {
+    let refusal = cluster.take_refusal().expect("a refusal should be sent");
     refusal.outcome()
 }
 
 /// Takes the offer that is on its way out of the messages.
-fn take_offer(world: &mut World) -> Message {
+fn take_offer(cluster: &mut Cluster) -> Message {
     let is_offer = |message: &Message| matches!(message, Message::Offer { .. });
-    let position = world.messages.iter().position(is_offer).unwrap();
-    world.messages.remove(position)
+    let position = cluster.messages.iter().position(is_offer).unwrap();
+    cluster.messages.remove(position)
 }
 
 /// Hands a request to the holder without delivering what follows.
-fn request_only(full: &mut Full, packet: &caller::Packet) {
-    let relay = full.world.relay_along(packet, &[full.holder]);
+fn request_undelivered(saturated: &mut Saturated, packet: &caller::Packet) {
+    let relay = saturated.cluster.relay_along(packet, &[saturated.holder]);
     let frame = wire::Frame::Relay(relay);
-    let from = world::entry();
-    full.world.event(full.holder, Event::Frame { from, frame });
+    let from = cluster::entry();
+    saturated
+        .cluster
+        .event(saturated.holder, Event::Frame { from, frame });
 }
 
 #[test]
 fn a_full_holder_passes_a_request_and_answers_itself() {
-    let mut full = full(3);
-    full.world.send(&request(FLOW, REQUEST, full.token));
-    assert_eq!(full.world.runs.len(), 2);
-    assert_ne!(full.world.runs[1].agent, full.holder);
-    full.world.running.remove(0);
-    full.world.answer("elsewhere");
-    assert_eq!(full.world.take_answer(REQUEST).unwrap(), b"elsewhere");
-    full.world.send(&request(FLOW, REQUEST, full.token));
-    assert_eq!(full.world.take_answer(REQUEST).unwrap(), b"elsewhere");
-    assert_eq!(full.world.runs.len(), 2);
+    let mut saturated = saturated(3);
+    saturated
+        .cluster
+        .send(&request(FLOW, REQUEST, saturated.token));
+    assert_eq!(saturated.cluster.runs.len(), 2);
+    assert_ne!(saturated.cluster.runs[1].agent, saturated.holder);
+    saturated.cluster.running.remove(0);
+    saturated.cluster.finish_with("elsewhere");
+    assert_eq!(
+        saturated.cluster.take_answer(REQUEST).unwrap(),
+        b"elsewhere"
+    );
+    saturated
+        .cluster
+        .send(&request(FLOW, REQUEST, saturated.token));
+    assert_eq!(
+        saturated.cluster.take_answer(REQUEST).unwrap(),
+        b"elsewhere"
+    );
+    assert_eq!(saturated.cluster.runs.len(), 2);
 }
 
 #[test]
 fn a_bound_service_never_passes() {
     let mut settings = settings();
     settings.gate.slots = 1;
-    let mut world = World::new(3, settings, agent::view::Service::default());
-    let token = world.open(FLOW);
+    let mut cluster = Cluster::new(3, settings, agent::view::Service::default());
+    let token = cluster.open(FLOW);
     for id in 1..=3 {
-        world.send(&request(FLOW, id, token));
+        cluster.send(&request(FLOW, id, token));
     }
-    assert_eq!(world.runs.len(), 1);
-    assert_eq!(world.status(world::holder(token)).tasks, 3);
+    assert_eq!(cluster.runs.len(), 1);
+    assert_eq!(cluster.status(cluster::holder(token)).tasks, 3);
 }
 
 #[test]
 fn a_lost_outcome_of_a_non_idempotent_request_is_unknown() {
-    let mut full = full(3);
-    let packet = request(FLOW, REQUEST, full.token);
-    request_only(&mut full, &packet);
-    let offer = take_offer(&mut full.world);
-    full.world.deliver(offer.clone());
-    lose_outcome(&mut full, offer);
-    assert_eq!(outcome(&mut full.world), caller::Outcome::Unknown);
-    full.world.send(&packet);
-    assert_eq!(outcome(&mut full.world), caller::Outcome::Unknown);
-    assert_eq!(full.world.runs.len(), 2);
+    let mut saturated = saturated(3);
+    let packet = request(FLOW, REQUEST, saturated.token);
+    request_undelivered(&mut saturated, &packet);
+    let offer = take_offer(&mut saturated.cluster);
+    saturated.cluster.deliver(offer.clone());
+    lose_outcome(&mut saturated, offer);
+    assert_eq!(
+        refused_outcome(&mut saturated.cluster),
+        caller::Outcome::Unknown
+    );
+    saturated.cluster.send(&packet);
+    assert_eq!(
+        refused_outcome(&mut saturated.cluster),
+        caller::Outcome::Unknown
+    );
+    assert_eq!(saturated.cluster.runs.len(), 2);
 }
 
 #[test]
 fn a_lost_outcome_of_an_idempotent_request_is_tried_again() {
-    let mut full = full(3);
-    request_only(&mut full, &idempotent(FLOW, REQUEST));
-    let offer = take_offer(&mut full.world);
-    full.world.deliver(offer.clone());
-    lose_outcome(&mut full, offer);
-    assert_eq!(full.world.runs.len(), 3);
-    full.world.running.drain(..2);
-    full.world.answer("again");
-    assert_eq!(full.world.take_answer(REQUEST).unwrap(), b"again");
+    let mut saturated = saturated(3);
+    request_undelivered(&mut saturated, &idempotent(FLOW, REQUEST));
+    let offer = take_offer(&mut saturated.cluster);
+    saturated.cluster.deliver(offer.clone());
+    lose_outcome(&mut saturated, offer);
+    assert_eq!(saturated.cluster.runs.len(), 3);
+    saturated.cluster.running.drain(..2);
+    saturated.cluster.finish_with("again");
+    assert_eq!(saturated.cluster.take_answer(REQUEST).unwrap(), b"again");
 }
 
 /// Tells the holder that the call was sent and its result lost.
-fn lose_outcome(full: &mut Full, offer: Message) {
+fn lose_outcome(saturated: &mut Saturated, offer: Message) {
     let Message::Offer { offer, .. } = offer else {
         panic!("the message should be an offer");
     };
-    full.world.deliver(Message::Outcome {
-        to: full.holder,
+    saturated.cluster.deliver(Message::Outcome {
+        to: saturated.holder,
         offer: offer.id,
         outcome: Outcome::Unknown,
     });
-    full.world.settle();
+    saturated.cluster.deliver_all();
 }
 
 #[test]
 fn a_repeated_offer_runs_once() {
-    let mut full = full(2);
-    let packet = request(FLOW, REQUEST, full.token);
-    request_only(&mut full, &packet);
-    let offer = take_offer(&mut full.world);
-    full.world.deliver(offer.clone());
-    full.world.deliver(offer.clone());
-    assert_eq!(full.world.runs.len(), 2);
-    full.world.running.remove(0);
-    full.world.answer("once");
-    full.world.deliver(offer);
-    full.world.settle();
-    assert_eq!(full.world.runs.len(), 2);
-    assert_eq!(full.world.take_answer(REQUEST).unwrap(), b"once");
+    let mut saturated = saturated(2);
+    let packet = request(FLOW, REQUEST, saturated.token);
+    request_undelivered(&mut saturated, &packet);
+    let offer = take_offer(&mut saturated.cluster);
+    saturated.cluster.deliver(offer.clone());
+    saturated.cluster.deliver(offer.clone());
+    assert_eq!(saturated.cluster.runs.len(), 2);
+    saturated.cluster.running.remove(0);
+    saturated.cluster.finish_with("once");
+    saturated.cluster.deliver(offer);
+    saturated.cluster.deliver_all();
+    assert_eq!(saturated.cluster.runs.len(), 2);
+    assert_eq!(saturated.cluster.take_answer(REQUEST).unwrap(), b"once");
 }
 
 #[test]
 fn a_refused_offer_never_runs() {
-    let mut full = full(2);
-    let other = 1 - full.holder;
-    let busy = full.world.open_at(2, other);
-    full.world.send_along(&request(2, 1, busy), &[other]);
-    let packet = request(FLOW, REQUEST, full.token);
-    request_only(&mut full, &packet);
-    let offer = take_offer(&mut full.world);
-    full.world.deliver(offer.clone());
-    full.world.settle();
+    let mut saturated = saturated(2);
+    let other = 1 - saturated.holder;
+    let busy = saturated.cluster.open_at(2, other);
+    saturated.cluster.send_along(&request(2, 1, busy), &[other]);
+    let packet = request(FLOW, REQUEST, saturated.token);
+    request_undelivered(&mut saturated, &packet);
+    let offer = take_offer(&mut saturated.cluster);
+    saturated.cluster.deliver(offer.clone());
+    saturated.cluster.deliver_all();
     // The other agent has a free slot again when a copy of the offer comes.
-    let position = full.world.running.iter().position(|it| it.agent == other);
-    full.world.running.swap(0, position.unwrap());
-    full.world.answer("done");
-    full.world.deliver(offer);
-    full.world.settle();
-    let ran: Vec<u64> = full.world.runs.iter().map(|it| it.job.request).collect();
+    let position = saturated
+        .cluster
+        .running
+        .iter()
+        .position(|it| it.agent == other);
+    saturated.cluster.running.swap(0, position.unwrap());
+    saturated.cluster.finish_with("done");
+    saturated.cluster.deliver(offer);
+    saturated.cluster.deliver_all();
+    let ran: Vec<u64> = saturated
+        .cluster
+        .runs
+        .iter()
+        .map(|it| it.job.request)
+        .collect();
     assert!(!ran.contains(&REQUEST));
 }
 
 #[test]
 fn a_request_that_nobody_takes_queues_at_its_holder() {
-    let mut full = full(2);
-    let other = 1 - full.holder;
-    let busy = full.world.open_at(2, other);
-    full.world.send_along(&request(2, 1, busy), &[other]);
-    full.world.send(&request(FLOW, REQUEST, full.token));
-    assert_eq!(full.world.runs.len(), 2);
-    full.world.answer("first");
-    let last = full.world.runs.last().unwrap();
-    assert_eq!(last.agent, full.holder);
+    let mut saturated = saturated(2);
+    let other = 1 - saturated.holder;
+    let busy = saturated.cluster.open_at(2, other);
+    saturated.cluster.send_along(&request(2, 1, busy), &[other]);
+    saturated
+        .cluster
+        .send(&request(FLOW, REQUEST, saturated.token));
+    assert_eq!(saturated.cluster.runs.len(), 2);
+    saturated.cluster.finish_with("first");
+    let last = saturated.cluster.runs.last().unwrap();
+    assert_eq!(last.agent, saturated.holder);
     assert_eq!(last.job.request, REQUEST);
 }
 
 #[test]
 fn an_agent_that_cannot_be_reached_costs_no_request() {
-    let mut full = full(2);
-    let other = 1 - full.holder;
-    full.world.agents[other] = None;
-    full.world.send(&request(FLOW, REQUEST, full.token));
-    full.world.answer("first");
-    full.world.answer("here");
-    assert_eq!(full.world.take_answer(REQUEST).unwrap(), b"here");
+    let mut saturated = saturated(2);
+    let other = 1 - saturated.holder;
+    saturated.cluster.agents[other] = None;
+    saturated
+        .cluster
+        .send(&request(FLOW, REQUEST, saturated.token));
+    saturated.cluster.finish_with("first");
+    saturated.cluster.finish_with("here");
+    assert_eq!(saturated.cluster.take_answer(REQUEST).unwrap(), b"here");
 }
 
 #[test]
 fn a_cancel_travels_to_the_agent_that_runs_the_request() {
-    let mut full = full(2);
-    full.world.send(&request(FLOW, REQUEST, full.token));
-    let job = full.world.runs[1].job.id;
-    full.world.send(&cancel(FLOW, REQUEST, full.token));
-    assert_eq!(full.world.aborted, vec![job]);
-    assert_eq!(outcome(&mut full.world), caller::Outcome::Unknown);
-    let other = 1 - full.holder;
-    assert_eq!(full.world.status(other).tasks, 0);
+    let mut saturated = saturated(2);
+    saturated
+        .cluster
+        .send(&request(FLOW, REQUEST, saturated.token));
+    let job = saturated.cluster.runs[1].job.id;
+    saturated
+        .cluster
+        .send(&cancel(FLOW, REQUEST, saturated.token));
+    assert_eq!(saturated.cluster.aborted, vec![job]);
+    assert_eq!(
+        refused_outcome(&mut saturated.cluster),
+        caller::Outcome::Unknown
+    );
+    let other = 1 - saturated.holder;
+    assert_eq!(saturated.cluster.status(other).tasks, 0);
 }
 
 #[test]
 fn a_withdrawal_that_overtakes_its_offer_stops_it() {
-    let mut full = full(2);
-    let packet = request(FLOW, REQUEST, full.token);
-    request_only(&mut full, &packet);
-    let offer = take_offer(&mut full.world);
-    full.world.send(&cancel(FLOW, REQUEST, full.token));
-    full.world.deliver(offer);
-    full.world.settle();
-    assert_eq!(full.world.runs.len(), 1);
+    let mut saturated = saturated(2);
+    let packet = request(FLOW, REQUEST, saturated.token);
+    request_undelivered(&mut saturated, &packet);
+    let offer = take_offer(&mut saturated.cluster);
+    saturated
+        .cluster
+        .send(&cancel(FLOW, REQUEST, saturated.token));
+    saturated.cluster.deliver(offer);
+    saturated.cluster.deliver_all();
+    assert_eq!(saturated.cluster.runs.len(), 1);
 }
 
 #[test]
 fn a_passed_request_past_its_deadline_is_unknown_and_withdrawn() {
-    let mut full = full(2);
-    full.world
-        .send(&with_deadline(FLOW, REQUEST, full.token, 500));
-    assert_eq!(full.world.runs.len(), 2);
-    full.world.pass(Duration::from_millis(600));
-    assert_eq!(outcome(&mut full.world), caller::Outcome::Unknown);
-    assert_eq!(full.world.aborted.len(), 1);
+    let mut saturated = saturated(2);
+    saturated
+        .cluster
+        .send(&with_deadline(FLOW, REQUEST, saturated.token, 500));
+    assert_eq!(saturated.cluster.runs.len(), 2);
+    saturated.cluster.advance(Duration::from_millis(600));
+    assert_eq!(
+        refused_outcome(&mut saturated.cluster),
+        caller::Outcome::Unknown
+    );
+    assert_eq!(saturated.cluster.aborted.len(), 1);
 }
 
 #[test]
 fn a_request_shed_by_the_agent_that_has_it_is_tried_elsewhere() {
-    let mut full = full(3);
-    full.world.send(&request(FLOW, REQUEST, full.token));
-    full.world.running.remove(0);
+    let mut saturated = saturated(3);
+    saturated
+        .cluster
+        .send(&request(FLOW, REQUEST, saturated.token));
+    saturated.cluster.running.remove(0);
     let retry_after = Duration::from_secs(1);
-    full.world.finish(Completion::Shed { retry_after });
-    assert_eq!(full.world.runs.len(), 3);
-    assert_ne!(full.world.runs[1].agent, full.world.runs[2].agent);
-    full.world.answer("third");
-    assert_eq!(full.world.take_answer(REQUEST).unwrap(), b"third");
+    saturated.cluster.finish(Completion::Shed { retry_after });
+    assert_eq!(saturated.cluster.runs.len(), 3);
+    assert_ne!(
+        saturated.cluster.runs[1].agent,
+        saturated.cluster.runs[2].agent
+    );
+    saturated.cluster.finish_with("third");
+    assert_eq!(saturated.cluster.take_answer(REQUEST).unwrap(), b"third");
 }
 
 #[test]
@@ -248,51 +297,51 @@
     let mut settings = settings();
     settings.gate.slots = 1;
     settings.retries.burst = 0;
-    let mut world = World::new(3, settings, independent());
+    let mut cluster = Cluster::new(3, settings, independent());
     let tokens: Vec<Token> = (0..3)
-        .map(|index| world.open_at(index as u64 + 1, index))
+        .map(|index| cluster.open_at(index as u64 + 1, index))
         .collect();
     for (index, &token) in tokens.iter().enumerate() {
-        world.send_along(&request(index as u64 + 1, 1, token), &[index]);
+        cluster.send_along(&request(index as u64 + 1, 1, token), &[index]);
     }
-    world.send_along(&request(1, 2, tokens[0]), &[0]);
-    assert_eq!(world.status(0).counters.get(Counter::Passed), 1);
-    assert_eq!(world.runs.len(), 3);
+    cluster.send_along(&request(1, 2, tokens[0]), &[0]);
+    assert_eq!(cluster.status(0).counters.get(Counter::Passed), 1);
+    assert_eq!(cluster.runs.len(), 3);
 }
 
 #[test]
 fn a_draining_holder_passes_what_it_can() {
-    let mut world = World::new(2, settings(), independent());
-    let token = world.open(FLOW);
-    let holder = world::holder(token);
-    world.event(holder, Event::Drain);
-    world.tell_all();
-    world.send(&request(FLOW, REQUEST, token));
-    assert_ne!(world.runs[0].agent, holder);
+    let mut cluster = Cluster::new(2, settings(), independent());
+    let token = cluster.open(FLOW);
+    let holder = cluster::holder(token);
+    cluster.event(holder, Event::Drain);
+    cluster.send_views();
+    cluster.send(&request(FLOW, REQUEST, token));
+    assert_ne!(cluster.runs[0].agent, holder);
 }
 
 #[test]
 fn an_offer_of_another_service_is_refused() {
-    let mut full = full(2);
-    let packet = request(FLOW, REQUEST, full.token);
-    request_only(&mut full, &packet);
+    let mut saturated = saturated(2);
+    let packet = request(FLOW, REQUEST, saturated.token);
+    request_undelivered(&mut saturated, &packet);
     let Message::Offer {
         from,
         to,
         connected,
         mut offer,
-    } = take_offer(&mut full.world)
+    } = take_offer(&mut saturated.cluster)
     else {
         panic!("the message should be an offer");
     };
     offer.service = "192.0.2.2:53".parse().unwrap();
-    full.world.deliver(Message::Offer {
+    saturated.cluster.deliver(Message::Offer {
         from,
         to,
         connected,
         offer,
     });
-    assert_eq!(full.world.runs.len(), 1);
+    assert_eq!(saturated.cluster.runs.len(), 1);
 }
 
 #[test]
@@ -300,12 +349,12 @@
     let mut settings = settings();
     settings.gate.slots = 1;
     settings.pass.max_offers = 0;
-    let mut world = World::new(2, settings, independent());
-    let token = world.open(FLOW);
-    world.send(&request(FLOW, 1, token));
-    world.send(&request(FLOW, REQUEST, token));
-    assert_eq!(world.runs.len(), 1);
-    let refusal = world.take_refusal().unwrap();
+    let mut cluster = Cluster::new(2, settings, independent());
+    let token = cluster.open(FLOW);
+    cluster.send(&request(FLOW, 1, token));
+    cluster.send(&request(FLOW, REQUEST, token));
+    assert_eq!(cluster.runs.len(), 1);
+    let refusal = cluster.take_refusal().unwrap();
     assert_eq!(refusal.reason(), Reason::BackendFailed);
     assert_eq!(refusal.outcome(), caller::Outcome::Unknown);
 }
--- a/roles/agent/tests/replay.rs
+++ b/roles/agent/tests/replay.rs
@@ -1,5 +1,5 @@
 //! Replays the recorded traces in `traces/` against their stated outcomes.
-mod world;
+mod cluster;
 
 use std::fs;
 use std::path::Path;
@@ -9,15 +9,15 @@
 use agent::Event;
 use agent::view::Service;
 use bytes::Bytes;
+use cluster::Cluster;
 use wire::Token;
 use wire::caller::Packet;
 use wire::caller::packet::Body;
 use wire::target::State;
-use world::World;
 
 /// A trace that is being replayed.
 struct Replay {
-    world: World,
+    cluster: Cluster,
     origin: Duration,
     line: String,
 }
@@ -47,7 +47,7 @@
         let mut words = line.split_whitespace();
         let millis: u64 = words.next().unwrap().parse().unwrap();
         replay.wait_until(Duration::from_millis(millis));
-        replay.take(&words.collect::<Vec<_>>());
+        replay.run_line(&words.collect::<Vec<_>>());
     }
 }
 
@@ -56,29 +56,29 @@
     let ["agents", count, binding, "slots", slots] = words[..] else {
         panic!("the header should be: agents COUNT bound|independent slots COUNT");
     };
-    let mut settings = world::settings();
+    let mut settings = cluster::settings();
     settings.gate.slots = slots.parse().unwrap();
     let service = match binding {
-        "independent" => world::independent(),
+        "independent" => cluster::independent(),
         _ => Service::default(),
     };
-    let world = World::new(count.parse().unwrap(), settings, service);
+    let cluster = Cluster::new(count.parse().unwrap(), settings, service);
     Replay {
-        origin: world.now,
-        world,
+        origin: cluster.now,
+        cluster,
         line: String::new(),
     }
 }
 
 impl Replay {
     fn wait_until(&mut self, time: Duration) {
-        let time = (self.origin + time).saturating_sub(self.world.now);
-        self.world.pass(time);
+        let time = (self.origin + time).saturating_sub(self.cluster.now);
+        self.cluster.advance(time);
     }
 
-    fn take(&mut self, words: &[&str]) {
+    fn run_line(&mut self, words: &[&str]) {
         match words {
-            ["open", flow, "via", path] => self.send(&world::open(number(flow)), path),
+            ["open", flow, "via", path] => self.send(&cluster::open(number(flow)), path),
             [
                 "request",
                 flow,
@@ -93,26 +93,26 @@
                 self.send(&packet, path);
             }
             ["cancel", flow, id, "token", token, "via", path] => {
-                let packet = world::cancel(number(flow), number(id), read_token(token));
+                let packet = cluster::cancel(number(flow), number(id), read_token(token));
                 self.send(&packet, path);
             }
             ["close", flow, "token", token, "via", path] => {
-                self.send(&world::close(number(flow), read_token(token)), path);
+                self.send(&cluster::close(number(flow), read_token(token)), path);
             }
             ["finish", id, result @ ..] => self.finish(number(id), result),
-            ["freeze", agent] => self.world.freeze(index(agent)),
-            ["thaw", agent] => self.world.thaw(index(agent)),
-            ["restart", agent] => self.world.restart(index(agent)),
-            ["replace", agent] => self.tell(agent, Event::Replace),
-            ["stop", agent] => self.tell(agent, Event::Stop),
-            ["drain", agent] => self.tell(agent, Event::Drain),
-            ["left", agent] => self.world.tell_others(index(agent)),
-            ["views"] => self.world.tell_all(),
+            ["freeze", agent] => self.cluster.freeze(index(agent)),
+            ["thaw", agent] => self.cluster.thaw(index(agent)),
+            ["restart", agent] => self.cluster.restart(index(agent)),
+            ["replace", agent] => self.send_event(agent, Event::Replace),
+            ["stop", agent] => self.send_event(agent, Event::Stop),
+            ["drain", agent] => self.send_event(agent, Event::Drain),
+            ["left", agent] => self.cluster.remove_from_views(index(agent)),
+            ["views"] => self.cluster.send_views(),
             ["view", agent, "without", other] => {
-                let mut targets = self.world.targets.clone();
+                let mut targets = self.cluster.targets.clone();
                 targets.remove(index(other));
-                self.world.tell_view_of(index(agent), targets);
-                self.world.settle();
+                self.cluster.send_view_of(index(agent), targets);
+                self.cluster.deliver_all();
             }
             ["expect", outcome @ ..] => self.expect(outcome),
             _ => panic!("{}: unknown line", self.line),
@@ -121,22 +121,22 @@
 
     fn send(&mut self, packet: &Packet, path: &str) {
         let path: Vec<usize> = path.split(',').map(index).collect();
-        self.world.send_along(packet, &path);
+        self.cluster.send_along(packet, &path);
     }
 
-    fn tell(&mut self, agent: &str, event: Event) {
-        self.world.event(index(agent), event);
-        self.world.settle();
+    fn send_event(&mut self, agent: &str, event: Event) {
+        self.cluster.event(index(agent), event);
+        self.cluster.deliver_all();
     }
 
     fn finish(&mut self, request: u64, result: &[&str]) {
-        let running = &mut self.world.running;
+        let running = &mut self.cluster.running;
         let position = running
             .iter()
             .position(|it| it.job.request == request)
             .unwrap_or_else(|| panic!("{}: the request should be running", self.line));
         running.swap(0, position);
-        self.world.finish(match result {
+        self.cluster.finish(match result {
             ["answered", text] => Completion::Completed(Bytes::from((*text).to_owned())),
             ["shed"] => Completion::Shed {
                 retry_after: Duration::from_millis(100),
@@ -150,32 +150,36 @@
         let line = &self.line;
         match outcome {
             ["opened", token] => {
-                assert_eq!(self.world.take_opened(), Some(read_token(token)), "{line}");
+                assert_eq!(
+                    self.cluster.take_opened(),
+                    Some(read_token(token)),
+                    "{line}"
+                );
             }
             ["answer", id, text] => {
-                let answer = self.world.take_answer(number(id));
+                let answer = self.cluster.take_answer(number(id));
                 assert_eq!(answer.as_deref(), Some(text.as_bytes()), "{line}");
             }
             ["refused", id, reason, outcome] => {
-                let refusal = self.world.take_refusal();
+                let refusal = self.cluster.take_refusal();
                 let refusal = refusal.unwrap_or_else(|| panic!("{line}: no refusal"));
                 assert_eq!(refusal.request, number(id), "{line}");
                 assert_eq!(format!("{:?}", refusal.reason()), *reason, "{line}");
                 assert_eq!(format!("{:?}", refusal.outcome()), *outcome, "{line}");
             }
             ["closed"] => {
-                let replies = std::mem::take(&mut self.world.replies);
+                let replies = std::mem::take(&mut self.cluster.replies);
                 let is_closed = |packet: &Packet| matches!(packet.body, Some(Body::Closed(_)));
                 assert!(replies.iter().any(is_closed), "{line}");
             }
-            ["silence"] => assert!(self.world.replies.is_empty(), "{line}"),
+            ["silence"] => assert!(self.cluster.replies.is_empty(), "{line}"),
             ["runs", count] => {
-                assert_eq!(self.world.runs.len() as u64, number(count), "{line}");
+                assert_eq!(self.cluster.runs.len() as u64, number(count), "{line}");
             }
             ["exited", agent] => {
-                assert!(self.world.exited.contains(&index(agent)), "{line}");
+                assert!(self.cluster.exited.contains(&index(agent)), "{line}");
                 assert_eq!(
-                    self.world.targets[index(agent)].state,
+                    self.cluster.targets[index(agent)].state,
                     State::Left,
                     "{line}"
                 );
@@ -186,7 +190,7 @@
 }
 
 fn request(flow: u64, id: u64, token: &str, options: &[&str]) -> Packet {
-    let mut packet = world::idempotent(flow, id);
+    let mut packet = cluster::idempotent(flow, id);
     if let Some(Body::Request(request)) = &mut packet.body {
         request.idempotent = options.contains(&"idempotent");
         if token != "none" {
@@ -203,7 +207,7 @@
 fn read_token(text: &str) -> Token {
     let (agent, incarnation) = text.split_once('/').unwrap();
     Token {
-        target: world::target(index(agent)).id,
+        target: cluster::target(index(agent)).id,
         incarnation: number(incarnation),
     }
 }
--- a/roles/agent/tests/requests.rs
+++ b/roles/agent/tests/requests.rs
@@ -1,119 +1,119 @@
 //! Requests run at most once, and never after "not run" was said.
-mod world;
+mod cluster;
 
 use std::time::Duration;
 
 use agent::Completion;
 use agent::status::Counter;
 use bytes::Bytes;
+use cluster::Cluster;
+use cluster::FLOW;
+use cluster::REQUEST;
+use cluster::assert_refused;
+use cluster::fetch;
+use cluster::holder;
+use cluster::idempotent;
+use cluster::one_busy_agent;
+use cluster::request;
+use cluster::settings;
+use cluster::with_deadline;
 use wire::Token;
 use wire::caller::Outcome;
 use wire::caller::Packet;
 use wire::caller::Reason;
 use wire::caller::packet::Body;
-use world::FLOW;
-use world::REQUEST;
-use world::World;
-use world::assert_refused;
-use world::busy;
-use world::fetch;
-use world::holder;
-use world::idempotent;
-use world::request;
-use world::settings;
-use world::with_deadline;
 
 #[test]
 fn an_opened_flow_serves_a_request() {
-    let mut world = World::bound(3);
-    let token = world.open(FLOW);
-    world.send(&request(FLOW, REQUEST, token));
-    world.answer("on duty");
-    assert_eq!(world.take_answer(REQUEST).unwrap(), b"on duty");
-    assert_eq!(world.runs.len(), 1);
+    let mut cluster = Cluster::bound(3);
+    let token = cluster.open(FLOW);
+    cluster.send(&request(FLOW, REQUEST, token));
+    cluster.finish_with("on duty");
+    assert_eq!(cluster.take_answer(REQUEST).unwrap(), b"on duty");
+    assert_eq!(cluster.runs.len(), 1);
 }
 
 #[test]
 fn a_repeat_of_a_running_request_waits() {
-    let mut world = World::bound(3);
-    let token = world.open(FLOW);
-    world.send(&request(FLOW, REQUEST, token));
-    world.send(&request(FLOW, REQUEST, token));
-    assert_eq!(world.runs.len(), 1);
-    world.answer("once");
-    assert_eq!(world.take_answer(REQUEST).unwrap(), b"once");
+    let mut cluster = Cluster::bound(3);
+    let token = cluster.open(FLOW);
+    cluster.send(&request(FLOW, REQUEST, token));
+    cluster.send(&request(FLOW, REQUEST, token));
+    assert_eq!(cluster.runs.len(), 1);
+    cluster.finish_with("once");
+    assert_eq!(cluster.take_answer(REQUEST).unwrap(), b"once");
 }
 
 #[test]
 fn a_late_repeat_gets_the_recorded_answer() {
-    let mut world = World::bound(3);
-    let token = world.open(FLOW);
-    world.send(&request(FLOW, REQUEST, token));
-    world.answer("once");
-    world.replies.clear();
-    world.send(&request(FLOW, REQUEST, token));
-    assert_eq!(world.take_answer(REQUEST).unwrap(), b"once");
-    assert_eq!(world.runs.len(), 1);
+    let mut cluster = Cluster::bound(3);
+    let token = cluster.open(FLOW);
+    cluster.send(&request(FLOW, REQUEST, token));
+    cluster.finish_with("once");
+    cluster.replies.clear();
+    cluster.send(&request(FLOW, REQUEST, token));
+    assert_eq!(cluster.take_answer(REQUEST).unwrap(), b"once");
+    assert_eq!(cluster.runs.len(), 1);
 }
 
 #[test]
 fn a_copy_after_the_record_is_gone_is_unknown() {
-    let mut world = World::bound(1);
-    let token = world.open(FLOW);
-    world.send(&request(FLOW, REQUEST, token));
-    world.answer("once");
-    world.pass(Duration::from_mins(5));
-    assert_eq!(world.status(0).records, 0);
-    world.replies.clear();
-    world.send(&request(FLOW, REQUEST, token));
-    assert_refused(&mut world, Reason::TableFull, Outcome::Unknown);
-    assert_eq!(world.runs.len(), 1);
+    let mut cluster = Cluster::bound(1);
+    let token = cluster.open(FLOW);
+    cluster.send(&request(FLOW, REQUEST, token));
+    cluster.finish_with("once");
+    cluster.advance(Duration::from_mins(5));
+    assert_eq!(cluster.status(0).records, 0);
+    cluster.replies.clear();
+    cluster.send(&request(FLOW, REQUEST, token));
+    assert_refused(&mut cluster, Reason::TableFull, Outcome::Unknown);
+    assert_eq!(cluster.runs.len(), 1);
 }
 
 #[test]
 fn crossed_answers_reach_their_own_requests() {
-    let mut world = World::bound(1);
-    let token = world.open(FLOW);
-    world.send(&request(FLOW, REQUEST, token));
-    world.answer("warm");
-    world.send(&request(FLOW, 1, token));
-    world.send(&request(FLOW, 2, token));
-    world.running.reverse();
-    world.answer("second");
-    assert_eq!(world.take_answer(2).unwrap(), b"second");
-    world.answer("first");
-    assert_eq!(world.take_answer(1).unwrap(), b"first");
+    let mut cluster = Cluster::bound(1);
+    let token = cluster.open(FLOW);
+    cluster.send(&request(FLOW, REQUEST, token));
+    cluster.finish_with("warm");
+    cluster.send(&request(FLOW, 1, token));
+    cluster.send(&request(FLOW, 2, token));
+    cluster.running.reverse();
+    cluster.finish_with("second");
+    assert_eq!(cluster.take_answer(2).unwrap(), b"second");
+    cluster.finish_with("first");
+    assert_eq!(cluster.take_answer(1).unwrap(), b"first");
 }
 
 #[test]
 fn a_queued_request_past_its_deadline_did_not_run() {
-    let (mut world, token) = busy();
-    world.send(&with_deadline(FLOW, 2, token, 100));
-    world.pass(Duration::from_millis(200));
-    assert_refused(&mut world, Reason::Deadline, Outcome::NotRun);
-    world.answer("first");
-    assert_eq!(world.runs.len(), 1);
+    let (mut cluster, token) = one_busy_agent();
+    cluster.send(&with_deadline(FLOW, 2, token, 100));
+    cluster.advance(Duration::from_millis(200));
+    assert_refused(&mut cluster, Reason::Deadline, Outcome::NotRun);
+    cluster.finish_with("first");
+    assert_eq!(cluster.runs.len(), 1);
 }
 
 #[test]
 fn a_refusal_at_the_deadline_says_when_to_come_back() {
-    let (mut world, token) = busy();
-    world.send(&with_deadline(FLOW, 2, token, 100));
-    world.pass(Duration::from_millis(200));
-    let refusal = world.take_refusal().unwrap();
+    let (mut cluster, token) = one_busy_agent();
+    cluster.send(&with_deadline(FLOW, 2, token, 100));
+    cluster.advance(Duration::from_millis(200));
+    let refusal = cluster.take_refusal().unwrap();
     assert!(refusal.retry_after_ms > 0);
 }
 
 #[test]
 fn times_to_come_back_after_a_deadline_are_spread() {
-    let (mut world, token) = busy();
-    world.send(&with_deadline(FLOW, 2, token, 100));
-    world.pass(Duration::from_millis(200));
-    world.replies.clear();
+    let (mut cluster, token) = one_busy_agent();
+    cluster.send(&with_deadline(FLOW, 2, token, 100));
+    cluster.advance(Duration::from_millis(200));
+    cluster.replies.clear();
     let mut times: Vec<u32> = (0..10)
         .map(|_| {
-            world.send(&with_deadline(FLOW, 2, token, 100));
-            world.take_refusal().unwrap().retry_after_ms
+            cluster.send(&with_deadline(FLOW, 2, token, 100));
+            cluster.take_refusal().unwrap().retry_after_ms
         })
         .collect();
     times.sort_unstable();
@@ -123,12 +123,12 @@
 
 #[test]
 fn callers_refused_together_do_not_return_together() {
-    let (mut world, token) = busy();
+    let (mut cluster, token) = one_busy_agent();
     for id in 2..12 {
-        world.send(&with_deadline(FLOW, id, token, 100));
+        cluster.send(&with_deadline(FLOW, id, token, 100));
     }
-    world.pass(Duration::from_millis(200));
-    let mut times: Vec<u32> = world
+    cluster.advance(Duration::from_millis(200));
+    let mut times: Vec<u32> = cluster
         .replies
         .iter()
         .filter_map(|packet| match &packet.body {
@@ -144,60 +144,60 @@
 
 #[test]
 fn a_copy_after_not_run_is_refused_too() {
-    let (mut world, token) = busy();
-    world.send(&with_deadline(FLOW, 2, token, 100));
-    world.pass(Duration::from_millis(200));
-    world.answer("first");
-    world.replies.clear();
-    world.send(&with_deadline(FLOW, 2, token, 60_000));
-    assert_refused(&mut world, Reason::Deadline, Outcome::NotRun);
-    assert_eq!(world.runs.len(), 1);
+    let (mut cluster, token) = one_busy_agent();
+    cluster.send(&with_deadline(FLOW, 2, token, 100));
+    cluster.advance(Duration::from_millis(200));
+    cluster.finish_with("first");
+    cluster.replies.clear();
+    cluster.send(&with_deadline(FLOW, 2, token, 60_000));
+    assert_refused(&mut cluster, Reason::Deadline, Outcome::NotRun);
+    assert_eq!(cluster.runs.len(), 1);
 }
 
 #[test]
 fn an_idempotent_copy_after_not_run_is_refused_too() {
-    let (mut world, token) = busy();
-    world.send(&named(idempotent(FLOW, 2), token, 100));
-    world.pass(Duration::from_millis(200));
-    world.answer("first");
-    world.replies.clear();
-    world.send(&named(idempotent(FLOW, 2), token, 10_000));
-    assert_refused(&mut world, Reason::Deadline, Outcome::NotRun);
-    assert_eq!(world.runs.len(), 1);
+    let (mut cluster, token) = one_busy_agent();
+    cluster.send(&named(idempotent(FLOW, 2), token, 100));
+    cluster.advance(Duration::from_millis(200));
+    cluster.finish_with("first");
+    cluster.replies.clear();
+    cluster.send(&named(idempotent(FLOW, 2), token, 10_000));
+    assert_refused(&mut cluster, Reason::Deadline, Outcome::NotRun);
+    assert_eq!(cluster.runs.len(), 1);
 }
 
 /// Another agent may hold the flow too, after two opens, and run it.
 #[test]
 fn not_run_is_not_said_of_a_request_that_names_no_holder() {
-    let (mut world, _) = busy();
+    let (mut cluster, _) = one_busy_agent();
     let mut packet = idempotent(FLOW, 2);
     if let Some(Body::Request(request)) = &mut packet.body {
         request.deadline_ms = 100;
     }
-    world.send(&packet);
-    world.pass(Duration::from_millis(200));
-    assert_refused(&mut world, Reason::Deadline, Outcome::Unknown);
+    cluster.send(&packet);
+    cluster.advance(Duration::from_millis(200));
+    assert_refused(&mut cluster, Reason::Deadline, Outcome::Unknown);
 }
 
 #[test]
 fn an_idempotent_request_runs_only_where_it_names_its_holder() {
-    let mut world = World::bound(2);
-    let first = world.open_at(FLOW, 0);
-    world.open_at(FLOW, 1);
-    world.send_along(&named(idempotent(FLOW, REQUEST), first, 1_000), &[1]);
-    assert_eq!(world.runs[0].agent, 0);
+    let mut cluster = Cluster::bound(2);
+    let first = cluster.open_at(FLOW, 0);
+    cluster.open_at(FLOW, 1);
+    cluster.send_along(&named(idempotent(FLOW, REQUEST), first, 1_000), &[1]);
+    assert_eq!(cluster.runs[0].agent, 0);
 }
 
 /// The holder is frozen while a request waits for its slot; what wakes it is
 /// the end of the job before.
 #[test]
 fn a_holder_frozen_between_recording_and_running_does_not_run() {
-    let (mut world, token) = busy();
-    world.send(&with_deadline(FLOW, 2, token, 500));
-    world.now += Duration::from_mins(1);
-    world.answer("first");
-    assert_eq!(world.runs.len(), 1);
-    let refusal = world
+    let (mut cluster, token) = one_busy_agent();
+    cluster.send(&with_deadline(FLOW, 2, token, 500));
+    cluster.now += Duration::from_mins(1);
+    cluster.finish_with("first");
+    assert_eq!(cluster.runs.len(), 1);
+    let refusal = cluster
         .replies
         .iter()
         .find_map(|packet| match &packet.body {
@@ -211,101 +211,101 @@
 /// Both the running and the waiting request expire while the holder is frozen.
 #[test]
 fn a_frozen_holder_does_not_run_what_expired_behind_an_expired_request() {
-    let (mut world, token) = busy();
-    world.send(&with_deadline(FLOW, 2, token, 9_000));
-    world.now += Duration::from_mins(1);
-    world.tick();
-    assert_eq!(world.runs.len(), 1);
+    let (mut cluster, token) = one_busy_agent();
+    cluster.send(&with_deadline(FLOW, 2, token, 9_000));
+    cluster.now += Duration::from_mins(1);
+    cluster.tick();
+    assert_eq!(cluster.runs.len(), 1);
 }
 
 #[test]
 fn a_running_request_past_its_deadline_is_unknown_and_frees_its_slot() {
-    let (mut world, token) = busy();
-    world.pass(Duration::from_secs(11));
-    assert_refused(&mut world, Reason::Deadline, Outcome::Unknown);
-    assert_eq!(world.aborted.len(), 1);
-    world.send(&request(FLOW, 2, token));
-    assert_eq!(world.runs.len(), 2);
+    let (mut cluster, token) = one_busy_agent();
+    cluster.advance(Duration::from_secs(11));
+    assert_refused(&mut cluster, Reason::Deadline, Outcome::Unknown);
+    assert_eq!(cluster.aborted.len(), 1);
+    cluster.send(&request(FLOW, 2, token));
+    assert_eq!(cluster.runs.len(), 2);
 }
 
 #[test]
 fn a_request_that_states_no_deadline_gets_the_default() {
-    let mut world = World::bound(1);
-    let token = world.open(FLOW);
-    world.send(&with_deadline(FLOW, REQUEST, token, 0));
+    let mut cluster = Cluster::bound(1);
+    let token = cluster.open(FLOW);
+    cluster.send(&with_deadline(FLOW, REQUEST, token, 0));
     let default = agent::view::Service::default().default_deadline;
-    assert_eq!(world.runs[0].job.deadline, world.now + default);
+    assert_eq!(cluster.runs[0].job.deadline, cluster.now + default);
 }
 
 #[test]
 fn a_deadline_beyond_the_limit_is_cut() {
-    let mut world = World::bound(1);
-    let token = world.open(FLOW);
-    world.send(&with_deadline(FLOW, REQUEST, token, u32::MAX));
+    let mut cluster = Cluster::bound(1);
+    let token = cluster.open(FLOW);
+    cluster.send(&with_deadline(FLOW, REQUEST, token, u32::MAX));
     let max = agent::view::Service::default().max_deadline;
-    assert_eq!(world.runs[0].job.deadline, world.now + max);
+    assert_eq!(cluster.runs[0].job.deadline, cluster.now + max);
 }
 
 #[test]
 fn an_answer_beyond_the_limit_is_unknown() {
-    let mut world = World::bound(1);
-    let token = world.open(FLOW);
-    world.send(&request(FLOW, REQUEST, token));
+    let mut cluster = Cluster::bound(1);
+    let token = cluster.open(FLOW);
+    cluster.send(&request(FLOW, REQUEST, token));
     let max = agent::view::Service::default().max_answer_bytes;
-    world.answer(&"x".repeat(max + 1));
-    assert_refused(&mut world, Reason::TooLarge, Outcome::Unknown);
+    cluster.finish_with(&"x".repeat(max + 1));
+    assert_refused(&mut cluster, Reason::TooLarge, Outcome::Unknown);
 }
 
 #[test]
 fn a_request_for_a_dead_incarnation_is_unknown() {
-    let mut world = World::bound(3);
-    let token = world.open(FLOW);
-    world.send(&request(FLOW, REQUEST, token));
-    world.restart(holder(token));
-    world.tell_all();
-    world.send(&request(FLOW, REQUEST, token));
-    assert_refused(&mut world, Reason::FlowUnknown, Outcome::Unknown);
-    assert_eq!(world.runs.len(), 1);
+    let mut cluster = Cluster::bound(3);
+    let token = cluster.open(FLOW);
+    cluster.send(&request(FLOW, REQUEST, token));
+    cluster.restart(holder(token));
+    cluster.send_views();
+    cluster.send(&request(FLOW, REQUEST, token));
+    assert_refused(&mut cluster, Reason::FlowUnknown, Outcome::Unknown);
+    assert_eq!(cluster.runs.len(), 1);
 }
 
 #[test]
 fn a_flow_opened_again_does_not_revive_an_old_token() {
-    let mut world = World::bound(1);
-    let old = world.open(FLOW);
-    world.send(&request(FLOW, REQUEST, old));
-    world.restart(0);
-    world.tell_all();
-    let new = world.open(FLOW);
+    let mut cluster = Cluster::bound(1);
+    let old = cluster.open(FLOW);
+    cluster.send(&request(FLOW, REQUEST, old));
+    cluster.restart(0);
+    cluster.send_views();
+    let new = cluster.open(FLOW);
     assert_ne!(old, new);
-    world.send(&request(FLOW, REQUEST, old));
-    assert_refused(&mut world, Reason::WrongHolder, Outcome::Unknown);
-    assert_eq!(world.runs.len(), 1);
+    cluster.send(&request(FLOW, REQUEST, old));
+    assert_refused(&mut cluster, Reason::WrongHolder, Outcome::Unknown);
+    assert_eq!(cluster.runs.len(), 1);
 }
 
 #[test]
 fn a_non_idempotent_request_needs_a_token() {
-    let mut world = World::bound(1);
-    let token = world.open(FLOW);
+    let mut cluster = Cluster::bound(1);
+    let token = cluster.open(FLOW);
     let mut packet = request(FLOW, REQUEST, token);
     if let Some(Body::Request(request)) = &mut packet.body {
         request.holder = Bytes::new();
     }
-    world.send(&packet);
-    assert_refused(&mut world, Reason::WrongHolder, Outcome::Unknown);
-    assert!(world.runs.is_empty());
+    cluster.send(&packet);
+    assert_refused(&mut cluster, Reason::WrongHolder, Outcome::Unknown);
+    assert!(cluster.runs.is_empty());
 }
 
 #[test]
 fn an_answer_is_sent_in_chunks_and_fetched_again() {
-    let mut world = World::bound(1);
-    let token = world.open(FLOW);
-    world.send(&request(FLOW, REQUEST, token));
+    let mut cluster = Cluster::bound(1);
+    let token = cluster.open(FLOW);
+    cluster.send(&request(FLOW, REQUEST, token));
     let text = "rota ".repeat(1_000);
-    world.answer(&text);
-    assert_eq!(world.replies.len(), text.len().div_ceil(1_200));
-    assert_eq!(world.take_answer(REQUEST).unwrap(), text.as_bytes());
-    world.send(&fetch(FLOW, REQUEST, vec![3, 1, 99], token));
-    let indexes: Vec<u32> = world
+    cluster.finish_with(&text);
+    assert_eq!(cluster.replies.len(), text.len().div_ceil(1_200));
+    assert_eq!(cluster.take_answer(REQUEST).unwrap(), text.as_bytes());
+    cluster.send(&fetch(FLOW, REQUEST, vec![3, 1, 99], token));
+    let indexes: Vec<u32> = cluster
         .replies
         .iter()
         .filter_map(|packet| match &packet.body {
@@ -318,63 +318,63 @@
 
 #[test]
 fn a_shed_request_is_refused_as_not_run() {
-    let (mut world, token) = busy();
+    let (mut cluster, token) = one_busy_agent();
     let retry_after = Duration::from_secs(2);
-    world.finish(Completion::Shed { retry_after });
-    let refusal = world.take_refusal().unwrap();
+    cluster.finish(Completion::Shed { retry_after });
+    let refusal = cluster.take_refusal().unwrap();
     assert_eq!(refusal.reason(), Reason::Overloaded);
     assert_eq!(refusal.outcome(), Outcome::NotRun);
     assert!(refusal.retry_after_ms >= 1_000);
-    world.send(&request(FLOW, 1, token));
-    assert_refused(&mut world, Reason::Overloaded, Outcome::NotRun);
-    assert_eq!(world.runs.len(), 1);
+    cluster.send(&request(FLOW, 1, token));
+    assert_refused(&mut cluster, Reason::Overloaded, Outcome::NotRun);
+    assert_eq!(cluster.runs.len(), 1);
 }
 
 #[test]
 fn a_failed_non_idempotent_request_is_unknown() {
-    let (mut world, token) = busy();
-    world.finish(Completion::Failed { ran: true });
-    assert_refused(&mut world, Reason::BackendFailed, Outcome::Unknown);
-    world.send(&request(FLOW, 1, token));
-    assert_refused(&mut world, Reason::BackendFailed, Outcome::Unknown);
-    assert_eq!(world.runs.len(), 1);
+    let (mut cluster, token) = one_busy_agent();
+    cluster.finish(Completion::Failed { ran: true });
+    assert_refused(&mut cluster, Reason::BackendFailed, Outcome::Unknown);
+    cluster.send(&request(FLOW, 1, token));
+    assert_refused(&mut cluster, Reason::BackendFailed, Outcome::Unknown);
+    assert_eq!(cluster.runs.len(), 1);
 }
 
 #[test]
 fn a_failed_idempotent_request_is_tried_again() {
-    let mut world = World::bound(1);
-    world.open(FLOW);
-    world.send(&idempotent(FLOW, REQUEST));
-    world.finish(Completion::Failed { ran: true });
-    assert_eq!(world.runs.len(), 2);
-    world.answer("again");
-    assert_eq!(world.take_answer(REQUEST).unwrap(), b"again");
+    let mut cluster = Cluster::bound(1);
+    cluster.open(FLOW);
+    cluster.send(&idempotent(FLOW, REQUEST));
+    cluster.finish(Completion::Failed { ran: true });
+    assert_eq!(cluster.runs.len(), 2);
+    cluster.finish_with("again");
+    assert_eq!(cluster.take_answer(REQUEST).unwrap(), b"again");
 }
 
 #[test]
 fn a_request_that_did_not_reach_the_backend_server_is_tried_again() {
-    let mut world = World::bound(1);
-    let token = world.open(FLOW);
-    world.send(&request(FLOW, REQUEST, token));
-    world.finish(Completion::Failed { ran: false });
-    assert_eq!(world.runs.len(), 2);
-    world.answer("once");
-    assert_eq!(world.take_answer(REQUEST).unwrap(), b"once");
+    let mut cluster = Cluster::bound(1);
+    let token = cluster.open(FLOW);
+    cluster.send(&request(FLOW, REQUEST, token));
+    cluster.finish(Completion::Failed { ran: false });
+    assert_eq!(cluster.runs.len(), 2);
+    cluster.finish_with("once");
+    assert_eq!(cluster.take_answer(REQUEST).unwrap(), b"once");
 }
 
 /// An idempotent request that may have run must not be called "not run" when
 /// its second try expires in the queue.
 #[test]
 fn a_retry_that_expires_is_unknown_if_the_first_may_have_run() {
-    let (mut world, token) = busy();
-    world.send(&idempotent(FLOW, 2));
-    world.answer("first");
-    world.send(&request(FLOW, 3, token));
-    world.finish(Completion::Failed { ran: true });
+    let (mut cluster, token) = one_busy_agent();
+    cluster.send(&idempotent(FLOW, 2));
+    cluster.finish_with("first");
+    cluster.send(&request(FLOW, 3, token));
+    cluster.finish(Completion::Failed { ran: true });
     // Request 3 has the slot now, and request 2 waits for its second try.
-    world.replies.clear();
-    world.pass(Duration::from_secs(11));
-    let outcomes: Vec<Outcome> = world
+    cluster.replies.clear();
+    cluster.advance(Duration::from_secs(11));
+    let outcomes: Vec<Outcome> = cluster
         .replies
         .iter()
         .filter_map(|packet| match &packet.body {
@@ -387,14 +387,14 @@
 
 #[test]
 fn a_request_is_tried_again_twice_at_most() {
-    let mut world = World::bound(1);
-    let token = world.open(FLOW);
-    world.send(&request(FLOW, REQUEST, token));
+    let mut cluster = Cluster::bound(1);
+    let token = cluster.open(FLOW);
+    cluster.send(&request(FLOW, REQUEST, token));
     for _ in 0..3 {
-        world.finish(Completion::Failed { ran: false });
+        cluster.finish(Completion::Failed { ran: false });
     }
-    assert_refused(&mut world, Reason::BackendFailed, Outcome::NotRun);
-    assert_eq!(world.runs.len(), 3);
+    assert_refused(&mut cluster, Reason::BackendFailed, Outcome::NotRun);
+    assert_eq!(cluster.runs.len(), 3);
 }
 
 #[test]
@@ -402,14 +402,14 @@
     let mut settings = settings();
     settings.retries.burst = 1;
     settings.retries.percent = 0;
-    let mut world = World::new(1, settings, agent::view::Service::default());
-    world.open(FLOW);
-    world.send(&idempotent(FLOW, REQUEST));
-    world.finish(Completion::Failed { ran: true });
-    world.finish(Completion::Failed { ran: true });
-    assert_refused(&mut world, Reason::BackendFailed, Outcome::Unknown);
-    assert_eq!(world.runs.len(), 2);
-    let counters = world.status(0).counters;
+    let mut cluster = Cluster::new(1, settings, agent::view::Service::default());
+    cluster.open(FLOW);
+    cluster.send(&idempotent(FLOW, REQUEST));
+    cluster.finish(Completion::Failed { ran: true });
+    cluster.finish(Completion::Failed { ran: true });
+    assert_refused(&mut cluster, Reason::BackendFailed, Outcome::Unknown);
+    assert_eq!(cluster.runs.len(), 2);
+    let counters = cluster.status(0).counters;
     assert_eq!(counters.get(Counter::BudgetSpent), 1);
 }
 
--- a/roles/agent/tests/steps/mod.rs
+++ b/roles/agent/tests/transitions/mod.rs
@@ -10,7 +10,7 @@
 pub const FIRST_IDEMPOTENT: u64 = 4;
 
 #[derive(Clone, Copy, Debug)]
-pub enum Step {
+pub enum Transition {
     Open {
         flow: u64,
         agent: usize,
@@ -37,7 +37,7 @@
     Lose(usize),
     Finish {
         job: usize,
-        result: Ending,
+        result: JobResult,
     },
     Wait {
         millis: u64,
@@ -47,7 +47,7 @@
     Replace(usize),
     /// Replaces an agent and starts its successor; the message of this number
     /// on the way is lost.
-    Succeed {
+    ReplaceAndRestart {
         agent: usize,
         lost: usize,
     },
@@ -61,25 +61,25 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-pub enum Ending {
+pub enum JobResult {
     Completed,
     Shed,
     NotRun,
     Failed,
 }
 
-pub fn ending() -> impl Strategy<Value = Ending> {
+pub fn job_result() -> impl Strategy<Value = JobResult> {
     prop_oneof![
-        4 => Just(Ending::Completed),
-        1 => Just(Ending::Shed),
-        1 => Just(Ending::NotRun),
-        1 => Just(Ending::Failed),
+        4 => Just(JobResult::Completed),
+        1 => Just(JobResult::Shed),
+        1 => Just(JobResult::NotRun),
+        1 => Just(JobResult::Failed),
     ]
 }
 
-pub fn request() -> impl Strategy<Value = Step> {
+pub fn request() -> impl Strategy<Value = Transition> {
     (1..=FLOWS, 1..=REQUESTS, 0..4_usize, 0..AGENTS, 1..4_000_u32).prop_map(
-        |(flow, request, token, agent, deadline_ms)| Step::Request {
+        |(flow, request, token, agent, deadline_ms)| Transition::Request {
             flow,
             request,
             token,
@@ -89,26 +89,26 @@
     )
 }
 
-pub fn step() -> impl Strategy<Value = Step> {
+pub fn transition() -> impl Strategy<Value = Transition> {
     prop_oneof![
-        4 => (1..=FLOWS, 0..AGENTS).prop_map(|(flow, agent)| Step::Open { flow, agent }),
+        4 => (1..=FLOWS, 0..AGENTS).prop_map(|(flow, agent)| Transition::Open { flow, agent }),
         12 => request(),
         1 => (1..=FLOWS, 1..=REQUESTS, 0..AGENTS)
-            .prop_map(|(flow, request, agent)| Step::Cancel { flow, request, agent }),
-        1 => (1..=FLOWS, 0..AGENTS).prop_map(|(flow, agent)| Step::Close { flow, agent }),
-        10 => any::<usize>().prop_map(Step::Deliver),
-        6 => Just(Step::DeliverAll),
-        3 => any::<usize>().prop_map(Step::Duplicate),
-        2 => any::<usize>().prop_map(Step::Lose),
-        8 => (any::<usize>(), ending()).prop_map(|(job, result)| Step::Finish { job, result }),
-        4 => (1..800_u64).prop_map(|millis| Step::Wait { millis }),
-        2 => (0..AGENTS).prop_map(Step::Restart),
-        2 => (0..AGENTS).prop_map(Step::Replace),
+            .prop_map(|(flow, request, agent)| Transition::Cancel { flow, request, agent }),
+        1 => (1..=FLOWS, 0..AGENTS).prop_map(|(flow, agent)| Transition::Close { flow, agent }),
+        10 => any::<usize>().prop_map(Transition::Deliver),
+        6 => Just(Transition::DeliverAll),
+        3 => any::<usize>().prop_map(Transition::Duplicate),
+        2 => any::<usize>().prop_map(Transition::Lose),
+        8 => (any::<usize>(), job_result()).prop_map(|(job, result)| Transition::Finish { job, result }),
+        4 => (1..800_u64).prop_map(|millis| Transition::Wait { millis }),
+        2 => (0..AGENTS).prop_map(Transition::Restart),
+        2 => (0..AGENTS).prop_map(Transition::Replace),
         2 => (0..AGENTS, 0..20_usize)
-            .prop_map(|(agent, lost)| Step::Succeed { agent, lost }),
-        1 => (0..AGENTS).prop_map(Step::Stop),
-        1 => (0..AGENTS).prop_map(Step::Drain),
-        1 => (0..AGENTS).prop_map(Step::Resume),
-        2 => (0..AGENTS, 0..AGENTS).prop_map(|(agent, without)| Step::View { agent, without }),
+            .prop_map(|(agent, lost)| Transition::ReplaceAndRestart { agent, lost }),
+        1 => (0..AGENTS).prop_map(Transition::Stop),
+        1 => (0..AGENTS).prop_map(Transition::Drain),
+        1 => (0..AGENTS).prop_map(Transition::Resume),
+        2 => (0..AGENTS, 0..AGENTS).prop_map(|(agent, without)| Transition::View { agent, without }),
     ]
 }
