--- a/roles/agent/src/agent.rs
+++ b/roles/agent/src/agent.rs
@@ -1,4 +1,4 @@
-//! The agent's state, and how events and deadlines reach its parts.
+//! The agent's state, and the dispatch of events and deadlines to its modules.
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -43,7 +43,8 @@
 use crate::task::Timer;
 use crate::view;
 
-/// The agent beside one backend server.
+/// The agent beside one backend server: holds flows, admits requests, and
+/// exchanges flows and requests with the other agents of the service.
 ///
 /// ```
 /// use std::time::Duration;
@@ -76,19 +77,20 @@
     pub(crate) counters: Counters,
     pub(crate) view: View,
     pub(crate) order: Order,
-    /// Targets that were in an earlier view, with their last incarnation.
+    /// Targets that were in an earlier view and are not in the current one,
+    /// with their last known incarnation.
     pub(crate) departed: BTreeMap<TargetId, Incarnation>,
     pub(crate) flows: Table,
     pub(crate) ledger: Ledger,
     pub(crate) pins: pin::Table,
     pub(crate) gate: Gate,
-    /// Load of the flows held here.
+    /// Load that the flows held here put on the backend server.
     pub(crate) load: Load,
     pub(crate) budget: Budget,
     pub(crate) tasks: BTreeMap<JobId, Task>,
-    /// The task of each request of a flow that is held here.
+    /// Tasks by the request that they serve, for flows held here.
     pub(crate) tasks_by_request: HashMap<record::Key, JobId>,
-    /// The task of each offer that another agent has.
+    /// Tasks by the number of the offer that another agent holds for them.
     pub(crate) tasks_by_offer: HashMap<u64, JobId>,
     pub(crate) timers: BTreeSet<Timer>,
     pub(crate) next_id: u64,
@@ -101,7 +103,8 @@
     announced: Announced,
 }
 
-/// What was last announced.
+/// The state and weight last announced, and the earliest time for the next
+/// change of weight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Announced {
     state: State,
@@ -109,7 +112,7 @@
     next_weight: Duration,
 }
 
-/// One call of [`Agent::handle`].
+/// Time and collected actions of one call of [`Agent::handle`].
 pub(crate) struct Outbox<'a> {
     pub(crate) now: Duration,
     pub(crate) actions: &'a mut Vec<Action>,
@@ -125,7 +128,7 @@
     }
 }
 
-/// Where replies to a caller go.
+/// Addresses of the entry and the caller that replies are sent to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ReplyPath {
     pub(crate) entry: SocketAddr,
@@ -133,8 +136,9 @@
 }
 
 impl Agent {
-    /// Creates the agent of `identity`. It asks the peers of its first view for
-    /// what its predecessor left, and takes flows afterwards.
+    /// Creates the agent of `identity`. Once it has its first view, it asks
+    /// peers for the state that its predecessor parked, and accepts new flows
+    /// afterwards.
     #[must_use]
     pub fn new(settings: Settings, identity: Target, seed: u64, now: Duration) -> Self {
         let token = Token {
@@ -181,9 +185,9 @@
         }
     }
 
-    /// Takes an event and pushes what is to be done. Deadlines that have passed
-    /// are acted on first, so that a process that was paused does not run what
-    /// nobody waits for.
+    /// Processes an event and appends the resulting actions to `out`. Expired
+    /// deadlines are processed first, so that a process that was paused does
+    /// not run requests whose callers have given up.
     pub fn handle(&mut self, now: Duration, event: Event, out: &mut Vec<Action>) {
         self.now = now;
         let mut outbox = Outbox { now, actions: out };
@@ -210,8 +214,8 @@
         self.announce(outbox);
     }
 
-    /// When [`Agent::handle`] is to be called with [`Event::Tick`] at the
-    /// latest.
+    /// Returns the latest time for the next call of [`Agent::handle`] with
+    /// [`Event::Tick`].
     #[must_use]
     pub fn next_deadline(&self) -> Option<Duration> {
         [
@@ -231,7 +235,8 @@
         .min()
     }
 
-    /// A view of the agent for operators and metrics, as of the last event.
+    /// Returns the agent's status for operators and metrics, as of the last
+    /// event.
     #[must_use]
     pub fn status(&self) -> Status {
         Status {
@@ -293,7 +298,8 @@
         self.start_claim(outbox);
     }
 
-    /// Announces a changed state at once, and a changed weight now and then.
+    /// Announces a changed state at once, and a changed weight at most once per
+    /// [`Settings::announce_interval`].
     fn announce(&mut self, outbox: &mut Outbox<'_>) {
         let state = self.state();
         let weight = self.gate.weight();
@@ -322,7 +328,7 @@
         }
     }
 
-    /// Whether new flows are taken.
+    /// Returns whether the agent accepts new flows.
     pub(crate) fn accepts_flows(&self) -> bool {
         !self.draining && self.leaving.is_none() && self.claiming.is_none()
     }
@@ -333,13 +339,13 @@
         id
     }
 
-    /// A target of the view.
+    /// Looks up a target of the current view.
     pub(crate) fn target(&self, id: TargetId) -> Option<&Target> {
         self.order.target(id)
     }
 
-    /// Spreads a time to come back by half of it either way, so that callers
-    /// refused together do not return together.
+    /// Randomizes a retry delay by up to half of it either way, so that callers
+    /// refused at the same time do not all retry at the same time.
     pub(crate) fn jitter(&mut self, time: Duration) -> Duration {
         time.mul_f64(0.5 + self.random.f64())
     }
@@ -351,8 +357,7 @@
         }
     }
 
-    /// When a caller that was refused for a reason should come back, where the
-    /// reason's origin did not say.
+    /// Returns the retry delay for a refusal whose source gave none.
     fn retry_after(&mut self, now: Duration, reason: Reason) -> Duration {
         let time = match reason {
             Reason::Cancelled => Duration::ZERO,
@@ -398,15 +403,15 @@
     }
 }
 
-/// What a refusal is about; the request is 0 for an open.
+/// The flow and request that a refusal refers to; the request is 0 for an open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Subject {
     pub(crate) flow: FlowKey,
     pub(crate) request: RequestId,
 }
 
-/// Shortest time after which a caller refused for want of slots comes back.
+/// Shortest retry delay for callers that are refused because no slot is free.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(20);
 
-/// Number of targets no longer in the view that are remembered.
+/// Largest number of departed targets that are remembered.
 const MAX_DEPARTED: usize = 1_024;
--- a/roles/agent/src/claim.rs
+++ b/roles/agent/src/claim.rs
@@ -1,4 +1,5 @@
-//! Claims what a predecessor beside the same backend server left at a peer.
+//! Claims the state that a predecessor beside the same backend server parked at
+//! a peer.
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -18,15 +19,15 @@
 use crate::park::Part;
 use crate::status::Counter;
 
-/// An agent's claim to its predecessor's state.
+/// Progress of an agent's claim to its predecessor's state.
 #[derive(Debug)]
 pub(crate) struct Claiming {
     deadline: Duration,
-    /// Longest time between two parts.
+    /// Longest time to wait for the next part.
     part_timeout: Duration,
-    /// Peers that have not answered the first question.
+    /// Peers that have not answered the claim to the first part.
     pending_peers: Vec<SocketAddr>,
-    /// The peer that has the state, and the part that is awaited.
+    /// The peer that holds the state, and the index of the awaited part.
     source: Option<Source>,
 }
 
@@ -52,7 +53,7 @@
 }
 
 impl Agent {
-    /// Asks the peers of the first view.
+    /// Sends the claim to the first part to the peers of the first view.
     pub(crate) fn start_claim(&mut self, outbox: &mut Outbox<'_>) {
         let peers = self.claim_peers();
         let claim = self.claim(0);
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Takes a part over, and asks for the next.
+    /// Adopts the flows of a part and claims the next one.
     fn accept_part(&mut self, outbox: &mut Outbox<'_>, peer: SocketAddr, part: Part) {
         let next = part.index + 1;
         let is_last = next == part.count;
@@ -120,7 +121,7 @@
         outbox.push(Action::Claim { to: peer, claim });
     }
 
-    /// Holds the flows of a part from now on, under their old tokens.
+    /// Adopts the flows of a part under their existing tokens.
     pub(crate) fn inherit(&mut self, now: Duration, part: Part) {
         for parked in part.flows {
             let flow = Flow {
@@ -163,7 +164,7 @@
             deadline: now + parked.remaining,
             state: parked.state(),
         };
-        // False where the record is known already, which is newer.
+        // Returns false if the ledger already has a record, which is newer.
         let _ = self.ledger.restore(now, key, record);
     }
 
--- a/roles/agent/src/close.rs
+++ b/roles/agent/src/close.rs
@@ -1,4 +1,4 @@
-//! Cancels of requests and closes of flows.
+//! Handles cancels of requests and closes of flows.
 use std::time::Duration;
 
 use flow::Flow;
@@ -65,9 +65,9 @@
         }
     }
 
-    /// A cancel of a request that is not recorded. It may have overtaken the
-    /// request, which then will not run; or the request ran, and its record is
-    /// gone.
+    /// Cancels a request that has no record. If the cancel overtook the
+    /// request, this keeps the request from running; otherwise the request ran
+    /// and its record has expired. The outcome is therefore unknown.
     fn cancel_unrecorded(
         &mut self,
         outbox: &mut Outbox<'_>,
@@ -137,7 +137,7 @@
         self.forward_misrouted(outbox, relay, &misrouted);
     }
 
-    /// Ends a request that its caller, or its deadline, gave up.
+    /// Ends a request that its caller cancelled or whose deadline has passed.
     pub(crate) fn abandon(&mut self, outbox: &mut Outbox<'_>, job: u64, refusal: Refusal) {
         let ran = self.withdraw(outbox, job);
         let end = if ran {
--- a/roles/agent/src/leave.rs
+++ b/roles/agent/src/leave.rs
@@ -1,4 +1,5 @@
-//! Planned stop and replacement: finish, hand the flows over, exit.
+//! Planned stop and replacement: running requests finish, the flows are handed
+//! over, and the process exits.
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -15,37 +16,38 @@
 use crate::task::Stage;
 use crate::view::Binding;
 
-/// Time between two tries to send the last part, or to find a peer.
+/// Time between two attempts to send the last part or to find a peer.
 const RESEND_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Peers that a successor asks, over those that its predecessor did.
+/// Number of peers that a successor asks for each one that its predecessor
+/// tried.
 const CLAIM_PEER_FACTOR: usize = 2;
 
-/// How far an agent is on its way out.
+/// Phase of an agent that is leaving.
 #[derive(Debug)]
 pub(crate) enum Leaving {
-    /// Requests that are underway may finish.
+    /// Pending requests may finish until the deadline.
     Finishing { deadline: Duration, next: NextPhase },
-    /// The state goes to a peer; nothing changes here any more.
+    /// The state is being sent to a peer and is frozen here.
     HandingOver(Handover),
-    /// Nothing is left to do.
+    /// The agent has left; the process can exit.
     Exited,
 }
 
-/// What follows when requests have finished.
+/// The phase that follows once pending requests have finished.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NextPhase {
-    /// Hand the flows over.
+    /// Hand the flows over to a peer.
     Handover(Purpose),
     /// Exit; the flows end with the backend server.
     Exit,
 }
 
-/// The state on its way to a peer.
+/// Transfer of the agent's state to a peer.
 ///
-/// The first part has no flows: it only asks whether the peer takes them.
-/// Once the last part has been sent, the peer may have the whole state, and no
-/// other peer is asked, since two must never hold the same flows.
+/// The first part has no flows and only asks whether the peer accepts the
+/// state. Once the last part has been sent, the peer may hold the whole state,
+/// so no other peer is tried: two agents must never hold the same flows.
 #[derive(Debug)]
 pub(crate) struct Handover {
     parts: Vec<Part>,
@@ -89,8 +91,8 @@
         }
     }
 
-    /// Whether the flows are on their way to a peer, so that nothing may be
-    /// recorded here any more.
+    /// Returns whether the flows are being handed over, so that no request may
+    /// be recorded here any more.
     pub(crate) fn is_handing_over(&self) -> bool {
         matches!(
             self.leaving,
@@ -98,8 +100,8 @@
         )
     }
 
-    /// Refuses a request that came while the agent leaves. The record goes
-    /// along with the flow, so the request will not run.
+    /// Refuses a request that arrived while the agent is leaving. Its record is
+    /// handed over with the flow, so the request will not run later.
     pub(crate) fn refuse_leaving(&mut self, outbox: &mut Outbox<'_>, job: JobId) {
         let reason = match self.leaving {
             Some(Leaving::Finishing {
@@ -112,8 +114,9 @@
         self.conclude(outbox, job, End::NotRun(refusal));
     }
 
-    /// Goes on once nothing is underway and no successor of another agent has
-    /// still to claim what is kept here, or once the time for that is over.
+    /// Starts the next phase once no request is pending and no parked state
+    /// waits for its successor. After the deadline, parked state no longer
+    /// holds it up.
     pub(crate) fn leave_when_finished(&mut self, outbox: &mut Outbox<'_>) {
         let next = match self.leaving {
             Some(Leaving::Finishing { deadline, next })
@@ -137,7 +140,7 @@
                 self.leave_when_finished(outbox);
             }
             Some(Leaving::HandingOver(handover)) if handover.deadline <= outbox.now => {
-                self.exit(outbox)
+                self.exit(outbox);
             }
             Some(Leaving::HandingOver(handover))
                 if handover.resend_at.is_some_and(|at| at <= outbox.now) =>
@@ -148,8 +151,8 @@
         }
     }
 
-    /// Gives up what is underway, and what waits first, so that no slot that
-    /// becomes free is taken by a request that would be cut at once.
+    /// Abandons all requests, waiting ones first, so that a slot that becomes
+    /// free does not go to a request that would be aborted at once.
     fn abandon_tasks(&mut self, outbox: &mut Outbox<'_>) {
         let (waiting, others): (Vec<JobId>, Vec<JobId>) = self
             .tasks
@@ -177,8 +180,8 @@
         self.send_part(outbox);
     }
 
-    /// Sends the part that is next. While no peer takes the state, those that
-    /// are there are asked again: the only one may be starting.
+    /// Sends the next part. If every peer has refused, the current peers are
+    /// tried again, since the only peer may still be starting.
     fn send_part(&mut self, outbox: &mut Outbox<'_>) {
         let peers = self.handover_peers();
         let Some(Leaving::HandingOver(handover)) = &mut self.leaving else {
@@ -233,16 +236,16 @@
         outbox.push(Action::Exit);
     }
 
-    /// Control addresses of the peers that an agent leaves its state with, in an
-    /// order that depends on their ids alone, so that an agent and its successor
-    /// ask the same ones.
+    /// Returns the control addresses of the peers that this agent may park its
+    /// state at, in an order that depends only on the target ids, so that an
+    /// agent and its successor try the same peers.
     fn handover_peers(&self) -> Vec<SocketAddr> {
         self.peers(self.settings.leave.peers, |state| state == State::Ready)
     }
 
-    /// Control addresses of the peers that may have the state of a predecessor.
-    /// Since it was left with one of them, some may have begun to leave, and
-    /// others have come.
+    /// Returns the control addresses of the peers that may hold a predecessor's
+    /// state. Since the state was parked, some peers may have started to leave
+    /// and others may have joined, so more peers are asked than were tried.
     pub(crate) fn claim_peers(&self) -> Vec<SocketAddr> {
         let count = self.settings.leave.peers * CLAIM_PEER_FACTOR;
         self.peers(count, |state| state != State::Left)
--- a/roles/agent/src/lib.rs
+++ b/roles/agent/src/lib.rs
@@ -1,7 +1,8 @@
-//! The agent beside a backend server, as a state machine without I/O.
+//! The agent that runs beside a backend server, as a state machine without I/O.
 //!
-//! [`Agent::handle`] takes an [`Event`] and the time and pushes [`Action`]s;
-//! the process around it owns the sockets, the clock and the threads.
+//! [`Agent::handle`] processes an [`Event`] at a given time and appends the
+//! resulting [`Action`]s; the surrounding process owns the sockets, the clock
+//! and the threads.
 pub mod action;
 mod agent;
 mod claim;
--- a/roles/agent/src/offered.rs
+++ b/roles/agent/src/offered.rs
@@ -1,7 +1,7 @@
-//! Requests that other agents pass to this one.
+//! Handles requests that other agents pass to this one.
 //!
-//! An offer is remembered by its id, so that a repeat never runs twice and one
-//! that was refused never runs.
+//! Each offer is recorded by its id, so that a repeated offer never runs twice
+//! and a refused one never runs.
 use std::collections::BTreeSet;
 use std::collections::HashMap;
 use std::time::Duration;
@@ -21,7 +21,7 @@
 use crate::task::End;
 use crate::task::Task;
 
-/// The offers of other agents.
+/// Offers received from other agents.
 #[derive(Debug, Default)]
 pub(crate) struct Offers {
     by_id: HashMap<offer::Id, OfferState>,
@@ -31,9 +31,9 @@
 
 #[derive(Debug)]
 enum OfferState {
-    /// It runs; these calls wait for it.
+    /// The request is queued or running; `calls` wait for its outcome.
     Running { job: JobId, calls: Vec<CallId> },
-    /// It ended so.
+    /// The request has ended with this outcome.
     Ended(Outcome),
 }
 
@@ -48,7 +48,7 @@
         self.expiries.first().map(|expiry| expiry.at)
     }
 
-    /// Forgets the offers whose time has passed.
+    /// Removes the expired offers.
     pub(crate) fn expire(&mut self, now: Duration) {
         while self.expiries.first().is_some_and(|expiry| expiry.at <= now) {
             if let Some(expiry) = self.expiries.pop_first()
@@ -63,7 +63,8 @@
         self.by_id.len() >= max_offers
     }
 
-    /// Remembers how an offer ended, without the answer where it is too large.
+    /// Records the outcome of an offer. If an answer does not fit into the
+    /// memory limit, the outcome is recorded as unknown.
     fn end(&mut self, id: offer::Id, at: Duration, outcome: Outcome, max_bytes: usize) {
         let mut entry = OfferState::Ended(outcome);
         if self.answer_bytes + entry.bytes() > max_bytes {
@@ -94,8 +95,8 @@
                 outbox.push(Action::Resolve { call, outcome });
             }
             None if is_full => {
-                // A refusal could not be remembered, so it must not promise
-                // that the offer will not run.
+                // A refusal promises that the offer will not run later, which
+                // cannot be kept without a record.
                 let outcome = Outcome::Unknown;
                 outbox.push(Action::Resolve { call, outcome });
             }
@@ -127,7 +128,7 @@
         self.start_task(outbox, task);
     }
 
-    /// Why this agent does not take an offer, if it does not.
+    /// Returns why this agent refuses an offer, or `None` if it accepts it.
     fn offer_refusal(&self, offer: &Offer) -> Option<Refusal> {
         if offer.service != self.identity.service {
             return Some(Refusal::Unreachable);
@@ -147,7 +148,7 @@
             Some(OfferState::Ended(_)) => {}
             None if self.offers.is_full(self.settings.pass.max_offers) => {}
             None => {
-                // The withdrawal overtook the offer, which must not run.
+                // The withdrawal arrived before the offer, which must not run.
                 let forget_at = outbox.now + WITHDRAWAL_RETENTION + self.settings.ledger.late_copy;
                 let outcome = Outcome::NotRun {
                     reason: Refusal::Cancelled,
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Records how an offer ended, and answers the calls that wait for it.
+    /// Records the outcome of an offer and answers the calls that wait for it.
     pub(crate) fn conclude_offer(
         &mut self,
         outbox: &mut Outbox<'_>,
@@ -184,7 +185,8 @@
     }
 }
 
-/// Time that a withdrawn offer that never came is remembered.
+/// Time that the withdrawal of an offer that has not arrived is recorded,
+/// besides [`flow::ledger::Settings::late_copy`].
 const WITHDRAWAL_RETENTION: Duration = Duration::from_mins(1);
 
 impl From<Reason> for Refusal {
--- a/roles/agent/src/open.rs
+++ b/roles/agent/src/open.rs
@@ -1,4 +1,4 @@
-//! Opens flows.
+//! Handles opens of flows: accepts, refuses or forwards them.
 use std::time::Duration;
 
 use flow::Flow;
@@ -41,7 +41,8 @@
             .filter(|hop| !relay::visited(&relay, hop) && position + 1 < MAX_HOPS)
             .filter(|_| !relay.settle);
         if let Some(hop) = pinned {
-            // The wait keeps the frame's waits in step with its position.
+            // `waits` must have one entry per visited hop; this agent places no
+            // bid.
             relay.waits.push(u32::MAX);
             return relay::forward(outbox, relay, hop);
         }
@@ -57,7 +58,7 @@
         }
     }
 
-    /// What this agent offers to an open.
+    /// Returns this agent's bid for a new flow.
     fn bid(&self, now: Duration) -> Bid {
         if !self.accepts_flows() || self.flows.is_full() {
             return Bid {
@@ -84,7 +85,8 @@
         }
     }
 
-    /// Why this agent takes no flow now, if it takes none.
+    /// Returns why this agent refuses new flows at the moment, or `None` if it
+    /// accepts them.
     fn open_refusal(&self, now: Duration) -> Option<Reason> {
         if self.claiming.is_some() {
             return Some(Reason::HolderAway);
--- a/roles/agent/src/parked.rs
+++ b/roles/agent/src/parked.rs
@@ -1,8 +1,9 @@
-//! Keeps the state of other agents for their successors, or adopts it.
+//! Stores the parked state of other agents for their successors, or adopts it.
 //!
-//! What is kept is not changed here: recorded outcomes are answered from it,
-//! and everything else waits for the successor. Only a whole state is used, and
-//! only one incarnation may claim it, so that no two agents hold the same flow.
+//! Parked state is read-only: recorded outcomes are answered from it, and all
+//! other packets must wait for the successor. Only complete states are used,
+//! and only one incarnation may claim a state, so that no two agents hold the
+//! same flow.
 use std::collections::BTreeMap;
 use std::collections::HashMap;
 use std::time::Duration;
@@ -34,7 +35,7 @@
 use crate::relay;
 use crate::status::Counter;
 
-/// The states of other agents.
+/// Parked states of other agents, with an index of their flows.
 #[derive(Debug, Default)]
 pub(crate) struct Table {
     states: BTreeMap<TargetId, Parked>,
@@ -42,7 +43,7 @@
     bytes: usize,
 }
 
-/// The state of one agent, whole or in part.
+/// Parked state of one agent; incomplete while parts are missing.
 #[derive(Debug)]
 struct Parked {
     owner: Token,
@@ -50,7 +51,7 @@
     received: u32,
     parts: Vec<Part>,
     successor: Option<Incarnation>,
-    /// Number of parts that the successor was given.
+    /// Number of parts that the successor has received.
     granted: u32,
     expiry: Duration,
 }
@@ -60,7 +61,8 @@
         self.received == self.count
     }
 
-    /// Whether parts wait here for a successor.
+    /// Returns whether the state is complete and its successor has not claimed
+    /// all of its parts.
     fn is_unclaimed(&self) -> bool {
         self.is_whole() && !self.parts.is_empty() && self.granted < self.count
     }
@@ -74,12 +76,12 @@
 }
 
 impl Table {
-    /// Number of flows that are kept.
+    /// Returns the number of parked flows.
     pub(crate) fn len(&self) -> usize {
         self.flows.len()
     }
 
-    /// Whether a flow is kept for a successor that has not come yet.
+    /// Returns whether a flow is parked here and not claimed yet.
     pub(crate) fn holds(&self, flow: FlowKey) -> bool {
         self.flows
             .get(&flow)
@@ -87,7 +89,8 @@
             .is_some_and(|parked| parked.successor.is_none())
     }
 
-    /// Whether a successor has still to claim what is kept for it.
+    /// Returns whether a successor has yet to claim a state that is parked
+    /// here.
     pub(crate) fn has_unclaimed(&self) -> bool {
         self.states.values().any(Parked::is_unclaimed)
     }
@@ -121,7 +124,9 @@
         parked.parts.get(position.part)?.flows.get(position.flow)
     }
 
-    /// Stores a part that is the next of its state; false where it is refused.
+    /// Stores the next part of a state, and accepts repeats of earlier parts.
+    /// Returns false if the part is out of order, contradicts earlier parts or
+    /// exceeds the memory limit.
     fn store(&mut self, part: Part, expiry: Duration, max_bytes: usize) -> bool {
         let owner = part.owner;
         let stored = self.states.get(&owner.target);
@@ -155,7 +160,7 @@
         true
     }
 
-    /// Makes the flows of a whole state known.
+    /// Indexes the flows of a complete state.
     fn index_flows(&mut self, owner: TargetId) {
         let Some(parked) = self.states.get(&owner) else {
             return;
@@ -168,7 +173,8 @@
         }
     }
 
-    /// Takes the parts of a whole state out, and remembers that it was here.
+    /// Removes and returns the parts of a complete state. Its entry stays, so
+    /// that repeated parts are recognized.
     fn take_parts(&mut self, owner: TargetId) -> Vec<Part> {
         let Some(parked) = self.states.get_mut(&owner) else {
             return Vec::new();
@@ -242,7 +248,7 @@
         outbox.push(Action::Claimed { call, grant });
     }
 
-    /// Tells the homes of kept flows to send packets here.
+    /// Pins unclaimed parked flows to this agent at their homes.
     pub(crate) fn pin_parked(&mut self, outbox: &mut Outbox<'_>) {
         let mut batches = Batches::new();
         for parked in self.parked.states.values() {
@@ -256,8 +262,8 @@
         self.send_pins(outbox, batches);
     }
 
-    /// Tells the homes that adopted flows have once their former holder has
-    /// left. Entries may know of that before the agents do.
+    /// Pins adopted flows at the homes that they get once their former holder
+    /// has left. Entries may learn of its departure before the agents do.
     fn pin_adopted(&mut self, outbox: &mut Outbox<'_>, owner: TargetId, flows: Vec<FlowKey>) {
         let mut batches = Batches::new();
         for flow in flows {
@@ -269,7 +275,7 @@
         self.send_pins(outbox, batches);
     }
 
-    /// Adds a flow to those that the home it has without `owner` is told of.
+    /// Adds a flow to the batch of its home, chosen as if `owner` had left.
     fn batch_without_owner(&self, owner: TargetId, flow: FlowKey, batches: &mut Batches) {
         let home = self
             .order
@@ -281,8 +287,9 @@
         }
     }
 
-    /// Answers a packet of a kept flow from its record. Without one nothing is
-    /// said, so that the caller repeats until the successor is there.
+    /// Answers a packet of a parked flow from its record. Without a record no
+    /// reply is sent, so that the caller retransmits until the successor
+    /// answers.
     pub(crate) fn answer_from_parked(
         &mut self,
         outbox: &mut Outbox<'_>,
@@ -309,7 +316,7 @@
 }
 
 impl Record {
-    /// The record's state in the ledger.
+    /// Returns the record's state as the ledger stores it.
     pub(crate) fn state(&self) -> State {
         match &self.outcome {
             Outcome::Answered(bytes) => match Answer::new(bytes.clone()) {
--- a/roles/agent/src/parts.rs
+++ b/roles/agent/src/parts.rs
@@ -1,4 +1,5 @@
-//! Cuts an agent's state into parts of bounded size for a peer.
+//! Splits an agent's state into parts of bounded size for the transfer to a
+//! peer.
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -15,12 +16,12 @@
 use crate::park::Part;
 use crate::park::Purpose;
 
-/// Records of each flow.
+/// Records by flow.
 type Records = BTreeMap<FlowKey, Vec<park::Record>>;
 
 impl Agent {
-    /// The whole state: a first part without flows, then the flows. A part is
-    /// larger than the limit only where one flow's records are.
+    /// Returns the whole state: a first part without flows, then the flows. A
+    /// part exceeds the size limit only if the records of a single flow do.
     pub(crate) fn parts(&self, now: Duration, purpose: Purpose) -> Vec<Part> {
         let mut records = self.park_records(now);
         let mut groups = vec![Vec::new()];
@@ -63,9 +64,10 @@
         }
     }
 
-    /// All records. Answers that are too much to hand over become unknown:
-    /// those of a flow beyond the size of a part, and all beyond a share of
-    /// what a peer keeps.
+    /// Returns all records by flow. Answers that are too large to hand over
+    /// become unknown outcomes: those of one flow beyond the size of a part,
+    /// and those of all flows beyond a share of the memory that a peer has for
+    /// parked state.
     fn park_records(&self, now: Duration) -> Records {
         let mut records = Records::new();
         for entry in self.ledger.iter() {
@@ -77,7 +79,7 @@
         for records in records.values_mut() {
             records.sort_by_key(|record| record.request);
             let mut left_of_part = limits.part_bytes;
-            // The latest answers are the likeliest to be asked for again.
+            // Callers are most likely to request the latest answers again.
             for record in records.iter_mut().rev() {
                 record.limit_answer(left.min(left_of_part));
                 left -= record.answer_bytes();
@@ -88,7 +90,8 @@
     }
 }
 
-/// Share of what a peer keeps that one agent's answers may take.
+/// Divisor of a peer's memory for parked state; the quotient limits the answers
+/// of one agent.
 const ANSWERS_DIVISOR: usize = 4;
 
 fn park_record(now: Duration, request: wire::RequestId, record: &Record) -> park::Record {
@@ -109,7 +112,7 @@
 }
 
 impl park::Record {
-    /// Gives the answer up where it is larger than `bytes`.
+    /// Replaces an answer larger than `bytes` by an unknown outcome.
     fn limit_answer(&mut self, bytes: usize) {
         if self.answer_bytes() > bytes {
             self.outcome = Outcome::Unknown(Reason::TableFull.into());
--- a/roles/agent/src/pass.rs
+++ b/roles/agent/src/pass.rs
@@ -1,7 +1,7 @@
 //! Passes single requests of independent flows to other agents.
 //!
-//! The holder stays the one authority: it has recorded the request, passes it
-//! to one agent at a time, and answers the caller itself.
+//! The holder remains responsible for the request: it has recorded it, passes
+//! it to one agent at a time, and answers the caller itself.
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
 use crate::task::Task;
 use crate::view::Binding;
 
-/// Which agent has a request, and as which offer.
+/// The agent that a request was passed to, and the number of the offer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Assignment {
     pub(crate) number: u64,
@@ -33,15 +33,16 @@
 }
 
 impl Agent {
-    /// Whether a request that comes now is better run elsewhere.
+    /// Returns whether a new request should preferably run at another agent.
     pub(crate) fn prefers_passing(&self, now: Duration) -> bool {
         let wait = self.gate.expected_wait(now);
         let is_full = !self.gate.free() && hunt::pass_pays(wait, self.settings.pass.round_trip);
         is_full || self.draining || self.leaving.is_some()
     }
 
-    /// Passes a request to the next agent; false where none is left, the
-    /// service is bound, or the deadline leaves no room.
+    /// Passes a request to the next agent. Returns false if no candidate is
+    /// left, the service is bound, or too little time is left until the
+    /// deadline.
     pub(crate) fn pass(&mut self, outbox: &mut Outbox<'_>, job: JobId) -> bool {
         let settings = self.settings.pass;
         let Some(task) = self.tasks.get(&job) else {
@@ -61,7 +62,9 @@
         true
     }
 
-    /// The first agent of the request's own order that was not asked.
+    /// Returns the first target in the request's own order that it has not been
+    /// passed to. The order is keyed by flow and request, so that the requests
+    /// of one flow spread over the targets.
     fn next_candidate(&self, task: &Task) -> Option<&Target> {
         let key = task.key.flow ^ task.key.request.rotate_left(u64::BITS / 2);
         self.order
@@ -81,7 +84,7 @@
         let to = target.control;
         task.tried_targets.push(target.id);
         task.stage = Stage::Passed(Assignment { number, to });
-        // False where an earlier try has made it so already.
+        // Returns false if an earlier attempt has already set this state.
         let _ = self.ledger.advance(outbox.now, task.key, State::Running);
         let offer = Offer {
             id: offer::Id { origin, number },
@@ -128,8 +131,9 @@
         }
     }
 
-    /// An agent did not run a request: the next one gets it, or the backend
-    /// server here, as if the request had just come.
+    /// Retries a request that another agent did not run: if a slot is likely to
+    /// be free here it is treated like a new request, otherwise it is passed on
+    /// or queued.
     fn retry_refused(&mut self, outbox: &mut Outbox<'_>, job: JobId, refusal: Refusal) {
         if let Some(task) = self.tasks.get_mut(&job) {
             task.stage = Stage::New;
@@ -143,7 +147,8 @@
         self.retry_not_run_or_queue(outbox, job);
     }
 
-    /// Passes on within the retry budget; otherwise the request queues here.
+    /// Passes a request on if the retry budget allows it; otherwise queues it
+    /// here.
     fn retry_not_run_or_queue(&mut self, outbox: &mut Outbox<'_>, job: JobId) {
         if self.budget.withdraw() {
             self.counters.add(Counter::RetryNotRun);
--- a/roles/agent/src/pinning.rs
+++ b/roles/agent/src/pinning.rs
@@ -1,4 +1,5 @@
-//! Tells homes which flows are held here, and keeps what others tell.
+//! Pins the flows held here at their homes, and stores the pins that other
+//! agents send.
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,20 +21,20 @@
 use crate::agent::Outbox;
 use crate::status::Counter;
 
-/// Largest number of flows in one frame.
+/// Largest number of flows in one pin or unpin frame.
 const MAX_BATCH_FLOWS: usize = 128;
 
-/// Number of table slots looked at in one step.
+/// Number of flow table slots scanned in one step.
 const STEP_SLOTS: usize = 1_024;
 
-/// Time between two steps of a round.
+/// Time between two steps of a renewal round.
 const STEP_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The rounds over the flow table in which homes are told.
+/// Schedule of the rounds in which pins are renewed.
 ///
-/// Each round walks the table in steps. A round after a change of the view
-/// tells only the homes that changed or restarted; a regular one renews all
-/// pins.
+/// Each round scans the flow table in steps. A round after a change of the view
+/// pins only flows whose home has changed or restarted; a periodic round renews
+/// all pins.
 #[derive(Debug)]
 pub(crate) struct Renewal {
     interval: Duration,
@@ -44,8 +45,8 @@
 #[derive(Clone, Copy, Debug)]
 struct Round {
     next_slot: usize,
-    /// Slots that are left to be looked at, past the last of which the table
-    /// starts again.
+    /// Slots still to scan; after the last slot of the table the scan wraps
+    /// around.
     slots_left: usize,
     next_step: Duration,
     renews_all: bool,
@@ -61,9 +62,9 @@
         }
     }
 
-    /// Starts a round over so many slots after a change of the view. One that
-    /// is underway goes on from where it is, so that frequent changes do not
-    /// keep it at the first slots.
+    /// Starts a round over `slots` slots after a change of the view. A round in
+    /// progress continues from its position, so that frequent changes do not
+    /// confine it to the first slots.
     pub(crate) fn restart(&mut self, now: Duration, slots: usize) {
         let round = self.round.unwrap_or(Round {
             next_slot: 0,
@@ -93,7 +94,7 @@
     }
 }
 
-/// Flows by the address of their homes.
+/// Flows by the address of their home.
 pub(crate) type Batches = BTreeMap<SocketAddr, Vec<FlowKey>>;
 
 impl Agent {
@@ -120,8 +121,8 @@
         }
     }
 
-    /// The holder of a flow that has its home here, unless it is known to have
-    /// left.
+    /// Returns the pinned holder of a flow that has its home here, unless that
+    /// incarnation is known to have left.
     pub(crate) fn pinned(&self, flow: FlowKey) -> Option<Hop> {
         let holder = self.pins.get(self.identity.service, flow)?;
         let target = holder.token.target;
@@ -132,16 +133,17 @@
         if target == self.identity.id || has_left {
             return None;
         }
-        // A newer incarnation may have inherited the flow.
+        // A newer incarnation at another address may have inherited the flow.
         let address = self
             .target(target)
             .map_or(holder.address, |target| target.address);
         Some(Hop { target, address })
     }
 
-    /// Tells the home of a flow that was just opened.
+    /// Pins a newly opened flow at its home.
     pub(crate) fn pin_opened(&mut self, outbox: &mut Outbox<'_>, home: Hop, key: FlowKey) {
-        // Where the entry's view is ahead, the home is told again.
+        // If the entry's view is newer than this agent's, the home is unknown
+        // here and the next round pins the flow again.
         let told = self.target(home.target).map(token);
         if let Some(flow) = self.flows.get_mut(key) {
             flow.home = told;
@@ -152,7 +154,7 @@
         }
     }
 
-    /// Tells the homes of flows that they have ended.
+    /// Removes the pins of ended flows from their homes.
     pub(crate) fn unpin(&mut self, outbox: &mut Outbox<'_>, flows: impl IntoIterator<Item = Flow>) {
         let mut batches = Batches::new();
         for flow in flows {
@@ -168,7 +170,8 @@
         }
     }
 
-    /// Tells the home that its pin names this agent in vain.
+    /// Unpins a flow at its home if the home forwarded a packet here and this
+    /// agent does not hold the flow.
     pub(crate) fn report_stale_pin(
         &mut self,
         outbox: &mut Outbox<'_>,
@@ -186,7 +189,7 @@
         }
     }
 
-    /// Takes the next step of a round that is due.
+    /// Runs the next step of a renewal round if it is due.
     pub(crate) fn renew_pins(&mut self, outbox: &mut Outbox<'_>) {
         if self.pins.next_deadline().is_some_and(|at| at <= outbox.now) {
             self.pins.expire(outbox.now);
@@ -274,7 +277,7 @@
     }
 }
 
-/// The incarnation that a target announces.
+/// Returns the token of a target's announced incarnation.
 const fn token(target: &Target) -> Token {
     Token {
         target: target.id,
--- a/roles/agent/src/relay.rs
+++ b/roles/agent/src/relay.rs
@@ -1,4 +1,4 @@
-//! Reads relayed packets, and hands along those of flows held elsewhere.
+//! Dispatches relayed packets, and forwards those of flows held elsewhere.
 use flow::Flow;
 use wire::FlowKey;
 use wire::Frame;
@@ -20,13 +20,13 @@
 use crate::agent::Subject;
 use crate::status::Counter;
 
-/// Where the flow of a packet is, as far as this agent knows.
+/// Location of a packet's flow, as far as this agent knows.
 pub(crate) enum Location {
     /// Held here.
     Here(Flow),
     /// Held here, for another caller.
     OtherCaller,
-    /// Kept here for the successor of its holder.
+    /// Parked here for the successor of its holder.
     Parked,
     /// Not here.
     Elsewhere,
@@ -35,18 +35,18 @@
 /// A packet of a flow that is not held here.
 pub(crate) struct Misrouted {
     pub(crate) flow: FlowKey,
-    /// The holder, as the caller names it.
+    /// The holder that the caller names.
     pub(crate) token: Option<Token>,
-    /// What the caller is told where nobody holds the flow.
+    /// Reply to the caller if no agent holds the flow.
     pub(crate) fallback: Fallback,
 }
 
-/// What a caller is told where nobody holds the flow.
+/// Reply to a caller if no agent holds the flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fallback {
-    /// That the outcome of this request is unknown.
+    /// A refusal that states an unknown outcome for this request.
     Unknown(RequestId),
-    /// Nothing: the sender may not be the caller.
+    /// No reply, since the sender may not be the caller.
     Silent,
 }
 
@@ -97,8 +97,10 @@
         }
     }
 
-    /// Hands a packet along: to the pinned holder, the holder that the caller
-    /// names, the rest of the path, and this agent's own order.
+    /// Forwards a packet to the first hop that it has not visited among: the
+    /// pinned holder, the holder that the caller names, the rest of the path,
+    /// and the order of the flow in this agent's view. Without such a hop,
+    /// replies as `misrouted.fallback` says.
     pub(crate) fn forward_misrouted(
         &mut self,
         outbox: &mut Outbox<'_>,
@@ -124,8 +126,8 @@
         }
     }
 
-    /// Whether the flow may be among those that a predecessor left and that
-    /// have not been claimed yet.
+    /// Returns whether the flow may be part of a predecessor's state that has
+    /// not been claimed yet.
     fn may_be_inherited(&self, token: Option<Token>) -> bool {
         let names_predecessor = token.is_none_or(|token| {
             token.target == self.identity.id && token.incarnation < self.identity.incarnation
@@ -148,13 +150,14 @@
             .or_else(|| self.next_in_order(relay, misrouted.flow))
     }
 
-    /// The agent of the target that a token names, whichever incarnation.
+    /// Returns the hop to the target that a token names, whatever its
+    /// incarnation.
     pub(crate) fn named_hop(&self, token: Option<Token>) -> Option<Hop> {
         let target = self.target(token?.target)?;
         (target.state != State::Left && target.id != self.identity.id).then(|| target.hop())
     }
 
-    /// Whether the target that a token names has left or is not known.
+    /// Returns whether the target that a token names has left or is unknown.
     pub(crate) fn has_left(&self, token: Token) -> bool {
         let target = self.target(token.target);
         target.is_none_or(|target| target.state == State::Left)
@@ -195,7 +198,7 @@
     }
 }
 
-/// Where replies to a relayed packet go.
+/// Returns the addresses that replies to a relayed packet are sent to.
 pub(crate) const fn reply_path(relay: &Relay) -> ReplyPath {
     ReplyPath {
         entry: relay.entry,
@@ -203,13 +206,14 @@
     }
 }
 
-/// Whether the packet has been at an agent.
+/// Returns whether the packet has visited an agent.
 pub(crate) fn visited(relay: &Relay, hop: &Hop) -> bool {
     let here = usize::from(relay.position);
     relay.path[..=here].iter().any(|it| it.target == hop.target)
 }
 
-/// Sends a packet to an agent that it has not visited.
+/// Sends a packet to an agent that it has not visited, ahead of the rest of its
+/// path.
 pub(crate) fn forward(outbox: &mut Outbox<'_>, mut relay: Relay, hop: Hop) {
     let next = usize::from(relay.position) + 1;
     let later = relay.path.split_off(next);
--- a/roles/agent/src/request.rs
+++ b/roles/agent/src/request.rs
@@ -1,4 +1,4 @@
-//! Requests, cancels, fetches and closes of the flows held here.
+//! Handles requests and fetches of flows held here.
 use std::time::Duration;
 
 use flow::Flow;
@@ -29,7 +29,7 @@
 use crate::task::Origin;
 use crate::task::Task;
 
-/// Largest number of chunks that one fetch is answered with.
+/// Largest number of chunks sent in reply to one fetch.
 const MAX_FETCHED_CHUNKS: usize = 64;
 
 impl Agent {
@@ -73,8 +73,9 @@
         }
     }
 
-    /// A request that names another holder. Two opens may have met: the named
-    /// target gets the request, or where it has left, whoever has its flows.
+    /// Handles a request that names another holder, as after two concurrent
+    /// opens of one flow: forwards it to the named target or, if that has left,
+    /// to the agent that holds its flows.
     fn on_wrong_holder(
         &mut self,
         outbox: &mut Outbox<'_>,
@@ -107,7 +108,8 @@
         );
     }
 
-    /// Records a request before anything else is done with it.
+    /// Records a request before it is queued, run or passed, and answers
+    /// repeats from the record.
     fn admit(&mut self, outbox: &mut Outbox<'_>, relay: &Relay, flow: &Flow, request: Request) {
         let reply_path = relay::reply_path(relay);
         let key = record::Key {
@@ -144,7 +146,7 @@
         }
     }
 
-    /// Time that the caller of a request will wait.
+    /// Returns the time until the request's deadline.
     fn time_left(&self, request: &Request) -> Duration {
         let service = &self.view.service;
         match request.deadline_ms {
@@ -153,7 +155,7 @@
         }
     }
 
-    /// Answers from the record alone; nothing new runs.
+    /// Answers a request from its record only, without running anything.
     fn answer_from_record(
         &mut self,
         outbox: &mut Outbox<'_>,
@@ -168,12 +170,13 @@
                 let refusal = self.refusal(Reason::FlowUnknown, Duration::ZERO);
                 self.send_outcome(outbox, reply_path, key, &State::Unknown(refusal));
             }
-            // The flow is on its way to another agent, which will answer.
+            // The flow is being handed over to another agent, which will
+            // answer.
             None => self.counters.add(Counter::KeptSilent),
         }
     }
 
-    /// Sends the answer of a request that is underway through another entry.
+    /// Redirects the reply to a pending request to another entry.
     pub(crate) fn redirect_reply(&mut self, key: record::Key, reply_path: ReplyPath) {
         let task = self
             .tasks_by_request
@@ -184,7 +187,7 @@
         }
     }
 
-    /// Tells a caller the final state of a request.
+    /// Sends the final state of a request to its caller.
     pub(crate) fn send_outcome(
         &mut self,
         outbox: &mut Outbox<'_>,
@@ -204,10 +207,10 @@
                 }
             }
             State::NotRun(refusal) => {
-                self.refuse(outbox, reply_path, subject, *refusal, Outcome::NotRun)
+                self.refuse(outbox, reply_path, subject, *refusal, Outcome::NotRun);
             }
             State::Unknown(refusal) => {
-                self.refuse(outbox, reply_path, subject, *refusal, Outcome::Unknown)
+                self.refuse(outbox, reply_path, subject, *refusal, Outcome::Unknown);
             }
             State::Recorded | State::Queued | State::Running => {}
         }
@@ -277,8 +280,8 @@
     }
 }
 
-/// Whether the holder of a flow may run a request: it is named, or the request
-/// is idempotent and names nobody.
+/// Returns whether the holder of a flow may run a request: the request names
+/// it, or is idempotent and names no holder.
 fn accepts(flow: &Flow, request: &Request, token: Option<Token>) -> bool {
     token == Some(flow.token) || (request.idempotent && request.holder.is_empty())
 }
--- a/roles/agent/src/retry.rs
+++ b/roles/agent/src/retry.rs
@@ -1,5 +1,5 @@
-//! Tries requests again: those known not to have run, and idempotent ones
-//! whose outcome was lost, within a budget and their deadline.
+//! Retries requests that are known not to have run, and idempotent ones with an
+//! unknown outcome, within the retry budget and their deadline.
 use std::time::Duration;
 
 use flow::record::Refusal;
@@ -11,20 +11,20 @@
 use crate::status::Counter;
 use crate::task::End;
 
-/// Largest number of times that one request is tried again.
+/// Largest number of retries of one request.
 const MAX_RETRIES: u8 = 2;
 
-/// Where a request that did not run may be tried again.
+/// Backend servers that a request that did not run may be retried at.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Placement {
-    /// Only at another backend server.
+    /// Only other backend servers.
     OtherServers,
-    /// At another backend server, or else here.
+    /// Another backend server, or else the one here.
     AnyServer,
 }
 
 impl Agent {
-    /// Tries a request again that is known not to have run, or refuses it.
+    /// Retries a request that is known not to have run, or refuses it.
     pub(crate) fn retry_not_run(
         &mut self,
         outbox: &mut Outbox<'_>,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Tries a request again whose outcome was lost, if it is idempotent.
+    /// Retries a request with an unknown outcome if it is idempotent.
     pub(crate) fn retry_unknown(&mut self, outbox: &mut Outbox<'_>, job: JobId) {
         let Some(task) = self.tasks.get_mut(&job) else {
             return;
@@ -58,8 +58,9 @@
         }
     }
 
-    /// Whether a request may be tried again: it is the holder's, it was not
-    /// tried too often, its deadline leaves room, and the retry budget pays.
+    /// Returns whether a request may be retried, and if so pays for it from the
+    /// retry budget: the flow is held here, fewer than [`MAX_RETRIES`] retries
+    /// were made, and enough time is left until the deadline.
     fn may_retry(&mut self, now: Duration, job: JobId) -> bool {
         let latest = now + self.settings.pass.room;
         let Some(task) = self
--- a/roles/agent/src/task.rs
+++ b/roles/agent/src/task.rs
@@ -1,4 +1,4 @@
-//! Requests that are underway: queued, running or passed.
+//! Tracks pending requests: queued, running or passed to another agent.
 use std::time::Duration;
 
 use bytes::Bytes;
@@ -28,7 +28,7 @@
 use crate::retry::Placement;
 use crate::status::Counter;
 
-/// A request that is underway.
+/// A pending request.
 #[derive(Clone, Debug)]
 pub(crate) struct Task {
     pub(crate) origin: Origin,
@@ -37,38 +37,38 @@
     pub(crate) deadline: Duration,
     pub(crate) payload: Bytes,
     pub(crate) stage: Stage,
-    /// Whether it may have run in a try that is over, or may run at another
-    /// agent that holds the flow too, since its caller named none.
+    /// Whether an earlier attempt may have run it, or whether another agent
+    /// that holds the flow may run it too, since the request names no holder.
     pub(crate) may_have_run: bool,
-    /// The agents that it was passed to.
+    /// Targets that it was passed to.
     pub(crate) tried_targets: Vec<TargetId>,
-    /// How often it was tried again.
+    /// Number of retries.
     pub(crate) retries: u8,
 }
 
-/// Who waits for a request.
+/// Source of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Origin {
-    /// A caller; the flow is held here.
+    /// A caller, for a flow that is held here.
     Caller(ReplyPath),
     /// Another agent, which holds the flow.
     Offer(offer::Id),
 }
 
-/// Where a request is.
+/// Stage of a pending request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Stage {
     /// Not admitted yet.
     New,
-    /// Waits for a slot here.
+    /// Queued for a slot of the backend server here.
     Queued,
-    /// Runs at the backend server here.
+    /// Running at the backend server here.
     Running,
-    /// Another agent has it.
+    /// Passed to another agent.
     Passed(Assignment),
 }
 
-/// How a request ended.
+/// Final outcome of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum End {
     Answered(Answer),
@@ -76,7 +76,7 @@
     Unknown(Refusal),
 }
 
-/// When a request's caller gives up.
+/// Deadline of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Timer {
     pub(crate) at: Duration,
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Takes a request over that another agent passes.
+    /// Creates the task of a request that another agent passes to this one.
     pub(crate) fn from_offer(offer: Offer, now: Duration) -> Self {
         Self {
             origin: Origin::Offer(offer.id),
@@ -127,7 +127,8 @@
 }
 
 impl Agent {
-    /// Takes up a request that has just been recorded.
+    /// Starts a request that has just been recorded: passes it, queues it, runs
+    /// it or refuses it.
     pub(crate) fn start_task(&mut self, outbox: &mut Outbox<'_>, task: Task) -> JobId {
         let job = self.next_id();
         self.timers.insert(Timer {
@@ -159,7 +160,7 @@
         job
     }
 
-    /// Offers a request to the backend server here.
+    /// Submits a request to the admission gate of the backend server here.
     pub(crate) fn submit_to_gate(&mut self, outbox: &mut Outbox<'_>, job: JobId) {
         let Some(task) = self.tasks.get(&job) else {
             return;
@@ -188,8 +189,8 @@
         }
     }
 
-    /// Offers a job to the gate, unless the expected wait is beyond the
-    /// service's limit.
+    /// Offers a job to the gate, unless no slot is free and the expected wait
+    /// exceeds the service's queue limit.
     fn admit_job(&mut self, now: Duration, job: limit::Job) -> Verdict {
         let wait = self.gate.expected_wait(now);
         if !self.gate.free_for(job.class) && wait > self.view.service.queue_limit {
@@ -220,12 +221,13 @@
         };
         task.stage = Stage::Queued;
         if task.is_from_caller() {
-            // A request that comes back from another agent stays as it is.
+            // Returns false for a request that another agent did not run, whose
+            // record stays in the running state.
             let _ = self.ledger.advance(now, task.key, State::Queued);
         }
     }
 
-    /// Hands a request to the backend server.
+    /// Runs a request at the backend server.
     fn run(&mut self, outbox: &mut Outbox<'_>, job: JobId) {
         let Some(task) = self.tasks.get_mut(&job) else {
             return;
@@ -319,7 +321,8 @@
         }
     }
 
-    /// Takes a request back from where it is; true where it may have run.
+    /// Withdraws a request from its current stage. Returns whether it may have
+    /// run.
     pub(crate) fn withdraw(&mut self, outbox: &mut Outbox<'_>, job: JobId) -> bool {
         let Some(task) = self.tasks.get_mut(&job) else {
             return false;
@@ -348,7 +351,7 @@
         stage == Stage::Running
     }
 
-    /// Ends a request: records its final state, then tells who waits for it.
+    /// Ends a request: records its final state, then notifies its source.
     pub(crate) fn conclude(&mut self, outbox: &mut Outbox<'_>, job: JobId, end: End) {
         let Some(task) = self.tasks.remove(&job) else {
             return;
@@ -363,7 +366,7 @@
         };
         match task.origin {
             Origin::Caller(reply_path) => {
-                self.conclude_from_caller(outbox, reply_path, task.key, end)
+                self.conclude_from_caller(outbox, reply_path, task.key, end);
             }
             Origin::Offer(id) => self.conclude_offer(outbox, id, task.deadline, end),
         }
