--- a/roles/agent/examples/cost.rs
+++ b/roles/agent/examples/cost.rs
@@ -1,5 +1,6 @@
-//! Measures the agent's core: memory of a flow, and time of an open, a request
-//! with its answer, a repeat, and a tick, against the number of flows held.
+//! Measures the agent's state machine: memory per flow and record, and time of
+//! an open, a request with its answer, a repeated request and a tick, for
+//! different numbers of flows held.
 //!
 //! Run with `cargo run --release -p agent --example cost`.
 use std::error::Error;
@@ -71,7 +72,7 @@
         Ok(bench)
     }
 
-    /// Mean time of a step in nanoseconds.
+    /// Returns the mean time of a step in nanoseconds.
     fn time(&mut self, count: u64, mut step: impl FnMut(&mut Self, u64)) -> u64 {
         let start = Instant::now();
         for number in 1..=count {
--- a/roles/agent/src/action.rs
+++ b/roles/agent/src/action.rs
@@ -1,4 +1,4 @@
-//! What the agent asks the process around it to do.
+//! Actions that the agent requests from the surrounding process.
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 use crate::offer;
 use crate::park;
 
-/// Something to do for the agent.
+/// An action that the surrounding process carries out for the agent.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Sends a frame over UDP.
@@ -26,9 +26,9 @@
         frame: Frame,
     },
     /// Runs a job at the backend server; answered by
-    /// [`crate::Event::Finished`]. A job whose deadline has passed before it
-    /// is sent, as after a pause of the process, must not be sent any more: it
-    /// has failed without having run.
+    /// [`crate::Event::Finished`]. A job whose deadline passes before it is
+    /// sent, for example while the process is paused, must not be sent: it has
+    /// failed without having run.
     Run(Job),
     /// Cancels a job at the backend server. A later
     /// [`crate::Event::Finished`] for it is ignored.
@@ -36,17 +36,17 @@
         /// The job.
         job: JobId,
     },
-    /// Passes a request to another agent; answered by
-    /// [`crate::Event::Passed`]. It must not be sent again, on another
-    /// connection, once it may have reached the agent: a new incarnation does
-    /// not know what the old one ran.
+    /// Passes a request to another agent; answered by [`crate::Event::Passed`].
+    /// Once the request may have reached the agent, it must not be sent again
+    /// over another connection: a new incarnation of the agent does not know
+    /// which requests its predecessor ran.
     Pass {
         /// Control address of the agent.
         to: SocketAddr,
         /// The request.
         offer: Offer,
     },
-    /// Withdraws a request that was passed; no answer is awaited.
+    /// Withdraws a request that was passed to another agent; not answered.
     Withdraw {
         /// Control address of the agent.
         to: SocketAddr,
@@ -57,17 +57,17 @@
     Resolve {
         /// The call.
         call: CallId,
-        /// What became of the request.
+        /// Outcome of the request.
         outcome: Outcome,
     },
-    /// Changes what is announced of the backend server.
+    /// Announces a new state and weight of the backend server.
     Announce {
-        /// Whether it takes new flows.
+        /// Readiness for new flows.
         state: State,
         /// Learned capacity, as in [`wire::Target::weight`].
         weight: u32,
     },
-    /// Stores a part of this agent's state at a peer; answered by
+    /// Parks a part of this agent's state at a peer; answered by
     /// [`crate::Event::Parked`].
     Park {
         /// Control address of the peer.
@@ -79,42 +79,42 @@
     Parked {
         /// The call.
         call: CallId,
-        /// Whether the part is stored.
+        /// Whether the part was stored.
         accepted: bool,
     },
-    /// Asks a peer for what this agent's predecessor parked; answered by
-    /// [`crate::Event::Claimed`].
+    /// Claims a part of the state that this agent's predecessor parked;
+    /// answered by [`crate::Event::Claimed`].
     Claim {
         /// Control address of the peer.
         to: SocketAddr,
-        /// What is asked for.
+        /// The claimed part.
         claim: park::Claim,
     },
     /// Answers a call of [`crate::Event::Claim`].
     Claimed {
         /// The call.
         call: CallId,
-        /// What is given.
+        /// The reply to the claim.
         grant: park::Grant,
     },
-    /// Ends the process; nothing is left to do.
+    /// Ends the process; the agent has left.
     Exit,
 }
 
 /// A request for the backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Job {
-    /// Numbers the job.
+    /// Number of the job.
     pub id: JobId,
     /// The flow that the request belongs to.
     pub flow: FlowKey,
     /// The request.
     pub request: RequestId,
-    /// Whether running it twice does no harm.
+    /// Whether the request may safely run more than once.
     pub idempotent: bool,
-    /// Time after which nobody waits for the answer; of the same origin as the
-    /// agent's `now`.
+    /// Time at which the caller gives up, on the same clock as the agent's
+    /// `now`.
     pub deadline: Duration,
-    /// Passed to the backend server untouched.
+    /// Opaque payload for the backend server.
     pub payload: Bytes,
 }
--- a/roles/agent/src/event.rs
+++ b/roles/agent/src/event.rs
@@ -1,4 +1,4 @@
-//! What the agent is told.
+//! Events that the agent processes.
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -11,13 +11,13 @@
 use crate::offer;
 use crate::park;
 
-/// Numbers a job that was handed to the backend server.
+/// Number of a job at the backend server.
 pub type JobId = u64;
 
-/// Numbers a call from another agent that waits for its result.
+/// Number of a call from another agent that is waiting for its reply.
 pub type CallId = u64;
 
-/// Something that happened, as the process around the agent saw it.
+/// An event that the surrounding process reports to the agent.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// An authenticated frame arrived.
@@ -27,14 +27,14 @@
         /// The frame.
         frame: Frame,
     },
-    /// The backend server is done with a job of [`crate::Action::Run`].
+    /// The backend server has finished a job of [`crate::Action::Run`].
     Finished {
         /// The job.
         job: JobId,
-        /// What became of it.
+        /// The result of the job.
         result: Completion,
     },
-    /// Another agent passes a single request to this one.
+    /// Another agent passes a request to this one.
     Offered {
         /// The call to answer by [`crate::Action::Resolve`].
         call: CallId,
@@ -46,12 +46,12 @@
         /// The offer.
         offer: offer::Id,
     },
-    /// The result of a [`crate::Action::Pass`].
+    /// The reply to a [`crate::Action::Pass`].
     Passed {
         /// The offer.
         offer: offer::Id,
-        /// What became of it; [`Outcome::Unknown`] where the call was sent and
-        /// its result was lost.
+        /// Outcome of the request; [`Outcome::Unknown`] if the call was sent
+        /// and no reply arrived.
         outcome: Outcome,
     },
     /// The targets or the settings of the service changed.
@@ -63,55 +63,57 @@
         /// The part.
         part: park::Part,
     },
-    /// The result of a [`crate::Action::Park`].
+    /// The reply to a [`crate::Action::Park`].
     Parked {
         /// Index of the part.
         index: u32,
-        /// Whether the peer has stored it.
+        /// Whether the peer stored it.
         accepted: bool,
     },
-    /// The successor of an agent that parked its state here asks for a part.
+    /// The successor of an agent that parked its state here claims a part.
     Claim {
         /// The call to answer by [`crate::Action::Claimed`].
         call: CallId,
-        /// What is asked for.
+        /// The claimed part.
         claim: park::Claim,
     },
-    /// The result of a [`crate::Action::Claim`].
+    /// The reply to a [`crate::Action::Claim`].
     Claimed {
         /// Control address of the peer that was asked.
         peer: SocketAddr,
-        /// What the peer gave.
+        /// The peer's reply.
         grant: park::Grant,
     },
-    /// Time has passed; due when [`crate::Agent::next_deadline`] is reached.
+    /// Time has passed; due at [`crate::Agent::next_deadline`] at the latest.
     Tick,
-    /// Take no new flows and finish those that are held.
+    /// Stop accepting new flows and keep serving those that are held.
     Drain,
-    /// Take new flows again, after a [`Event::Drain`].
+    /// Accept new flows again after an [`Event::Drain`].
     Resume,
-    /// The backend server leaves for good: finish within a bound, then exit.
+    /// The backend server leaves for good: finish pending requests within
+    /// [`crate::settings::Leave::grace`], then exit.
     Stop,
-    /// The agent is replaced beside a backend server that stays: finish what
-    /// runs within a bound, park the flows at a peer, then exit.
+    /// The agent is replaced while its backend server stays: finish pending
+    /// requests within [`crate::settings::Leave::grace`], park the flows at a
+    /// peer, then exit.
     Replace,
 }
 
-/// What became of a job at the backend server.
+/// Result of a job at the backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Completion {
-    /// It ran; this is the answer.
+    /// The job ran; this is the answer.
     Completed(Bytes),
-    /// The backend server refused it, and did not run it.
+    /// The backend server refused the job without running it.
     Shed {
-        /// Time after which the backend server wants to be asked again.
+        /// Retry delay that the backend server asked for.
         retry_after: Duration,
     },
     /// The backend server failed.
     Failed {
-        /// False where it is certain that the job did not run.
+        /// False only if the job certainly did not run.
         ran: bool,
     },
-    /// It ran, and the answer is larger than the limit.
+    /// The job ran, and its answer exceeds the size limit.
     TooLarge,
 }
--- a/roles/agent/src/offer.rs
+++ b/roles/agent/src/offer.rs
@@ -12,12 +12,12 @@
 use wire::Token;
 use wire::caller::Reason;
 
-/// Names an offer; the same for every repeat of it.
+/// Identifier of an offer; repeats of an offer have the same one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Id {
     /// The holder that passes the request.
     pub origin: Token,
-    /// Counts the offers of the holder.
+    /// Sequence number among the holder's offers.
     pub number: u64,
 }
 
@@ -25,7 +25,7 @@
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Offer {
-    /// Names the offer.
+    /// Identifier of the offer.
     pub id: Id,
     /// The service of the flow.
     pub service: ServiceAddress,
@@ -33,52 +33,53 @@
     pub flow: FlowKey,
     /// The request.
     pub request: RequestId,
-    /// Whether running it twice does no harm.
+    /// Whether the request may safely run more than once.
     pub idempotent: bool,
-    /// Time left until nobody waits for the answer, in milliseconds.
+    /// Time left until the deadline, in milliseconds.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub remaining: Duration,
-    /// Passed to the backend server untouched.
+    /// Opaque payload for the backend server.
     pub payload: Bytes,
 }
 
-/// What became of an offer.
+/// Outcome of an offer.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It ran; this is the whole answer.
+    /// The request ran; this is the whole answer.
     Answered(Bytes),
-    /// It did not run, and a late copy of the offer will not run either.
+    /// The request did not run, and late copies of the offer will not run
+    /// either.
     NotRun {
-        /// Why it was refused.
+        /// Reason of the refusal.
         reason: Refusal,
-        /// Time to wait before the agent is asked again, in milliseconds.
+        /// Delay before the agent is asked again, in milliseconds.
         #[serde_as(as = "DurationMilliSeconds<u64>")]
         retry_after: Duration,
     },
-    /// It may have run, once at most.
+    /// The request may have run, at most once.
     Unknown,
 }
 
-/// Why an agent did not run an offer.
+/// Reason why an agent did not run an offer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Refusal {
     /// No slot is free.
     Overloaded,
-    /// The wait would exceed the deadline.
+    /// The wait for a slot would exceed the deadline.
     Deadline,
     /// The backend server is leaving.
     Draining,
     /// The backend server failed before the request reached it.
     BackendFailed,
-    /// The offer was withdrawn by the holder.
+    /// The holder withdrew the offer.
     Cancelled,
     /// The agent could not be reached.
     Unreachable,
 }
 
 impl Refusal {
-    /// Returns the reason that a caller is told.
+    /// Returns the reason that the caller's refusal states.
     #[must_use]
     pub const fn reason(self) -> Reason {
         match self {
--- a/roles/agent/src/park.rs
+++ b/roles/agent/src/park.rs
@@ -1,8 +1,11 @@
-//! The state of an agent that is replaced beside a live backend server.
+//! Messages for parking the state of an agent that is replaced beside a running
+//! backend server.
 //!
-//! The agent that stops parks its flows, with their records, in bounded parts
-//! at a peer of the service. Its next incarnation claims the parts at start,
-//! and from then on accepts the tokens of the incarnation it inherited from.
+//! The agent that stops sends its flows, with their records, to a peer of the
+//! service in parts of bounded size. Its next incarnation claims the parts when
+//! it starts, and from then on accepts the tokens of the incarnation that it
+//! inherits from. An agent that leaves for good uses the same messages to have
+//! a peer adopt its flows.
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -18,16 +21,16 @@
 use wire::TargetId;
 use wire::Token;
 
-/// One bounded part of a parked state.
+/// One part of a parked state, of bounded size.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Part {
-    /// The incarnation that parks.
+    /// The incarnation that parks its state.
     pub owner: Token,
     /// The service of the flows.
     pub service: ServiceAddress,
-    /// What the peer shall do with the flows.
+    /// Purpose that the flows are sent for.
     pub purpose: Purpose,
-    /// Position of this part, from 0.
+    /// Index of this part, from 0.
     pub index: u32,
     /// Number of parts of the whole state.
     pub count: u32,
@@ -35,12 +38,12 @@
     pub flows: Vec<Flow>,
 }
 
-/// What a peer shall do with the flows that it is sent.
+/// Purpose that flows are sent to a peer for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Purpose {
-    /// Keep them for the owner's next incarnation.
+    /// The peer stores them for the owner's next incarnation.
     Keep,
-    /// Hold them from now on; the owner leaves for good.
+    /// The peer adopts them, since the owner leaves for good.
     Adopt,
 }
 
@@ -53,79 +56,85 @@
     pub token: Token,
     /// Address of the caller.
     pub caller: SocketAddr,
-    /// Whether the flow was closed; late copies of its packets are refused.
+    /// Whether the flow was closed; a closed flow is handed over so that late
+    /// copies of its packets are refused.
     pub closed: bool,
-    /// Non-idempotent requests up to this one are refused as unknown.
+    /// Largest id up to which non-idempotent requests without a record are
+    /// refused with an unknown outcome.
     pub floor: RequestId,
-    /// Non-idempotent requests that are refused as unknown.
+    /// Further non-idempotent requests that are refused with an unknown outcome
+    /// if they have no record.
     pub seen: Vec<RequestId>,
-    /// What became of recent requests.
+    /// Outcomes of recent requests.
     pub records: Vec<Record>,
 }
 
-/// What became of a request of a parked flow.
+/// Record of a request of a parked flow.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     /// The request.
     pub request: RequestId,
-    /// Whether running it twice does no harm.
+    /// Whether the request may safely run more than once.
     pub idempotent: bool,
-    /// Time until its caller gives up, in milliseconds.
+    /// Time left until the deadline, in milliseconds.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub remaining: Duration,
-    /// What became of it.
+    /// Outcome of the request.
     pub outcome: Outcome,
 }
 
-/// What became of a request.
+/// Outcome of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It ran; this is the whole answer.
+    /// The request ran; this is the whole answer.
     Answered(Bytes),
-    /// It did not run and never will; for the reason of the callers' schema.
+    /// The request did not run and never will; the number is the
+    /// [`wire::caller::Reason`].
     NotRun(i32),
-    /// It may have run, once at most; for the reason of the callers' schema.
+    /// The request may have run, at most once; the number is the
+    /// [`wire::caller::Reason`].
     Unknown(i32),
 }
 
-/// Asks for one part of what a predecessor parked.
+/// Claim to one part of the state that a predecessor parked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// The backend server that both stand beside.
+    /// Target id of the backend server that both incarnations belong to.
     pub target: TargetId,
-    /// Incarnation of the agent that asks.
+    /// Incarnation of the claiming agent.
     pub incarnation: Incarnation,
-    /// Position of the part, from 0.
+    /// Index of the part, from 0.
     pub index: u32,
 }
 
-/// The answer to a claim.
+/// Reply to a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Grant {
-    /// The part.
+    /// The claimed part.
     Part(Part),
-    /// Nothing, or not all of it, is parked here.
+    /// The peer has no complete state for the claiming incarnation.
     Nothing,
-    /// The peer could not be asked.
+    /// The peer could not be reached.
     Unreachable,
 }
 
-/// Memory of an encoded flow without its ids and records, in bytes.
+/// Approximate size of an encoded flow without its ids and records, in bytes.
 const FLOW_BYTES: usize = 64;
 
-/// Memory of an encoded record without its answer, in bytes.
+/// Approximate size of an encoded record without its answer, in bytes.
 const RECORD_BYTES: usize = 32;
 
 impl Flow {
-    /// Whether its caller has sent a request that left a trace.
+    /// Returns whether a request of this flow has been recorded.
     pub(crate) const fn is_used(&self) -> bool {
         self.floor > 0 || !self.seen.is_empty() || !self.records.is_empty()
     }
 }
 
 impl Part {
-    /// Size of the encoded part in bytes, within a small factor.
+    /// Returns the size of the encoded part in bytes, accurate within a small
+    /// factor.
     #[must_use]
     pub fn bytes(&self) -> usize {
         FLOW_BYTES + self.flows.iter().map(Flow::bytes).sum::<usize>()
@@ -137,7 +146,8 @@
 }
 
 impl Flow {
-    /// Size of the encoded flow in bytes, within a small factor.
+    /// Returns the size of the encoded flow in bytes, accurate within a small
+    /// factor.
     #[must_use]
     pub fn bytes(&self) -> usize {
         let records: usize = self.records.iter().map(Record::bytes).sum();
--- a/roles/agent/src/settings.rs
+++ b/roles/agent/src/settings.rs
@@ -3,7 +3,7 @@
 
 use route::hunt;
 
-/// Settings of an agent, with those of its parts.
+/// Settings of an agent and its modules.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// The flow table.
@@ -12,59 +12,62 @@
     pub ledger: flow::ledger::Settings,
     /// The pins of flows that have their home here.
     pub pins: route::pin::Settings,
-    /// Slots and queue of the backend server.
+    /// Admission gate: slots and queue of the backend server.
     pub gate: limit::Settings,
-    /// Load of the flows held, which bids for bound flows count.
+    /// Load estimate of the flows held here, used in bids for bound flows.
     pub load: limit::load::Settings,
-    /// Share of requests that may be tried again inside the system.
+    /// Budget for retries inside the system.
     pub retries: limit::budget::Settings,
     /// Passing of single requests between agents.
     pub pass: Pass,
     /// Planned stop and replacement.
     pub leave: Leave,
-    /// A request with more time than this until its deadline counts as a feed.
+    /// Time until the deadline above which a request is classed as long-lived
+    /// ([`limit::Class::Long`]).
     pub long_deadline: Duration,
-    /// Number of chunks of an answer that are sent unasked; the caller fetches
-    /// the others.
+    /// Number of chunks of an answer that are sent unrequested; the caller
+    /// fetches the others.
     pub burst_chunks: u32,
-    /// Smallest time between two announcements of a changed weight.
+    /// Shortest interval between two announcements of a changed weight.
     pub announce_interval: Duration,
 }
 
 /// Passing of single requests between the agents of an independent service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Pass {
-    /// Round trip to another agent of the service, across zones; a request is
-    /// passed where the wait here pays for it, as [`hunt::pass_pays`] says.
+    /// Expected round trip to another agent of the service, across zones. A
+    /// request is passed if the expected wait here is long compared to it; see
+    /// [`hunt::pass_pays`].
     pub round_trip: Duration,
-    /// Number of agents that one request is passed to, one at a time.
+    /// Number of agents that one request may be passed to, one at a time.
     pub tries: usize,
-    /// Smallest time until the deadline for another try.
+    /// Shortest time until the deadline for another attempt.
     pub room: Duration,
-    /// Number of offers of others that are remembered.
+    /// Number of offers from other agents that are recorded.
     pub max_offers: usize,
-    /// Memory for answers to offers of others, in bytes.
+    /// Memory for recorded answers to offers from other agents, in bytes.
     pub max_offer_bytes: usize,
 }
 
 /// Planned stop and replacement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Leave {
-    /// Longest time that requests which run may take to finish.
+    /// Longest time that pending requests may take to finish.
     pub grace: Duration,
-    /// Longest time for handing state to a peer.
+    /// Longest time for handing the state over to a peer.
     pub handover: Duration,
-    /// Time after which a caller is told to come back.
+    /// Retry delay for callers whose holder or backend server is unavailable.
     pub away: Duration,
-    /// Longest time that a starting agent asks for its predecessor's state.
+    /// Longest wait of a starting agent for each part of its predecessor's
+    /// state.
     pub claim: Duration,
-    /// Time that a peer keeps state for a successor.
+    /// Time that a peer stores parked state for a successor.
     pub keep: Duration,
-    /// Number of peers that are asked.
+    /// Number of peers that an agent tries to hand its state over to.
     pub peers: usize,
-    /// Size of a part of the state, in bytes.
+    /// Size limit of a part of the state, in bytes.
     pub part_bytes: usize,
-    /// Memory for the states of others, in bytes.
+    /// Memory for the parked states of other agents, in bytes.
     pub max_kept_bytes: usize,
 }
 
--- a/roles/agent/src/status.rs
+++ b/roles/agent/src/status.rs
@@ -1,34 +1,34 @@
-//! What an agent reports of itself.
+//! Status and counters of an agent.
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use wire::caller::Reason;
 use wire::target::State;
 
-/// A view of an agent for operators and metrics.
+/// Status of an agent for operators and metrics.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Status {
-    /// Whether it takes new flows.
+    /// Readiness for new flows.
     pub state: State,
     /// Learned capacity, as announced.
     pub weight: u32,
-    /// Flows held.
+    /// Number of flows held.
     pub flows: usize,
     /// Memory of the flow table, in bytes.
     pub flow_bytes: usize,
-    /// Request records.
+    /// Number of request records.
     pub records: usize,
-    /// Memory of the records and answers, in bytes.
+    /// Memory of the records and their answers, in bytes.
     pub record_bytes: usize,
-    /// Pins of flows that have their home here.
+    /// Number of pins of flows that have their home here.
     pub pins: usize,
     /// Memory of the pins, in bytes.
     pub pin_bytes: usize,
-    /// Requests that are queued, running or passed.
+    /// Number of requests that are queued, running or passed.
     pub tasks: usize,
-    /// Expected wait of a request that comes now.
+    /// Expected wait of a new request for a slot.
     pub expected_wait: Duration,
-    /// Flows kept for the successors of other agents.
+    /// Number of flows parked here for the successors of other agents.
     pub parked: usize,
     /// Counters since the start.
     pub counters: Counters,
@@ -41,38 +41,39 @@
     counted: BTreeMap<Counter, u64>,
 }
 
-/// Something that is counted.
+/// A kind of counted event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Counter {
     /// A flow was opened.
     Opened,
     /// A flow was closed by its caller.
     Closed,
-    /// A flow expired for want of packets.
+    /// A flow expired because no packet arrived.
     Expired,
-    /// A flow that saw no packet but its open expired.
+    /// A half-open flow expired: no packet followed its open.
     HalfOpen,
-    /// A packet was handed along.
+    /// A packet of a flow held elsewhere was forwarded.
     HandedAlong,
-    /// An open was passed on.
+    /// An open was forwarded to the next agent of its path.
     OpenPassed,
     /// A request was admitted.
     Request,
-    /// A repeat of a request was answered from its record, or waits.
+    /// A retransmitted request was answered from its record, or waits for the
+    /// pending one.
     Repeat,
     /// A request was answered.
     Answered,
     /// A request was passed to another agent.
     Passed,
-    /// A request was tried again because it did not run.
+    /// A request was retried because it did not run.
     RetryNotRun,
-    /// An idempotent request was tried again because its outcome was lost.
+    /// An idempotent request with an unknown outcome was retried.
     RetryIdempotent,
-    /// A try was not made because the retry budget was spent.
+    /// A retry was not made because the retry budget was spent.
     BudgetSpent,
-    /// A request of another agent was taken.
+    /// An offer from another agent was accepted.
     OfferTaken,
-    /// A request of another agent was refused.
+    /// An offer from another agent was refused.
     OfferRefused,
     /// A close without the right token was ignored.
     SpoofedClose,
@@ -82,46 +83,47 @@
     ForeignCaller,
     /// A frame for another service was dropped.
     ForeignService,
-    /// A frame that no agent takes was dropped.
+    /// A frame of a kind that agents do not process was dropped.
     UnexpectedFrame,
     /// A frame whose fields contradict each other was dropped.
     MalformedFrame,
-    /// A packet that only the service sends was dropped.
+    /// A packet of a kind that only the service sends was dropped.
     UnexpectedPacket,
-    /// A packet for an older incarnation was held back until it is known what
-    /// was inherited.
+    /// A packet that may belong to a predecessor's flow was dropped because its
+    /// state had not been claimed yet.
     AwaitingState,
-    /// A packet for a flow that is kept for its owner was not answered.
+    /// A packet was not answered because its flow is parked here or being
+    /// handed over.
     KeptSilent,
-    /// A pin was dropped because the table is at its limit.
+    /// A pin was dropped because the pin table is full.
     PinTableFull,
-    /// A home was told that this agent does not hold a flow.
+    /// A home was notified that its pin is stale.
     StalePin,
     /// A flow was inherited from a predecessor, or adopted.
     Inherited,
 }
 
 impl Counters {
-    /// Requests and opens refused for a reason.
+    /// Returns the number of requests and opens refused for a reason.
     #[must_use]
     pub fn refused(&self, reason: Reason) -> u64 {
         self.refused.get(&reason).copied().unwrap_or(0)
     }
 
-    /// How often something happened.
+    /// Returns the value of a counter.
     #[must_use]
     pub fn get(&self, counter: Counter) -> u64 {
         self.counted.get(&counter).copied().unwrap_or(0)
     }
 
-    /// All refusals by reason that are not zero.
+    /// Returns the numbers of refusals by reason that are not zero.
     pub fn refusals(&self) -> impl Iterator<Item = Refusals> {
         self.refused
             .iter()
             .map(|(&reason, &count)| Refusals { reason, count })
     }
 
-    /// All other counters that are not zero.
+    /// Returns all other counters that are not zero.
     pub fn iter(&self) -> impl Iterator<Item = Count> {
         self.counted
             .iter()
@@ -137,20 +139,20 @@
     }
 }
 
-/// A number of refusals.
+/// Number of refusals for one reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusals {
-    /// Why they were refused.
+    /// Reason of the refusals.
     pub reason: Reason,
-    /// How many.
+    /// Number of refusals.
     pub count: u64,
 }
 
 /// The value of a counter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Count {
-    /// What is counted.
+    /// The counter.
     pub counter: Counter,
-    /// How often it happened.
+    /// Value of the counter.
     pub count: u64,
 }
--- a/roles/agent/src/view.rs
+++ b/roles/agent/src/view.rs
@@ -1,4 +1,4 @@
-//! What an agent knows of its service.
+//! An agent's view of its service.
 use std::time::Duration;
 
 use wire::Target;
@@ -6,35 +6,36 @@
 /// The targets and the settings of the service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct View {
-    /// All targets of the service but those that have left or are held down.
+    /// All targets of the service except those that have left or are considered
+    /// down.
     pub targets: Vec<Target>,
-    /// Settings by the operators.
+    /// Service settings from the operators.
     pub service: Service,
 }
 
 /// Settings of a service that its agents follow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Service {
-    /// Where the requests of a flow may run.
+    /// Backend servers that the requests of a flow may run at.
     pub binding: Binding,
-    /// Longest expected wait of a request that is queued.
+    /// Longest expected wait for a slot with which a request is queued.
     pub queue_limit: Duration,
-    /// Time without a packet after which a flow is forgotten.
+    /// Time without a packet after which a flow expires.
     pub idle: Duration,
     /// Deadline of a request that states none.
     pub default_deadline: Duration,
-    /// Longest deadline of a request; longer ones are cut to it.
+    /// Longest deadline of a request; longer ones are capped.
     pub max_deadline: Duration,
     /// Largest answer, in bytes; at most [`flow::answer::MAX_ANSWER_BYTES`].
     pub max_answer_bytes: usize,
 }
 
-/// Where the requests of a flow may run.
+/// Backend servers that the requests of a flow may run at.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Binding {
-    /// Only at the flow's own backend server.
+    /// Only the backend server of the flow's holder.
     Bound,
-    /// At any backend server of the service.
+    /// Any backend server of the service.
     Independent,
 }
 
