--- a/roles/agent/tests/closing.rs
+++ b/roles/agent/tests/closing.rs
@@ -1,4 +1,4 @@
-//! Cancels and closes reach what their caller means, and nothing else.
+//! Cancels and closes affect only the request or flow that their caller names.
 mod cluster;
 
 use agent::Completion;
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_cancel_that_overtakes_its_request_stops_it() {
+fn a_cancel_that_arrives_first_prevents_its_request() {
     let mut cluster = Cluster::bound(1);
     let token = cluster.open(FLOW);
     cluster.send(&cancel(FLOW, REQUEST, token));
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_spoofed_close_that_names_another_target_reaches_nobody() {
+fn a_spoofed_close_that_names_another_target_is_ignored() {
     let mut cluster = Cluster::bound(3);
     let token = cluster.open(FLOW);
     let other = cluster.ranked(FLOW)[2];
@@ -122,9 +122,10 @@
     }
 }
 
-/// Copies of the whole life of a flow arrive after its close.
+/// Delayed copies of a flow's open, request and later requests arrive after its
+/// close. They must not reopen the flow or run anything.
 #[test]
-fn late_copies_do_not_revive_a_closed_flow() {
+fn late_copies_do_not_reopen_a_closed_flow() {
     let mut cluster = Cluster::bound(1);
     let token = cluster.open(FLOW);
     cluster.send(&request(FLOW, REQUEST, token));
--- a/roles/agent/tests/cluster/message.rs
+++ b/roles/agent/tests/cluster/message.rs
@@ -1,4 +1,4 @@
-//! The messages between agents, and their delivery.
+//! Messages between agents, and their delivery.
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use super::Call;
 use super::Cluster;
 
-/// A message on its way.
+/// A message in transit.
 #[derive(Clone, Debug)]
 pub enum Message {
     Frame {
@@ -23,7 +23,8 @@
     Offer {
         from: usize,
         to: SocketAddr,
-        /// Incarnation that the connection leads to, unless none lived.
+        /// Incarnation at the other end of the connection, if the agent was
+        /// running.
         connected: Option<u64>,
         offer: Offer,
     },
@@ -59,7 +60,7 @@
 }
 
 impl Cluster {
-    /// Delivers one message.
+    /// Delivers a message.
     pub fn deliver(&mut self, message: Message) {
         match message {
             Message::Frame { from, to, frame } => {
@@ -118,7 +119,8 @@
         }
     }
 
-    /// Delivers an offer over the connection that it was sent on.
+    /// Delivers an offer over the connection that it was sent on; fails if the
+    /// receiver has restarted since.
     fn deliver_offer(&mut self, from: usize, to: SocketAddr, connected: Option<u64>, offer: Offer) {
         let id = offer.id;
         let receiver = self
--- a/roles/agent/tests/cluster/mod.rs
+++ b/roles/agent/tests/cluster/mod.rs
@@ -1,5 +1,5 @@
-//! A few agents of one service, and the messages between them, which a test
-//! delivers, repeats, loses and delays as it likes.
+//! A simulated cluster: agents of one service, and the messages between them,
+//! which a test can deliver, repeat, lose and delay.
 #![allow(dead_code, missing_docs, unused_imports)]
 mod message;
 mod packet;
@@ -42,7 +42,7 @@
 pub const FLOW: u64 = 77;
 pub const REQUEST: u64 = 5;
 
-/// A call that waits for an agent's answer.
+/// A call that waits for an agent's reply.
 #[derive(Clone, Debug)]
 enum Call {
     Offer { from: usize, offer: offer::Id },
@@ -64,16 +64,16 @@
     pub settings: Settings,
     pub service: Service,
     pub messages: Vec<Message>,
-    /// Packets that reached the callers.
+    /// Packets sent to the callers.
     pub replies: Vec<Packet>,
-    /// Jobs at the backend servers that are not finished.
+    /// Unfinished jobs at the backend servers.
     pub running: Vec<Running>,
-    /// All jobs that ever reached a backend server.
+    /// All jobs that have been started at a backend server.
     pub runs: Vec<Running>,
     pub aborted: Vec<u64>,
     pub announced: Vec<State>,
     pub exited: Vec<usize>,
-    /// Events that wait for frozen agents.
+    /// Pending events of frozen agents.
     frozen: BTreeMap<usize, Vec<Event>>,
     calls: BTreeMap<u64, Call>,
     next_call: u64,
@@ -113,7 +113,7 @@
     settings
 }
 
-/// Cases that do not fit a bound service say so.
+/// Returns the settings of a service whose requests may run at any agent.
 pub fn independent() -> Service {
     Service {
         binding: Binding::Independent,
@@ -122,7 +122,8 @@
 }
 
 impl Cluster {
-    /// Starts agents that know each other and have nothing to claim.
+    /// Starts `count` agents that have each other in their views and no
+    /// predecessor's state to claim.
     pub fn new(count: usize, settings: Settings, service: Service) -> Self {
         let targets: Vec<Target> = (0..count).map(target).collect();
         let now = Duration::from_secs(100);
@@ -163,19 +164,19 @@
         self.send_view_of(index, targets);
     }
 
-    /// The targets that have not left.
+    /// Returns the targets that have not left.
     pub fn present_targets(&self) -> Vec<Target> {
         let live = |target: &&Target| target.state != State::Left;
         self.targets.iter().filter(live).cloned().collect()
     }
 
-    /// Gives an agent a view that differs from that of others.
+    /// Sends an agent a view with the given targets.
     pub fn send_view_of(&mut self, index: usize, targets: Vec<Target>) {
         let service = self.service;
         self.event(index, Event::View(View { targets, service }));
     }
 
-    /// Hands an event to an agent and takes its actions up.
+    /// Passes an event to an agent and carries out its actions.
     pub fn event(&mut self, index: usize, event: Event) {
         if let Some(events) = self.frozen.get_mut(&index) {
             events.push(event);
@@ -191,12 +192,12 @@
         }
     }
 
-    /// Stops a process; what is sent to it waits.
+    /// Freezes an agent; events for it are held back.
     pub fn freeze(&mut self, index: usize) {
         self.frozen.insert(index, Vec::new());
     }
 
-    /// Lets a stopped process go on.
+    /// Resumes a frozen agent and passes it the events held back.
     pub fn thaw(&mut self, index: usize) {
         for event in self.frozen.remove(&index).unwrap_or_default() {
             self.event(index, event);
@@ -303,7 +304,7 @@
             .filter(|&index| self.agents[index].is_some())
     }
 
-    /// Delivers all messages, in order.
+    /// Delivers all messages in order, including those that result.
     pub fn deliver_all(&mut self) {
         while !self.messages.is_empty() {
             let message = self.messages.remove(0);
@@ -311,7 +312,8 @@
         }
     }
 
-    /// Lets time pass, with the ticks that the agents ask for.
+    /// Advances the time, with the ticks that are due, and delivers all
+    /// messages.
     pub fn advance(&mut self, time: Duration) {
         let end = self.now + time;
         while let Some(next) = self.next_deadline().filter(|&at| at <= end) {
@@ -337,7 +339,7 @@
         }
     }
 
-    /// Finishes the oldest job at a backend server.
+    /// Finishes the oldest unfinished job and delivers all messages.
     pub fn finish(&mut self, result: Completion) {
         assert!(!self.running.is_empty(), "a job should be running");
         let Running { agent, job } = self.running.remove(0);
@@ -350,7 +352,7 @@
         self.finish(Completion::Completed(Bytes::from(text.to_owned())));
     }
 
-    /// Replaces an agent by a new incarnation that knows nothing.
+    /// Replaces an agent by a new incarnation without its state.
     pub fn restart(&mut self, index: usize) {
         self.running.retain(|it| it.agent != index);
         self.targets[index].incarnation += 1;
@@ -367,7 +369,7 @@
         self.deliver_all();
     }
 
-    /// Tells all agents that one has left.
+    /// Removes a target from the views of all other agents.
     pub fn remove_from_views(&mut self, left: usize) {
         let id = self.targets[left].id;
         let targets: Vec<Target> = self
@@ -382,30 +384,33 @@
         self.deliver_all();
     }
 
-    /// Takes the oldest message on its way.
+    /// Removes and returns the oldest message.
     pub fn take_message(&mut self) -> Option<Message> {
         (!self.messages.is_empty()).then(|| self.messages.remove(0))
     }
 
     pub fn status(&self, index: usize) -> agent::Status {
-        let agent = self.agents[index].as_ref().expect("the agent should live");
+        let agent = self.agents[index]
+            .as_ref()
+            .expect("the agent should be running");
         agent.status()
     }
 }
 
-/// Index of the agent that a token names.
+/// Returns the index of the agent that a token names.
 pub fn holder(token: Token) -> usize {
     usize::try_from(token.target - 1000).unwrap()
 }
 
-/// Checks that a caller was refused, and how.
+/// Checks the reason and the outcome of the refusal that a caller received.
 pub fn assert_refused(cluster: &mut Cluster, reason: Reason, outcome: caller::Outcome) {
     let refusal = cluster.take_refusal().expect("a refusal should be sent");
     assert_eq!(refusal.reason(), reason);
     assert_eq!(refusal.outcome(), outcome);
 }
 
-/// A cluster of one agent with one slot, which is taken by request 1.
+/// Returns a cluster of one agent with one slot, which request 1 of [`FLOW`]
+/// occupies, and the token of the flow.
 pub fn one_busy_agent() -> (Cluster, Token) {
     let mut settings = settings();
     settings.gate.slots = 1;
--- a/roles/agent/tests/cluster/packet.rs
+++ b/roles/agent/tests/cluster/packet.rs
@@ -1,4 +1,4 @@
-//! The packets that a caller sends.
+//! Packets that a caller sends.
 use bytes::Bytes;
 use wire::Token;
 use wire::caller::Cancel;
--- a/roles/agent/tests/cluster/relay.rs
+++ b/roles/agent/tests/cluster/relay.rs
@@ -1,4 +1,4 @@
-//! Packets on their way through an entry, and the replies.
+//! Packets relayed by an entry, and the replies to them.
 use std::collections::BTreeMap;
 
 use agent::Event;
@@ -24,12 +24,12 @@
         }
     }
 
-    /// Index of the first agent in the order of a flow.
+    /// Returns the index of the first agent in the order of a flow.
     pub fn home(&self, flow: u64) -> usize {
         self.ranked(flow)[0]
     }
 
-    /// Indexes of the agents in the order of a flow.
+    /// Returns the indexes of the agents in the order of a flow.
     pub fn ranked(&self, flow: u64) -> Vec<usize> {
         let order = route::Order::new(&self.present_targets());
         order
@@ -38,13 +38,13 @@
             .collect()
     }
 
-    /// A relayed packet, as an entry with the full view makes it.
+    /// Builds the relayed packet that an entry with a complete view sends.
     pub fn relay(&self, packet: &Packet) -> Relay {
         let path = self.ranked(packet.flow);
         self.relay_along(packet, &path[..path.len().min(3)])
     }
 
-    /// A relayed packet along the given agents.
+    /// Builds a relayed packet with the given agents as its path.
     pub fn relay_along(&self, packet: &Packet, path: &[usize]) -> Relay {
         Relay {
             caller: caller(),
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Sends a packet through an entry and delivers what follows.
+    /// Sends a packet through an entry and delivers all resulting messages.
     pub fn send(&mut self, packet: &Packet) {
         let relay = self.relay(packet);
         self.send_relay(relay);
@@ -114,7 +114,8 @@
         })
     }
 
-    /// The whole answer to a request among the replies.
+    /// Removes all replies and returns the complete answer to a request, if
+    /// they contain it.
     pub fn take_answer(&mut self, request: u64) -> Option<Vec<u8>> {
         let replies = std::mem::take(&mut self.replies);
         let mut chunks = BTreeMap::new();
--- a/roles/agent/tests/half_open.rs
+++ b/roles/agent/tests/half_open.rs
@@ -1,4 +1,6 @@
-//! A flow that two agents took, of which the caller uses one.
+//! A flow that two agents have accepted, of which the caller uses one. The
+//! unused half-open copy must not hide the flow once its state is parked or
+//! adopted.
 mod cluster;
 
 use agent::Event;
@@ -12,7 +14,7 @@
 
 const AGENTS: usize = 4;
 
-/// A flow that is held, and half open at another agent.
+/// A flow that is in use at its holder, with a half-open copy at another agent.
 struct Duplicate {
     cluster: Cluster,
     token: Token,
@@ -20,7 +22,8 @@
     other: usize,
 }
 
-/// The other agent is so many after the holder; the next one gets its state.
+/// Opens [`FLOW`] at its holder and at the agent `distance` places after it.
+/// The agent one place after the holder is the peer that receives its state.
 fn open_twice(mut cluster: Cluster, distance: usize) -> Duplicate {
     let token = cluster.open(FLOW);
     let holder = holder(token);
@@ -37,7 +40,7 @@
     }
 }
 
-fn replaced_holder_gets_its_flow_back(distance: usize) {
+fn successor_serves_its_parked_flow(distance: usize) {
     let mut duplicate = open_twice(Cluster::bound(AGENTS), distance);
     let cluster = &mut duplicate.cluster;
     cluster.event(duplicate.holder, Event::Replace);
@@ -53,13 +56,13 @@
     assert_eq!(cluster.runs[1].agent, duplicate.holder);
 }
 
-cases::cases! { replaced_holder_gets_its_flow_back;
-    a_half_open_flow_at_the_keeper_does_not_hide_the_kept_one: 1,
-    a_half_open_flow_elsewhere_does_not_break_a_replaced_one: 2,
-    a_half_open_flow_far_away_does_not_break_a_replaced_one: 3,
+cases::cases! { successor_serves_its_parked_flow;
+    a_half_open_copy_at_the_parking_peer_does_not_hide_the_parked_flow: 1,
+    a_half_open_copy_two_agents_away_does_not_break_a_replaced_flow: 2,
+    a_half_open_copy_three_agents_away_does_not_break_a_replaced_flow: 3,
 }
 
-fn peer_that_adopted_the_flow_is_found(distance: usize) {
+fn adopting_peer_serves_the_flow(distance: usize) {
     let cluster = Cluster::new(AGENTS, settings(), independent());
     let mut duplicate = open_twice(cluster, distance);
     let cluster = &mut duplicate.cluster;
@@ -72,8 +75,8 @@
     assert_eq!(cluster.take_answer(2).unwrap(), b"second");
 }
 
-cases::cases! { peer_that_adopted_the_flow_is_found;
-    a_half_open_flow_gives_way_to_an_adopted_one: 1,
-    a_half_open_flow_elsewhere_does_not_break_an_adopted_one: 2,
-    a_half_open_flow_far_away_does_not_break_an_adopted_one: 3,
+cases::cases! { adopting_peer_serves_the_flow;
+    a_half_open_copy_is_replaced_by_the_adopted_flow: 1,
+    a_half_open_copy_two_agents_away_does_not_break_an_adopted_flow: 2,
+    a_half_open_copy_three_agents_away_does_not_break_an_adopted_flow: 3,
 }
--- a/roles/agent/tests/interleavings.rs
+++ b/roles/agent/tests/interleavings.rs
@@ -1,7 +1,7 @@
-//! Over arbitrary interleavings, repeats, losses, delays, restarts and
-//! replacements: a non-idempotent request runs at most once, nothing runs of
-//! which "not run" was said, and a caller gets the whole answer to its own
-//! request.
+//! Random interleavings with duplicates, losses, delays, restarts and
+//! replacements: a non-idempotent request runs at most once, no request runs
+//! that was refused as not run, and a caller only gets chunks of an answer to
+//! its own request.
 mod cluster;
 mod transitions;
 
@@ -37,9 +37,11 @@
 struct Trial {
     cluster: Cluster,
     tokens: BTreeMap<u64, Vec<Token>>,
-    /// The token of a request's first transmission, which repeats carry too.
+    /// Tokens of the first transmissions of requests, which retransmissions
+    /// carry too.
     first_tokens: BTreeMap<RequestKey, Token>,
-    /// Runs that are known not to have happened.
+    /// Jobs that reached a backend server and certainly did not run, by
+    /// request.
     not_run: BTreeMap<RequestKey, usize>,
     answers: BTreeMap<RequestKey, BTreeSet<Vec<u8>>>,
     replies: Vec<Packet>,
@@ -145,7 +147,7 @@
         self.record_replies();
     }
 
-    /// Sends a packet to an agent without delivering what follows.
+    /// Sends a packet to an agent without delivering the resulting messages.
     fn send(&mut self, packet: &Packet, agent: usize) {
         let path: Vec<usize> = (0..AGENTS).map(|it| (agent + it) % AGENTS).collect();
         let relay = self.cluster.relay_along(packet, &path);
@@ -166,7 +168,7 @@
         }
     }
 
-    /// Delivers all messages but one.
+    /// Delivers all messages except the one with index `lost`.
     fn deliver_except(&mut self, lost: usize) {
         let mut number = 0;
         while let Some(message) = self.cluster.take_message() {
@@ -211,7 +213,8 @@
         self.cluster.event(agent, Event::Finished { job, result });
     }
 
-    /// Lets time pass without delivering anything.
+    /// Advances the time, with the ticks that are due, without delivering
+    /// messages.
     fn wait(&mut self, time: Duration) {
         let end = self.cluster.now + time;
         while let Some(at) = self.cluster.next_deadline().filter(|&at| at <= end) {
@@ -262,7 +265,7 @@
                     flow: packet.flow,
                     request: refusal.request,
                 };
-                assert_eq!(ran(&name), 0, "{name:?} ran, and {refusal:?} was said");
+                assert_eq!(ran(&name), 0, "{name:?} ran, but {refusal:?} was sent");
             }
             Some(Body::Chunk(chunk)) => {
                 let name = RequestKey {
@@ -273,7 +276,10 @@
                     .answers
                     .get(&name)
                     .is_some_and(|answers| answers.iter().any(|answer| is_chunk_of(chunk, answer)));
-                assert!(is_own, "{name:?} got a chunk that is not of its answer");
+                assert!(
+                    is_own,
+                    "{name:?} received a chunk that is not part of its answer"
+                );
             }
             _ => {}
         }
@@ -286,7 +292,8 @@
     chunks.len() == chunk.count as usize && chunks.get(index) == Some(&&chunk.payload[..])
 }
 
-/// Calls to an agent do not outlive it.
+/// Breaks the connections to an agent that is restarted: pending calls to it
+/// are lost.
 fn break_connections(cluster: &mut Cluster, agent: usize) {
     let address = cluster.targets[agent].control;
     let messages = std::mem::take(&mut cluster.messages);
@@ -302,7 +309,8 @@
     }
 }
 
-/// A lost frame vanishes; the sender of a lost call learns so.
+/// Loses a message: a lost frame has no effect, and the sender of a lost call
+/// is notified.
 fn lose(cluster: &mut Cluster, message: Message) {
     match message {
         Message::Offer { from, offer, .. } => cluster.event(
@@ -359,7 +367,7 @@
     prop_oneof![Just(Service::default()), Just(cluster::independent())]
 }
 
-/// Room for a few records, or for all.
+/// Memory limits of the ledger: for three records, eight records, or all.
 fn limits() -> impl Strategy<Value = usize> {
     prop_oneof![
         Just(3 * flow::ledger::RECORD_BYTES),
--- a/roles/agent/tests/limits.rs
+++ b/roles/agent/tests/limits.rs
@@ -1,4 +1,5 @@
-//! Limits hold, and what cannot be served is counted and answered.
+//! Limits on flows, records and time are enforced, and invalid packets are
+//! dropped or refused and counted.
 mod cluster;
 
 use std::time::Duration;
@@ -65,7 +66,7 @@
 }
 
 #[test]
-fn a_flow_with_a_running_feed_outlives_its_idle_time() {
+fn a_flow_with_a_running_request_does_not_expire() {
     let service = agent::view::Service {
         idle: Duration::from_mins(1),
         ..agent::view::Service::default()
@@ -135,7 +136,7 @@
 }
 
 cases::cases! { rejects_packet;
-    noise_is_rejected: Invalid {
+    an_undecodable_packet_is_rejected: Invalid {
         packet: Bytes::from_static(b"\xff\xff\xff"),
         reason: Reason::Malformed,
     },
@@ -147,18 +148,18 @@
         packet: with_payload(16 * 1024 + 1),
         reason: Reason::TooLarge,
     },
-    another_version_is_rejected: Invalid {
+    an_unsupported_version_is_rejected: Invalid {
         packet: Packet { version: 9, ..open(FLOW) }.to_bytes(),
         reason: Reason::BadVersion,
     },
-    request_zero_is_rejected: Invalid {
+    request_id_zero_is_rejected: Invalid {
         packet: idempotent(FLOW, 0).to_bytes(),
         reason: Reason::Malformed,
     },
 }
 
 #[test]
-fn a_frame_with_an_impossible_position_is_dropped() {
+fn a_frame_with_an_out_of_range_position_is_dropped() {
     let mut cluster = Cluster::bound(1);
     let mut relay = cluster.relay(&open(FLOW));
     relay.position = 7;
--- a/roles/agent/tests/passing.rs
+++ b/roles/agent/tests/passing.rs
@@ -1,5 +1,5 @@
-//! Single requests of independent flows run elsewhere, and the holder stays the
-//! one authority.
+//! Single requests of independent flows run at other agents, while the holder
+//! records and answers them.
 mod cluster;
 
 use std::time::Duration;
@@ -22,7 +22,7 @@
 use wire::caller;
 use wire::caller::Reason;
 
-/// A flow whose holder has its only slot taken, so that it passes on.
+/// A flow whose holder has no free slot, so that it passes requests on.
 struct Saturated {
     cluster: Cluster,
     token: Token,
@@ -50,14 +50,14 @@
     refusal.outcome()
 }
 
-/// Takes the offer that is on its way out of the messages.
+/// Removes the pending offer from the messages.
 fn take_offer(cluster: &mut Cluster) -> Message {
     let is_offer = |message: &Message| matches!(message, Message::Offer { .. });
     let position = cluster.messages.iter().position(is_offer).unwrap();
     cluster.messages.remove(position)
 }
 
-/// Hands a request to the holder without delivering what follows.
+/// Sends a request to the holder without delivering the resulting messages.
 fn request_undelivered(saturated: &mut Saturated, packet: &caller::Packet) {
     let relay = saturated.cluster.relay_along(packet, &[saturated.holder]);
     let frame = wire::Frame::Relay(relay);
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_full_holder_passes_a_request_and_answers_itself() {
+fn a_full_holder_passes_a_request_and_answers_the_caller() {
     let mut saturated = saturated(3);
     saturated
         .cluster
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_bound_service_never_passes() {
+fn a_bound_service_never_passes_requests() {
     let mut settings = settings();
     settings.gate.slots = 1;
     let mut cluster = Cluster::new(3, settings, agent::view::Service::default());
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_lost_outcome_of_a_non_idempotent_request_is_unknown() {
+fn a_non_idempotent_request_with_a_lost_outcome_is_unknown() {
     let mut saturated = saturated(3);
     let packet = request(FLOW, REQUEST, saturated.token);
     request_undelivered(&mut saturated, &packet);
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_lost_outcome_of_an_idempotent_request_is_tried_again() {
+fn an_idempotent_request_with_a_lost_outcome_is_retried() {
     let mut saturated = saturated(3);
     request_undelivered(&mut saturated, &idempotent(FLOW, REQUEST));
     let offer = take_offer(&mut saturated.cluster);
@@ -137,7 +137,7 @@
     assert_eq!(saturated.cluster.take_answer(REQUEST).unwrap(), b"again");
 }
 
-/// Tells the holder that the call was sent and its result lost.
+/// Reports to the holder that the offer was sent and its outcome was lost.
 fn lose_outcome(saturated: &mut Saturated, offer: Message) {
     let Message::Offer { offer, .. } = offer else {
         panic!("the message should be an offer");
@@ -178,7 +178,7 @@
     let offer = take_offer(&mut saturated.cluster);
     saturated.cluster.deliver(offer.clone());
     saturated.cluster.deliver_all();
-    // The other agent has a free slot again when a copy of the offer comes.
+    // The other agent has a free slot again when a copy of the offer arrives.
     let position = saturated
         .cluster
         .running
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn a_request_that_nobody_takes_queues_at_its_holder() {
+fn a_request_that_every_agent_refuses_queues_at_its_holder() {
     let mut saturated = saturated(2);
     let other = 1 - saturated.holder;
     let busy = saturated.cluster.open_at(2, other);
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn an_agent_that_cannot_be_reached_costs_no_request() {
+fn a_request_offered_to_an_unreachable_agent_runs_at_its_holder() {
     let mut saturated = saturated(2);
     let other = 1 - saturated.holder;
     saturated.cluster.agents[other] = None;
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn a_cancel_travels_to_the_agent_that_runs_the_request() {
+fn a_cancel_aborts_a_passed_request() {
     let mut saturated = saturated(2);
     saturated
         .cluster
@@ -246,7 +246,7 @@
 }
 
 #[test]
-fn a_withdrawal_that_overtakes_its_offer_stops_it() {
+fn a_withdrawal_that_arrives_first_prevents_its_offer() {
     let mut saturated = saturated(2);
     let packet = request(FLOW, REQUEST, saturated.token);
     request_undelivered(&mut saturated, &packet);
@@ -275,7 +275,7 @@
 }
 
 #[test]
-fn a_request_shed_by_the_agent_that_has_it_is_tried_elsewhere() {
+fn a_passed_request_that_is_shed_is_retried_at_another_agent() {
     let mut saturated = saturated(3);
     saturated
         .cluster
@@ -293,7 +293,7 @@
 }
 
 #[test]
-fn passing_again_is_paid_from_the_retry_budget() {
+fn passing_a_refused_request_again_uses_the_retry_budget() {
     let mut settings = settings();
     settings.gate.slots = 1;
     settings.retries.burst = 0;
@@ -310,7 +310,7 @@
 }
 
 #[test]
-fn a_draining_holder_passes_what_it_can() {
+fn a_draining_holder_passes_requests() {
     let mut cluster = Cluster::new(2, settings(), independent());
     let token = cluster.open(FLOW);
     let holder = cluster::holder(token);
--- a/roles/agent/tests/replacing.rs
+++ b/roles/agent/tests/replacing.rs
@@ -25,7 +25,8 @@
     refusal.outcome()
 }
 
-/// A flow with one request answered, whose holder is replaced.
+/// A flow with one answered request, whose holder has parked its state and
+/// exited.
 struct Replaced {
     cluster: Cluster,
     token: Token,
@@ -51,7 +52,7 @@
 }
 
 impl Replaced {
-    /// Starts the successor and lets it claim.
+    /// Starts the successor and lets it claim the state.
     fn start_successor(&mut self) {
         self.cluster.restart(self.holder);
         self.cluster.send_views();
@@ -85,7 +86,7 @@
 }
 
 #[test]
-fn not_run_survives_a_replacement() {
+fn a_not_run_outcome_survives_a_replacement() {
     let mut cluster = Cluster::bound(3);
     let token = cluster.open(FLOW);
     let holder = holder(token);
@@ -111,7 +112,7 @@
 }
 
 #[test]
-fn ids_below_the_floor_survive_a_replacement() {
+fn a_request_whose_record_has_expired_does_not_run_after_a_replacement() {
     let mut cluster = Cluster::bound(3);
     let token = cluster.open(FLOW);
     let holder = holder(token);
@@ -140,7 +141,7 @@
 }
 
 #[test]
-fn a_refusal_that_was_handed_over_says_when_to_come_back() {
+fn a_refusal_that_was_handed_over_has_a_retry_delay() {
     let mut cluster = Cluster::bound(3);
     let token = cluster.open(FLOW);
     let holder = holder(token);
@@ -157,7 +158,7 @@
 }
 
 #[test]
-fn a_peer_says_nothing_of_new_requests_while_the_holder_is_away() {
+fn a_peer_does_not_answer_new_requests_while_the_holder_is_away() {
     let mut replaced = replaced(3);
     replaced.cluster.send(&request(FLOW, 2, replaced.token));
     assert!(replaced.cluster.replies.is_empty());
@@ -167,7 +168,7 @@
 }
 
 #[test]
-fn a_peer_refuses_to_open_a_flow_that_it_keeps() {
+fn a_peer_refuses_to_open_a_flow_that_is_parked_there() {
     let mut replaced = replaced(2);
     replaced.cluster.send(&open(FLOW));
     let outcome = refused_outcome(&mut replaced.cluster, Reason::HolderAway);
@@ -185,7 +186,7 @@
 }
 
 #[test]
-fn a_successor_without_state_says_unknown() {
+fn a_successor_without_state_answers_unknown() {
     let mut cluster = Cluster::bound(3);
     let token = cluster.open(FLOW);
     let holder = holder(token);
@@ -200,7 +201,7 @@
 }
 
 #[test]
-fn a_successor_says_nothing_before_it_has_claimed() {
+fn a_successor_does_not_answer_before_it_has_claimed() {
     let Replaced {
         mut cluster,
         token,
@@ -214,7 +215,7 @@
 }
 
 #[test]
-fn a_successor_stops_asking_after_a_while() {
+fn a_claim_without_replies_times_out() {
     let mut cluster = Cluster::bound(2);
     let token = cluster.open(FLOW);
     let holder = holder(token);
@@ -229,10 +230,10 @@
     );
 }
 
-/// The first successor has taken the state, run a request and died; a second
-/// one must not start from the same state.
+/// The first successor has claimed the state and run a request, then crashes. A
+/// second successor that claimed the same state would run the request again.
 #[test]
-fn a_state_is_claimed_by_one_incarnation() {
+fn a_state_can_be_claimed_by_one_incarnation_only() {
     let mut replaced = replaced(3);
     replaced.start_successor();
     replaced.cluster.send(&request(FLOW, 2, replaced.token));
@@ -245,7 +246,7 @@
 }
 
 #[test]
-fn a_second_replacement_hands_the_flows_on() {
+fn flows_survive_a_second_replacement() {
     let mut replaced = replaced(3);
     for _ in 0..2 {
         replaced.start_successor();
@@ -266,10 +267,10 @@
     assert_eq!(cluster.runs.len(), 2);
 }
 
-/// The acknowledgement of the last part is lost: the peer may have the whole
-/// state, so no other peer may get it.
+/// The acknowledgement of the last part is lost. The peer may hold the whole
+/// state, so no other peer may receive it.
 #[test]
-fn a_lost_acknowledgement_leaves_one_copy() {
+fn a_lost_acknowledgement_of_the_last_part_leaves_one_copy() {
     let mut cluster = Cluster::bound(4);
     let token = cluster.open(FLOW);
     let holder = holder(token);
@@ -297,7 +298,7 @@
 }
 
 #[test]
-fn a_peer_that_refuses_is_passed_over() {
+fn a_peer_that_refuses_a_handover_is_skipped() {
     let mut cluster = Cluster::bound(3);
     let token = cluster.open(FLOW);
     let holder = holder(token);
@@ -315,7 +316,7 @@
 }
 
 #[test]
-fn a_part_of_a_state_is_not_granted() {
+fn an_incomplete_state_is_not_granted() {
     let mut cluster = Cluster::bound(2);
     let token = cluster.open(FLOW);
     let holder = holder(token);
@@ -336,7 +337,7 @@
 }
 
 #[test]
-fn a_large_state_travels_in_parts() {
+fn a_large_state_is_sent_in_parts() {
     let mut settings = settings();
     settings.leave.part_bytes = 1_000;
     let mut cluster = Cluster::new(2, settings, agent::view::Service::default());
@@ -353,7 +354,7 @@
 }
 
 #[test]
-fn kept_state_expires() {
+fn parked_state_expires() {
     let mut replaced = replaced(2);
     let peer = 1 - replaced.holder;
     assert_eq!(replaced.cluster.status(peer).parked, 1);
@@ -389,7 +390,8 @@
     assert_eq!(cluster.take_answer(2).unwrap().len(), 600);
 }
 
-/// Every agent is replaced in turn while 40 flows are in use.
+/// Every agent is replaced in turn while 40 flows are in use. A flow whose
+/// state is lost on the way would no longer be served.
 #[test]
 fn no_flow_breaks_while_every_agent_is_replaced() {
     let mut cluster = Cluster::bound(4);
@@ -411,16 +413,16 @@
     assert_eq!(cluster.runs.len(), 160);
 }
 
-/// The agent that keeps the state of a replaced one.
+/// Returns the agent at which the state of a replaced one is parked.
 fn parking_peer(cluster: &Cluster, left: usize) -> usize {
     (0..3)
         .filter(|&index| index != left)
         .find(|&index| cluster.status(index).parked > 0)
-        .expect("a peer keeps the flows")
+        .expect("a peer should hold the parked flows")
 }
 
 #[test]
-fn a_keeper_that_leaves_waits_for_the_successor() {
+fn a_parking_peer_that_leaves_waits_for_the_successor() {
     let mut replaced = replaced(3);
     let keeper = parking_peer(&replaced.cluster, replaced.holder);
     replaced.cluster.event(keeper, Event::Replace);
@@ -441,7 +443,7 @@
 }
 
 #[test]
-fn a_keeper_waits_no_longer_than_its_own_stop_may_take() {
+fn a_parking_peer_that_leaves_exits_without_the_successor_at_its_deadline() {
     let mut replaced = replaced(3);
     let keeper = parking_peer(&replaced.cluster, replaced.holder);
     replaced.cluster.event(keeper, Event::Replace);
@@ -450,7 +452,7 @@
 }
 
 #[test]
-fn an_agent_without_a_peer_waits_for_one() {
+fn an_agent_without_a_peer_waits_for_one_to_join() {
     let mut cluster = Cluster::bound(2);
     let token = cluster.open(FLOW);
     let holder = holder(token);
@@ -469,7 +471,7 @@
 }
 
 #[test]
-fn an_agent_that_stays_without_a_peer_exits_within_its_bound() {
+fn an_agent_without_a_peer_exits_at_its_deadline() {
     let mut cluster = Cluster::bound(1);
     cluster.open(FLOW);
     cluster.event(0, Event::Replace);
--- a/roles/agent/tests/replay.rs
+++ b/roles/agent/tests/replay.rs
@@ -1,4 +1,4 @@
-//! Replays the recorded traces in `traces/` against their stated outcomes.
+//! Replays the recorded traces in `traces/` and checks their expected outcomes.
 mod cluster;
 
 use std::fs;
@@ -15,7 +15,7 @@
 use wire::caller::packet::Body;
 use wire::target::State;
 
-/// A trace that is being replayed.
+/// A trace being replayed.
 struct Replay {
     cluster: Cluster,
     origin: Duration,
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn traces_have_their_stated_outcomes() {
+fn traces_have_their_expected_outcomes() {
     let traces = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/traces");
     let mut count = 0;
     for entry in fs::read_dir(traces).unwrap() {
@@ -115,7 +115,7 @@
                 self.cluster.deliver_all();
             }
             ["expect", outcome @ ..] => self.expect(outcome),
-            _ => panic!("{}: unknown line", self.line),
+            _ => panic!("{}: unknown command", self.line),
         }
     }
 
@@ -162,7 +162,7 @@
             }
             ["refused", id, reason, outcome] => {
                 let refusal = self.cluster.take_refusal();
-                let refusal = refusal.unwrap_or_else(|| panic!("{line}: no refusal"));
+                let refusal = refusal.unwrap_or_else(|| panic!("{line}: a refusal should be sent"));
                 assert_eq!(refusal.request, number(id), "{line}");
                 assert_eq!(format!("{:?}", refusal.reason()), *reason, "{line}");
                 assert_eq!(format!("{:?}", refusal.outcome()), *outcome, "{line}");
@@ -203,7 +203,7 @@
     packet
 }
 
-/// Reads `AGENT/INCARNATION`.
+/// Parses `AGENT/INCARNATION`.
 fn read_token(text: &str) -> Token {
     let (agent, incarnation) = text.split_once('/').unwrap();
     Token {
--- a/roles/agent/tests/requests.rs
+++ b/roles/agent/tests/requests.rs
@@ -1,4 +1,5 @@
-//! Requests run at most once, and never after "not run" was said.
+//! Requests run at most once, and never after a refusal that states that they
+//! did not run.
 mod cluster;
 
 use std::time::Duration;
@@ -57,7 +58,7 @@
 }
 
 #[test]
-fn a_copy_after_the_record_is_gone_is_unknown() {
+fn a_copy_of_a_request_whose_record_has_expired_is_unknown() {
     let mut cluster = Cluster::bound(1);
     let token = cluster.open(FLOW);
     cluster.send(&request(FLOW, REQUEST, token));
@@ -96,7 +97,7 @@
 }
 
 #[test]
-fn a_refusal_at_the_deadline_says_when_to_come_back() {
+fn a_refusal_at_the_deadline_has_a_retry_delay() {
     let (mut cluster, token) = one_busy_agent();
     cluster.send(&with_deadline(FLOW, 2, token, 100));
     cluster.advance(Duration::from_millis(200));
@@ -105,7 +106,7 @@
 }
 
 #[test]
-fn times_to_come_back_after_a_deadline_are_spread() {
+fn retry_delays_after_a_deadline_are_randomized() {
     let (mut cluster, token) = one_busy_agent();
     cluster.send(&with_deadline(FLOW, 2, token, 100));
     cluster.advance(Duration::from_millis(200));
@@ -122,7 +123,7 @@
 }
 
 #[test]
-fn callers_refused_together_do_not_return_together() {
+fn callers_refused_together_get_different_retry_delays() {
     let (mut cluster, token) = one_busy_agent();
     for id in 2..12 {
         cluster.send(&with_deadline(FLOW, id, token, 100));
@@ -157,18 +158,19 @@
 #[test]
 fn an_idempotent_copy_after_not_run_is_refused_too() {
     let (mut cluster, token) = one_busy_agent();
-    cluster.send(&named(idempotent(FLOW, 2), token, 100));
+    cluster.send(&with_holder(idempotent(FLOW, 2), token, 100));
     cluster.advance(Duration::from_millis(200));
     cluster.finish_with("first");
     cluster.replies.clear();
-    cluster.send(&named(idempotent(FLOW, 2), token, 10_000));
+    cluster.send(&with_holder(idempotent(FLOW, 2), token, 10_000));
     assert_refused(&mut cluster, Reason::Deadline, Outcome::NotRun);
     assert_eq!(cluster.runs.len(), 1);
 }
 
-/// Another agent may hold the flow too, after two opens, and run it.
+/// After two opens, another agent may hold the flow too and run the request. A
+/// refusal must therefore not state that it did not run.
 #[test]
-fn not_run_is_not_said_of_a_request_that_names_no_holder() {
+fn an_expired_request_that_names_no_holder_is_unknown() {
     let (mut cluster, _) = one_busy_agent();
     let mut packet = idempotent(FLOW, 2);
     if let Some(Body::Request(request)) = &mut packet.body {
@@ -184,14 +186,15 @@
     let mut cluster = Cluster::bound(2);
     let first = cluster.open_at(FLOW, 0);
     cluster.open_at(FLOW, 1);
-    cluster.send_along(&named(idempotent(FLOW, REQUEST), first, 1_000), &[1]);
+    cluster.send_along(&with_holder(idempotent(FLOW, REQUEST), first, 1_000), &[1]);
     assert_eq!(cluster.runs[0].agent, 0);
 }
 
-/// The holder is frozen while a request waits for its slot; what wakes it is
-/// the end of the job before.
+/// The holder is frozen while a request waits for its slot. The first event
+/// after the freeze is the result of the running job, which frees the slot
+/// after the request has expired.
 #[test]
-fn a_holder_frozen_between_recording_and_running_does_not_run() {
+fn a_queued_request_that_expires_while_its_holder_is_frozen_does_not_run() {
     let (mut cluster, token) = one_busy_agent();
     cluster.send(&with_deadline(FLOW, 2, token, 500));
     cluster.now += Duration::from_mins(1);
@@ -208,9 +211,10 @@
     assert_eq!(refusal.outcome(), Outcome::NotRun);
 }
 
-/// Both the running and the waiting request expire while the holder is frozen.
+/// Both the running and the queued request expire while the holder is frozen.
+/// The slot that the first one frees must not go to the second.
 #[test]
-fn a_frozen_holder_does_not_run_what_expired_behind_an_expired_request() {
+fn a_frozen_holder_does_not_run_a_request_queued_behind_an_expired_one() {
     let (mut cluster, token) = one_busy_agent();
     cluster.send(&with_deadline(FLOW, 2, token, 9_000));
     cluster.now += Duration::from_mins(1);
@@ -238,7 +242,7 @@
 }
 
 #[test]
-fn a_deadline_beyond_the_limit_is_cut() {
+fn a_deadline_beyond_the_limit_is_capped() {
     let mut cluster = Cluster::bound(1);
     let token = cluster.open(FLOW);
     cluster.send(&with_deadline(FLOW, REQUEST, token, u32::MAX));
@@ -269,7 +273,7 @@
 }
 
 #[test]
-fn a_flow_opened_again_does_not_revive_an_old_token() {
+fn an_old_token_stays_invalid_after_its_flow_is_opened_again() {
     let mut cluster = Cluster::bound(1);
     let old = cluster.open(FLOW);
     cluster.send(&request(FLOW, REQUEST, old));
@@ -341,7 +345,7 @@
 }
 
 #[test]
-fn a_failed_idempotent_request_is_tried_again() {
+fn a_failed_idempotent_request_is_retried() {
     let mut cluster = Cluster::bound(1);
     cluster.open(FLOW);
     cluster.send(&idempotent(FLOW, REQUEST));
@@ -352,7 +356,7 @@
 }
 
 #[test]
-fn a_request_that_did_not_reach_the_backend_server_is_tried_again() {
+fn a_request_that_did_not_reach_the_backend_server_is_retried() {
     let mut cluster = Cluster::bound(1);
     let token = cluster.open(FLOW);
     cluster.send(&request(FLOW, REQUEST, token));
@@ -362,16 +366,17 @@
     assert_eq!(cluster.take_answer(REQUEST).unwrap(), b"once");
 }
 
-/// An idempotent request that may have run must not be called "not run" when
-/// its second try expires in the queue.
+/// The first attempt of an idempotent request may have run, and its retry
+/// expires in the queue. The refusal must not state that the request did not
+/// run.
 #[test]
-fn a_retry_that_expires_is_unknown_if_the_first_may_have_run() {
+fn a_retry_that_expires_is_unknown_if_the_first_attempt_may_have_run() {
     let (mut cluster, token) = one_busy_agent();
     cluster.send(&idempotent(FLOW, 2));
     cluster.finish_with("first");
     cluster.send(&request(FLOW, 3, token));
     cluster.finish(Completion::Failed { ran: true });
-    // Request 3 has the slot now, and request 2 waits for its second try.
+    // Request 3 has the slot now, and the retry of request 2 is queued.
     cluster.replies.clear();
     cluster.advance(Duration::from_secs(11));
     let outcomes: Vec<Outcome> = cluster
@@ -386,7 +391,7 @@
 }
 
 #[test]
-fn a_request_is_tried_again_twice_at_most() {
+fn a_request_is_retried_at_most_twice() {
     let mut cluster = Cluster::bound(1);
     let token = cluster.open(FLOW);
     cluster.send(&request(FLOW, REQUEST, token));
@@ -413,7 +418,7 @@
     assert_eq!(counters.get(Counter::BudgetSpent), 1);
 }
 
-fn named(mut packet: Packet, token: Token, deadline_ms: u32) -> Packet {
+fn with_holder(mut packet: Packet, token: Token, deadline_ms: u32) -> Packet {
     if let Some(Body::Request(request)) = &mut packet.body {
         request.holder = token.to_bytes().to_vec().into();
         request.deadline_ms = deadline_ms;
--- a/roles/agent/tests/routing.rs
+++ b/roles/agent/tests/routing.rs
@@ -1,4 +1,5 @@
-//! Packets find the holder of their flow, through uneven views too.
+//! Packets reach the holder of their flow, even if the views of entries and
+//! agents differ.
 mod cluster;
 
 use std::time::Duration;
@@ -24,7 +25,7 @@
 use wire::caller::packet::Body;
 use wire::target::State;
 
-/// A flow that is held by the second of its order, and its home.
+/// A flow held by the second agent of its order, and the home of the flow.
 struct PassedFlow {
     cluster: Cluster,
     token: Token,
@@ -32,7 +33,7 @@
     holder: usize,
 }
 
-/// Opens [`FLOW`] while the slots of its home are taken.
+/// Opens [`FLOW`] while the home has a request running.
 fn passed(agents: usize) -> PassedFlow {
     let mut cluster = Cluster::bound(agents);
     let home = cluster.home(FLOW);
@@ -50,22 +51,23 @@
 }
 
 #[test]
-fn an_open_is_passed_on_by_a_full_home() {
+fn an_open_is_forwarded_by_a_busy_home() {
     let passed = passed(4);
     assert_eq!(passed.holder, passed.cluster.ranked(FLOW)[1]);
     assert_eq!(passed.cluster.status(passed.home).pins, 1);
 }
 
-/// Requests that the home of [`FLOW`] has answered, and the flows they came on.
+/// Load that the home of [`FLOW`] has served before the flow is opened.
 struct History {
     service: Service,
     flows: u64,
     requests: u64,
-    /// Rank of the agent that holds [`FLOW`], opened while all slots are free.
+    /// Expected rank of the holder of [`FLOW`], opened while all slots are
+    /// free.
     rank: usize,
 }
 
-fn an_open_after(past: &History) {
+fn opens_at_expected_rank(past: &History) {
     let mut cluster = Cluster::new(4, settings(), past.service);
     let home = cluster.home(FLOW);
     for flow in 1..=past.flows {
@@ -80,10 +82,10 @@
     assert_eq!(holder, cluster.ranked(FLOW)[past.rank]);
 }
 
-cases::cases! { an_open_after;
-    many_requests_of_a_bound_flow: &History { service: Service::default(), flows: 1, requests: 20, rank: 1 },
-    many_requests_of_an_independent_flow: &History { service: independent(), flows: 1, requests: 20, rank: 0 },
-    many_flows_of_one_request: &History { service: Service::default(), flows: 20, requests: 1, rank: 0 },
+cases::cases! { opens_at_expected_rank;
+    many_requests_of_a_bound_flow_move_a_new_flow_off_its_home: &History { service: Service::default(), flows: 1, requests: 20, rank: 1 },
+    many_requests_of_an_independent_flow_leave_a_new_flow_at_its_home: &History { service: independent(), flows: 1, requests: 20, rank: 0 },
+    many_flows_of_one_request_leave_a_new_flow_at_its_home: &History { service: Service::default(), flows: 20, requests: 1, rank: 0 },
 }
 
 #[test]
@@ -91,7 +93,7 @@
     let mut passed = passed(4);
     let job = passed.cluster.running[0].job.clone();
     assert_eq!(job.flow, 1);
-    // The home has a free slot again.
+    // The home has no running request any more.
     passed.cluster.finish_with("done");
     assert_eq!(passed.cluster.open(FLOW), passed.token);
 }
@@ -120,7 +122,8 @@
     assert_eq!(cluster.runs.last().unwrap().agent, holder);
 }
 
-/// An entry that is several seconds behind sends along other agents.
+/// An entry whose view is several seconds old sends the packet along agents
+/// that are not at the top of the flow's order.
 #[test]
 fn a_packet_along_a_stale_path_finds_the_holder() {
     let PassedFlow {
@@ -136,7 +139,7 @@
 }
 
 #[test]
-fn a_packet_without_token_goes_along_the_order() {
+fn a_packet_without_token_is_forwarded_along_the_order_of_its_flow() {
     let PassedFlow {
         mut cluster,
         holder,
@@ -163,7 +166,7 @@
 }
 
 #[test]
-fn an_unknown_flow_is_declared_so_after_a_bounded_search() {
+fn a_request_of_an_unknown_flow_is_refused_after_a_bounded_search() {
     let mut cluster = Cluster::bound(20);
     let token = Token {
         target: 1,
@@ -179,16 +182,17 @@
     assert_eq!(handed, 7);
 }
 
-/// Two entries with uneven views send two copies of one open to different
+/// Two entries with different views send copies of one open to different
 /// agents.
 #[test]
-fn two_opens_that_meet_leave_a_half_open_flow_that_expires() {
+fn two_opens_at_different_agents_leave_a_half_open_flow_that_expires() {
     let mut cluster = Cluster::bound(4);
     let ranked = cluster.ranked(FLOW);
     let first = cluster.open_at(FLOW, ranked[0]);
     let second = cluster.open_at(FLOW, ranked[1]);
     assert_ne!(first, second);
-    // The caller uses the second; an entry sends along the first.
+    // The caller uses the second holder; an entry sends the request to the
+    // first.
     cluster.send(&request(FLOW, REQUEST, second));
     assert_eq!(cluster.runs.len(), 1);
     assert_eq!(cluster.runs[0].agent, ranked[1]);
@@ -199,7 +203,7 @@
 }
 
 #[test]
-fn a_close_passes_the_half_open_copy_of_its_flow() {
+fn a_close_is_forwarded_past_a_half_open_copy_of_its_flow() {
     let mut cluster = Cluster::bound(4);
     let ranked = cluster.ranked(FLOW);
     cluster.open_at(FLOW, ranked[0]);
@@ -209,8 +213,9 @@
     assert!(matches!(closed, Some(Body::Closed(_))));
 }
 
-/// A flow is held twice, and a request names a holder that does not know it
-/// any more: it does not run at the other.
+/// Two agents hold one flow, and a request names the one that has lost its
+/// state in a restart. The request must not run at the other, since it may have
+/// run before.
 #[test]
 fn a_request_never_runs_at_a_holder_that_it_does_not_name() {
     let mut cluster = Cluster::bound(4);
@@ -226,7 +231,7 @@
 }
 
 #[test]
-fn a_stale_pin_is_dropped() {
+fn a_stale_pin_is_reported_to_its_home() {
     let PassedFlow {
         mut cluster,
         token,
@@ -303,10 +308,10 @@
     assert_eq!(cluster.status(home).pins, 1);
 }
 
-/// Each change of the view starts a round; none may keep the one before from
-/// its end.
+/// Each change of the view starts a renewal round. Frequent changes must not
+/// keep earlier rounds from reaching the end of the flow table.
 #[test]
-fn homes_are_told_while_the_view_keeps_changing() {
+fn flows_are_pinned_while_the_view_keeps_changing() {
     let mut cluster = Cluster::bound(2);
     for flow in 1..=4_000 {
         cluster.open_at(flow, 0);
@@ -328,7 +333,8 @@
         cluster.send_along(&fetch(flow, 1, vec![0], token), &[1]);
     }
     let elsewhere = (1..301).filter(|&flow| cluster.home(flow) == 0).count();
-    // The packets of the flows went along agent 1, so it was told as home.
+    // The packets of the flows were sent along agent 1 only, so that it was
+    // pinned as their home.
     cluster.send_views();
     cluster.advance(Duration::from_mins(10));
     assert_eq!(cluster.status(0).pins, elsewhere);
@@ -338,7 +344,7 @@
 }
 
 #[test]
-fn a_full_home_passes_opens_to_the_least_wait() {
+fn a_full_home_forwards_an_open_to_the_agent_with_the_shortest_wait() {
     let mut cluster = Cluster::bound(3);
     for index in 0..3 {
         let flow = 100 + index as u64;
@@ -352,7 +358,7 @@
 }
 
 #[test]
-fn a_draining_target_takes_no_flow_and_serves_those_it_holds() {
+fn a_draining_target_accepts_no_flow_and_serves_those_it_holds() {
     let mut cluster = Cluster::bound(3);
     let token = cluster.open(FLOW);
     let drained = holder(token);
@@ -369,7 +375,7 @@
 }
 
 #[test]
-fn an_open_that_only_draining_targets_see_is_refused() {
+fn an_open_is_refused_if_all_targets_are_draining() {
     let mut cluster = Cluster::bound(2);
     cluster.event(0, agent::Event::Drain);
     cluster.event(1, agent::Event::Drain);
--- a/roles/agent/tests/stopping.rs
+++ b/roles/agent/tests/stopping.rs
@@ -1,4 +1,4 @@
-//! Planned stops cut no request.
+//! Planned stops let pending requests finish.
 mod cluster;
 
 use agent::Event;
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_stop_takes_no_new_flow() {
+fn a_stopping_agent_accepts_no_new_flow() {
     let mut cluster = Cluster::bound(3);
     let token = cluster.open(FLOW);
     let stopping = holder(token);
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_stop_ends_within_its_bound() {
+fn a_stop_ends_at_its_deadline() {
     let mut cluster = Cluster::bound(2);
     let token = cluster.open(FLOW);
     let holder = holder(token);
@@ -108,7 +108,8 @@
     assert_eq!(cluster.runs.len(), 2);
 }
 
-/// Every agent of an independent service but the last stops for good.
+/// All agents of an independent service but one stop in turn. Each hands its
+/// flows over to a peer, and every flow must still be served.
 #[test]
 fn no_independent_flow_breaks_while_agents_stop() {
     let mut cluster = Cluster::new(4, settings(), independent());
@@ -126,7 +127,9 @@
     }
 }
 
-/// Entries learn of a stop before the other agents do.
+/// Entries learn of a stop before the other agents do, and send packets to
+/// homes that have not seen the change. These must find the flows at the
+/// adopting peer.
 #[test]
 fn adopted_flows_are_found_before_the_agents_know_of_the_stop() {
     let mut cluster = Cluster::new(5, settings(), independent());
@@ -149,7 +152,7 @@
 }
 
 #[test]
-fn queued_requests_do_not_run_when_the_bound_of_a_stop_is_reached() {
+fn queued_requests_do_not_run_when_the_deadline_of_a_stop_is_reached() {
     let mut settings = settings();
     settings.gate.slots = 1;
     let mut cluster = Cluster::new(1, settings, agent::view::Service::default());
