--- a/roles/agent/src/agent.rs
+++ b/roles/agent/src/agent.rs
@@ -34,7 +34,7 @@
 use crate::event::JobId;
 use crate::leave::Leaving;
 use crate::offered::Offers;
-use crate::parked;
+use crate::parked::ParkedStates;
 use crate::pinning::Renewal;
 use crate::status::Counter;
 use crate::status::Counters;
@@ -95,7 +95,7 @@
     pub(crate) timers: BTreeSet<Timer>,
     pub(crate) next_id: u64,
     pub(crate) offers: Offers,
-    pub(crate) parked: parked::Table,
+    pub(crate) parked: ParkedStates,
     pub(crate) renewal: Renewal,
     pub(crate) claiming: Option<Claiming>,
     pub(crate) draining: bool,
@@ -166,7 +166,7 @@
             timers: BTreeSet::new(),
             next_id: 1,
             offers: Offers::default(),
-            parked: parked::Table::default(),
+            parked: ParkedStates::default(),
             renewal: Renewal::new(&settings, now),
             claiming: Some(Claiming::new(&settings, now)),
             draining: false,
@@ -306,9 +306,9 @@
         let Announced {
             state: old_state,
             weight: old_weight,
-            next_weight: next,
+            next_weight,
         } = self.announced;
-        if state == old_state && (weight == old_weight || outbox.now < next) {
+        if state == old_state && (weight == old_weight || outbox.now < next_weight) {
             return;
         }
         self.announced = Announced {
--- a/roles/agent/src/parked.rs
+++ b/roles/agent/src/parked.rs
@@ -37,15 +37,15 @@
 
 /// Parked states of other agents, with an index of their flows.
 #[derive(Debug, Default)]
-pub(crate) struct Table {
-    states: BTreeMap<TargetId, Parked>,
+pub(crate) struct ParkedStates {
+    states: BTreeMap<TargetId, ParkedState>,
     flows: HashMap<FlowKey, Position>,
     bytes: usize,
 }
 
 /// Parked state of one agent; incomplete while parts are missing.
 #[derive(Debug)]
-struct Parked {
+struct ParkedState {
     owner: Token,
     count: u32,
     received: u32,
@@ -56,7 +56,7 @@
     expiry: Duration,
 }
 
-impl Parked {
+impl ParkedState {
     fn is_whole(&self) -> bool {
         self.received == self.count
     }
@@ -75,7 +75,7 @@
     flow: usize,
 }
 
-impl Table {
+impl ParkedStates {
     /// Returns the number of parked flows.
     pub(crate) fn len(&self) -> usize {
         self.flows.len()
@@ -92,7 +92,7 @@
     /// Returns whether a successor has yet to claim a state that is parked
     /// here.
     pub(crate) fn has_unclaimed(&self) -> bool {
-        self.states.values().any(Parked::is_unclaimed)
+        self.states.values().any(ParkedState::is_unclaimed)
     }
 
     pub(crate) fn next_deadline(&self) -> Option<Duration> {
@@ -133,15 +133,18 @@
         if stored.is_some_and(|parked| parked.owner.incarnation < owner.incarnation) {
             self.remove(owner.target);
         }
-        let parked = self.states.entry(owner.target).or_insert_with(|| Parked {
-            owner,
-            count: part.count,
-            received: 0,
-            parts: Vec::new(),
-            successor: None,
-            granted: 0,
-            expiry,
-        });
+        let parked = self
+            .states
+            .entry(owner.target)
+            .or_insert_with(|| ParkedState {
+                owner,
+                count: part.count,
+                received: 0,
+                parts: Vec::new(),
+                successor: None,
+                granted: 0,
+                expiry,
+            });
         let is_sound =
             parked.owner == owner && parked.count == part.count && part.index < part.count;
         if !is_sound || part.index > parked.received {
@@ -240,7 +243,7 @@
 
     fn is_whole(&self, owner: TargetId) -> bool {
         let parked = self.parked.states.get(&owner);
-        parked.is_some_and(Parked::is_whole)
+        parked.is_some_and(ParkedState::is_whole)
     }
 
     pub(crate) fn on_claim(&mut self, outbox: &mut Outbox<'_>, call: CallId, claim: Claim) {
--- a/roles/agent/tests/cluster/mod.rs
+++ b/roles/agent/tests/cluster/mod.rs
@@ -314,7 +314,7 @@
 
     /// Advances the time, with the ticks that are due, and delivers all
     /// messages.
-    pub fn advance(&mut self, time: Duration) {
+    pub fn advance_time(&mut self, time: Duration) {
         let end = self.now + time;
         while let Some(next) = self.next_deadline().filter(|&at| at <= end) {
             self.now = self.now.max(next);
@@ -370,15 +370,15 @@
     }
 
     /// Removes a target from the views of all other agents.
-    pub fn remove_from_views(&mut self, left: usize) {
-        let id = self.targets[left].id;
+    pub fn remove_from_views(&mut self, departed: usize) {
+        let id = self.targets[departed].id;
         let targets: Vec<Target> = self
             .targets
             .iter()
             .filter(|target| target.id != id)
             .cloned()
             .collect();
-        for index in (0..self.agents.len()).filter(|&index| index != left) {
+        for index in (0..self.agents.len()).filter(|&index| index != departed) {
             self.send_view_of(index, targets.clone());
         }
         self.deliver_all();
--- a/roles/agent/tests/half_open.rs
+++ b/roles/agent/tests/half_open.rs
@@ -15,7 +15,7 @@
 const AGENTS: usize = 4;
 
 /// A flow that is in use at its holder, with a half-open copy at another agent.
-struct Duplicate {
+struct DuplicateFlow {
     cluster: Cluster,
     token: Token,
     holder: usize,
@@ -24,7 +24,7 @@
 
 /// Opens [`FLOW`] at its holder and at the agent `distance` places after it.
 /// The agent one place after the holder is the peer that receives its state.
-fn open_twice(mut cluster: Cluster, distance: usize) -> Duplicate {
+fn open_twice(mut cluster: Cluster, distance: usize) -> DuplicateFlow {
     let token = cluster.open(FLOW);
     let holder = holder(token);
     cluster.send(&request(FLOW, 1, token));
@@ -32,7 +32,7 @@
     cluster.replies.clear();
     let other = (holder + distance) % AGENTS;
     assert_ne!(cluster.open_at(FLOW, other), token);
-    Duplicate {
+    DuplicateFlow {
         cluster,
         token,
         holder,
--- a/roles/agent/tests/limits.rs
+++ b/roles/agent/tests/limits.rs
@@ -36,7 +36,7 @@
     cluster.open(2);
     cluster.send(&open(3));
     assert_refused(&mut cluster, Reason::TableFull, Outcome::NotRun);
-    cluster.advance(Duration::from_mins(1));
+    cluster.advance_time(Duration::from_mins(1));
     cluster.open(3);
 }
 
@@ -59,7 +59,7 @@
     let token = cluster.open(2);
     cluster.send(&request(2, REQUEST, token));
     cluster.finish_with("used");
-    cluster.advance(Duration::from_mins(1));
+    cluster.advance_time(Duration::from_mins(1));
     assert_eq!(cluster.status(0).flows, 1);
     let counters = cluster.status(0).counters;
     assert_eq!(counters.get(Counter::HalfOpen), 1);
@@ -74,10 +74,10 @@
     let mut cluster = Cluster::new(1, settings(), service);
     let token = cluster.open(FLOW);
     cluster.send(&with_deadline(FLOW, REQUEST, token, 3_000_000));
-    cluster.advance(Duration::from_mins(30));
+    cluster.advance_time(Duration::from_mins(30));
     cluster.finish_with("alert");
     assert_eq!(cluster.take_answer(REQUEST).unwrap(), b"alert");
-    cluster.advance(Duration::from_mins(5));
+    cluster.advance_time(Duration::from_mins(5));
     assert_eq!(cluster.status(0).flows, 0);
 }
 
@@ -113,12 +113,12 @@
     assert_eq!(cluster.status(0).counters.get(Counter::ForeignService), 1);
 }
 
-struct Invalid {
+struct InvalidPacket {
     packet: Bytes,
     reason: Reason,
 }
 
-fn rejects_packet(bad: Invalid) {
+fn rejects_packet(bad: InvalidPacket) {
     let mut cluster = Cluster::bound(1);
     let mut relay = cluster.relay(&open(FLOW));
     relay.packet = bad.packet;
@@ -136,23 +136,23 @@
 }
 
 cases::cases! { rejects_packet;
-    an_undecodable_packet_is_rejected: Invalid {
+    an_undecodable_packet_is_rejected: InvalidPacket {
         packet: Bytes::from_static(b"\xff\xff\xff"),
         reason: Reason::Malformed,
     },
-    a_truncated_packet_is_rejected: Invalid {
+    a_truncated_packet_is_rejected: InvalidPacket {
         packet: with_payload(100).slice(..60),
         reason: Reason::Malformed,
     },
-    an_oversized_payload_is_rejected: Invalid {
+    an_oversized_payload_is_rejected: InvalidPacket {
         packet: with_payload(16 * 1024 + 1),
         reason: Reason::TooLarge,
     },
-    an_unsupported_version_is_rejected: Invalid {
+    an_unsupported_version_is_rejected: InvalidPacket {
         packet: Packet { version: 9, ..open(FLOW) }.to_bytes(),
         reason: Reason::BadVersion,
     },
-    request_id_zero_is_rejected: Invalid {
+    request_id_zero_is_rejected: InvalidPacket {
         packet: idempotent(FLOW, 0).to_bytes(),
         reason: Reason::Malformed,
     },
--- a/roles/agent/tests/passing.rs
+++ b/roles/agent/tests/passing.rs
@@ -266,7 +266,7 @@
         .cluster
         .send(&with_deadline(FLOW, REQUEST, saturated.token, 500));
     assert_eq!(saturated.cluster.runs.len(), 2);
-    saturated.cluster.advance(Duration::from_millis(600));
+    saturated.cluster.advance_time(Duration::from_millis(600));
     assert_eq!(
         refused_outcome(&mut saturated.cluster),
         caller::Outcome::Unknown
--- a/roles/agent/tests/replacing.rs
+++ b/roles/agent/tests/replacing.rs
@@ -118,7 +118,7 @@
     let holder = holder(token);
     cluster.send(&request(FLOW, 9, token));
     cluster.finish_with("ninth");
-    cluster.advance(Duration::from_mins(5));
+    cluster.advance_time(Duration::from_mins(5));
     cluster.event(holder, Event::Replace);
     cluster.deliver_all();
     cluster.remove_from_views(holder);
@@ -222,7 +222,7 @@
     cluster.restart(holder);
     cluster.send_view(holder);
     cluster.messages.clear();
-    cluster.advance(settings().leave.claim);
+    cluster.advance_time(settings().leave.claim);
     cluster.send_along(&request(FLOW, 1, token), &[holder]);
     assert_eq!(
         refused_outcome(&mut cluster, Reason::FlowUnknown),
@@ -288,7 +288,7 @@
     };
     cluster.deliver(lost);
     cluster.deliver_all();
-    cluster.advance(settings().leave.handover);
+    cluster.advance_time(settings().leave.handover);
     assert_eq!(cluster.exited, vec![holder]);
     let kept: Vec<usize> = (0..4)
         .filter(|&index| index != holder)
@@ -358,7 +358,7 @@
     let mut replaced = replaced(2);
     let peer = 1 - replaced.holder;
     assert_eq!(replaced.cluster.status(peer).parked, 1);
-    replaced.cluster.advance(settings().leave.keep);
+    replaced.cluster.advance_time(settings().leave.keep);
     assert_eq!(replaced.cluster.status(peer).parked, 0);
     replaced.cluster.send(&request(FLOW, 1, replaced.token));
     let outcome = refused_outcome(&mut replaced.cluster, Reason::FlowUnknown);
@@ -414,9 +414,9 @@
 }
 
 /// Returns the agent at which the state of a replaced one is parked.
-fn parking_peer(cluster: &Cluster, left: usize) -> usize {
+fn parking_peer(cluster: &Cluster, departed: usize) -> usize {
     (0..3)
-        .filter(|&index| index != left)
+        .filter(|&index| index != departed)
         .find(|&index| cluster.status(index).parked > 0)
         .expect("a peer should hold the parked flows")
 }
@@ -447,7 +447,7 @@
     let mut replaced = replaced(3);
     let keeper = parking_peer(&replaced.cluster, replaced.holder);
     replaced.cluster.event(keeper, Event::Replace);
-    replaced.cluster.advance(Duration::from_mins(1));
+    replaced.cluster.advance_time(Duration::from_mins(1));
     assert_eq!(replaced.cluster.exited, vec![replaced.holder, keeper]);
 }
 
@@ -461,7 +461,7 @@
     cluster.deliver_all();
     assert_eq!(cluster.exited, vec![]);
     cluster.send_views();
-    cluster.advance(Duration::from_secs(1));
+    cluster.advance_time(Duration::from_secs(1));
     assert_eq!(cluster.exited, vec![holder]);
     cluster.remove_from_views(holder);
     cluster.restart(holder);
@@ -475,6 +475,6 @@
     let mut cluster = Cluster::bound(1);
     cluster.open(FLOW);
     cluster.event(0, Event::Replace);
-    cluster.advance(Duration::from_mins(1));
+    cluster.advance_time(Duration::from_mins(1));
     assert_eq!(cluster.exited, vec![0]);
 }
--- a/roles/agent/tests/replay.rs
+++ b/roles/agent/tests/replay.rs
@@ -73,7 +73,7 @@
 impl Replay {
     fn wait_until(&mut self, time: Duration) {
         let time = (self.origin + time).saturating_sub(self.cluster.now);
-        self.cluster.advance(time);
+        self.cluster.advance_time(time);
     }
 
     fn run_line(&mut self, words: &[&str]) {
--- a/roles/agent/tests/requests.rs
+++ b/roles/agent/tests/requests.rs
@@ -63,7 +63,7 @@
     let token = cluster.open(FLOW);
     cluster.send(&request(FLOW, REQUEST, token));
     cluster.finish_with("once");
-    cluster.advance(Duration::from_mins(5));
+    cluster.advance_time(Duration::from_mins(5));
     assert_eq!(cluster.status(0).records, 0);
     cluster.replies.clear();
     cluster.send(&request(FLOW, REQUEST, token));
@@ -90,7 +90,7 @@
 fn a_queued_request_past_its_deadline_did_not_run() {
     let (mut cluster, token) = one_busy_agent();
     cluster.send(&with_deadline(FLOW, 2, token, 100));
-    cluster.advance(Duration::from_millis(200));
+    cluster.advance_time(Duration::from_millis(200));
     assert_refused(&mut cluster, Reason::Deadline, Outcome::NotRun);
     cluster.finish_with("first");
     assert_eq!(cluster.runs.len(), 1);
@@ -100,7 +100,7 @@
 fn a_refusal_at_the_deadline_has_a_retry_delay() {
     let (mut cluster, token) = one_busy_agent();
     cluster.send(&with_deadline(FLOW, 2, token, 100));
-    cluster.advance(Duration::from_millis(200));
+    cluster.advance_time(Duration::from_millis(200));
     let refusal = cluster.take_refusal().unwrap();
     assert!(refusal.retry_after_ms > 0);
 }
@@ -109,7 +109,7 @@
 fn retry_delays_after_a_deadline_are_randomized() {
     let (mut cluster, token) = one_busy_agent();
     cluster.send(&with_deadline(FLOW, 2, token, 100));
-    cluster.advance(Duration::from_millis(200));
+    cluster.advance_time(Duration::from_millis(200));
     cluster.replies.clear();
     let mut times: Vec<u32> = (0..10)
         .map(|_| {
@@ -128,7 +128,7 @@
     for id in 2..12 {
         cluster.send(&with_deadline(FLOW, id, token, 100));
     }
-    cluster.advance(Duration::from_millis(200));
+    cluster.advance_time(Duration::from_millis(200));
     let mut times: Vec<u32> = cluster
         .replies
         .iter()
@@ -147,7 +147,7 @@
 fn a_copy_after_not_run_is_refused_too() {
     let (mut cluster, token) = one_busy_agent();
     cluster.send(&with_deadline(FLOW, 2, token, 100));
-    cluster.advance(Duration::from_millis(200));
+    cluster.advance_time(Duration::from_millis(200));
     cluster.finish_with("first");
     cluster.replies.clear();
     cluster.send(&with_deadline(FLOW, 2, token, 60_000));
@@ -159,7 +159,7 @@
 fn an_idempotent_copy_after_not_run_is_refused_too() {
     let (mut cluster, token) = one_busy_agent();
     cluster.send(&with_holder(idempotent(FLOW, 2), token, 100));
-    cluster.advance(Duration::from_millis(200));
+    cluster.advance_time(Duration::from_millis(200));
     cluster.finish_with("first");
     cluster.replies.clear();
     cluster.send(&with_holder(idempotent(FLOW, 2), token, 10_000));
@@ -177,7 +177,7 @@
         request.deadline_ms = 100;
     }
     cluster.send(&packet);
-    cluster.advance(Duration::from_millis(200));
+    cluster.advance_time(Duration::from_millis(200));
     assert_refused(&mut cluster, Reason::Deadline, Outcome::Unknown);
 }
 
@@ -225,7 +225,7 @@
 #[test]
 fn a_running_request_past_its_deadline_is_unknown_and_frees_its_slot() {
     let (mut cluster, token) = one_busy_agent();
-    cluster.advance(Duration::from_secs(11));
+    cluster.advance_time(Duration::from_secs(11));
     assert_refused(&mut cluster, Reason::Deadline, Outcome::Unknown);
     assert_eq!(cluster.aborted.len(), 1);
     cluster.send(&request(FLOW, 2, token));
@@ -378,7 +378,7 @@
     cluster.finish(Completion::Failed { ran: true });
     // Request 3 has the slot now, and the retry of request 2 is queued.
     cluster.replies.clear();
-    cluster.advance(Duration::from_secs(11));
+    cluster.advance_time(Duration::from_secs(11));
     let outcomes: Vec<Outcome> = cluster
         .replies
         .iter()
--- a/roles/agent/tests/routing.rs
+++ b/roles/agent/tests/routing.rs
@@ -58,7 +58,7 @@
 }
 
 /// Load that the home of [`FLOW`] has served before the flow is opened.
-struct History {
+struct PastLoad {
     service: Service,
     flows: u64,
     requests: u64,
@@ -67,7 +67,7 @@
     rank: usize,
 }
 
-fn opens_at_expected_rank(past: &History) {
+fn opens_at_expected_rank(past: &PastLoad) {
     let mut cluster = Cluster::new(4, settings(), past.service);
     let home = cluster.home(FLOW);
     for flow in 1..=past.flows {
@@ -83,9 +83,9 @@
 }
 
 cases::cases! { opens_at_expected_rank;
-    many_requests_of_a_bound_flow_move_a_new_flow_off_its_home: &History { service: Service::default(), flows: 1, requests: 20, rank: 1 },
-    many_requests_of_an_independent_flow_leave_a_new_flow_at_its_home: &History { service: independent(), flows: 1, requests: 20, rank: 0 },
-    many_flows_of_one_request_leave_a_new_flow_at_its_home: &History { service: Service::default(), flows: 20, requests: 1, rank: 0 },
+    many_requests_of_a_bound_flow_move_a_new_flow_off_its_home: &PastLoad { service: Service::default(), flows: 1, requests: 20, rank: 1 },
+    many_requests_of_an_independent_flow_leave_a_new_flow_at_its_home: &PastLoad { service: independent(), flows: 1, requests: 20, rank: 0 },
+    many_flows_of_one_request_leave_a_new_flow_at_its_home: &PastLoad { service: Service::default(), flows: 20, requests: 1, rank: 0 },
 }
 
 #[test]
@@ -197,7 +197,7 @@
     assert_eq!(cluster.runs.len(), 1);
     assert_eq!(cluster.runs[0].agent, ranked[1]);
     cluster.finish_with("once");
-    cluster.advance(Duration::from_mins(1));
+    cluster.advance_time(Duration::from_mins(1));
     assert_eq!(cluster.status(ranked[0]).flows, 0);
     assert_eq!(cluster.status(ranked[1]).flows, 1);
 }
@@ -289,9 +289,9 @@
     cluster.deliver_all();
     let old_home = cluster.ranked(FLOW)[1];
     let token = cluster.open_at(FLOW, old_home);
-    cluster.advance(Duration::from_millis(10));
+    cluster.advance_time(Duration::from_millis(10));
     cluster.send_views();
-    cluster.advance(Duration::from_millis(10));
+    cluster.advance_time(Duration::from_millis(10));
     assert_eq!(cluster.status(home).pins, 1);
     cluster.send_along(&idempotent(FLOW, REQUEST), &[home]);
     assert_eq!(cluster.runs[0].agent, holder(token));
@@ -304,7 +304,7 @@
     } = passed(4);
     cluster.restart(home);
     cluster.send_views();
-    cluster.advance(Duration::from_secs(1));
+    cluster.advance_time(Duration::from_secs(1));
     assert_eq!(cluster.status(home).pins, 1);
 }
 
@@ -320,7 +320,7 @@
     cluster.restart(1);
     for _ in 0..20 {
         cluster.send_views();
-        cluster.advance(Duration::from_millis(40));
+        cluster.advance_time(Duration::from_millis(40));
     }
     assert_eq!(cluster.status(1).pins, elsewhere);
 }
@@ -336,9 +336,9 @@
     // The packets of the flows were sent along agent 1 only, so that it was
     // pinned as their home.
     cluster.send_views();
-    cluster.advance(Duration::from_mins(10));
+    cluster.advance_time(Duration::from_mins(10));
     assert_eq!(cluster.status(0).pins, elsewhere);
-    cluster.advance(Duration::from_hours(1));
+    cluster.advance_time(Duration::from_hours(1));
     assert_eq!(cluster.status(1).flows, 0);
     assert_eq!(cluster.status(0).pins, 0);
 }
