--- a/roles/agent/src/agent.rs
+++ b/roles/agent/src/agent.rs
@@ -364,7 +364,7 @@
             Reason::Deadline | Reason::Overloaded => {
                 self.gate.expected_wait(now).max(MIN_RETRY_AFTER)
             }
-            _ => self.settings.leave.away,
+            _ => self.settings.leave.retry_after,
         };
         self.jitter(time)
     }
--- a/roles/agent/src/claim.rs
+++ b/roles/agent/src/claim.rs
@@ -40,8 +40,8 @@
 impl Claiming {
     pub(crate) fn new(settings: &Settings, now: Duration) -> Self {
         Self {
-            deadline: now + settings.leave.claim,
-            part_timeout: settings.leave.claim,
+            deadline: now + settings.leave.claim_timeout,
+            part_timeout: settings.leave.claim_timeout,
             pending_peers: Vec::new(),
             source: None,
         }
--- a/roles/agent/src/leave.rs
+++ b/roles/agent/src/leave.rs
@@ -80,7 +80,7 @@
     }
 
     pub(crate) fn on_replace(&mut self, outbox: &mut Outbox<'_>) {
-        self.start_leaving(outbox, NextPhase::Handover(Purpose::Keep));
+        self.start_leaving(outbox, NextPhase::Handover(Purpose::Park));
     }
 
     fn start_leaving(&mut self, outbox: &mut Outbox<'_>, next: NextPhase) {
@@ -110,7 +110,7 @@
             }) => Reason::Draining,
             _ => Reason::HolderAway,
         };
-        let refusal = self.refusal(reason, self.settings.leave.away);
+        let refusal = self.refusal(reason, self.settings.leave.retry_after);
         self.conclude(outbox, job, End::NotRun(refusal));
     }
 
@@ -159,7 +159,7 @@
             .keys()
             .partition(|job| matches!(self.tasks[*job].stage, Stage::New | Stage::Queued));
         for job in waiting.into_iter().chain(others) {
-            let refusal = self.refusal(Reason::HolderAway, self.settings.leave.away);
+            let refusal = self.refusal(Reason::HolderAway, self.settings.leave.retry_after);
             self.abandon(outbox, job, refusal);
         }
     }
@@ -240,14 +240,14 @@
     /// state at, in an order that depends only on the target ids, so that an
     /// agent and its successor try the same peers.
     fn handover_peers(&self) -> Vec<SocketAddr> {
-        self.peers(self.settings.leave.peers, |state| state == State::Ready)
+        self.peers(self.settings.leave.max_peers, |state| state == State::Ready)
     }
 
     /// Returns the control addresses of the peers that may hold a predecessor's
     /// state. Since the state was parked, some peers may have started to leave
     /// and others may have joined, so more peers are asked than were tried.
     pub(crate) fn claim_peers(&self) -> Vec<SocketAddr> {
-        let count = self.settings.leave.peers * CLAIM_PEER_FACTOR;
+        let count = self.settings.leave.max_peers * CLAIM_PEER_FACTOR;
         self.peers(count, |state| state != State::Left)
     }
 
--- a/roles/agent/src/open.rs
+++ b/roles/agent/src/open.rs
@@ -134,7 +134,7 @@
     ) {
         let wait = match reason {
             Reason::Overloaded => self.gate.expected_wait(outbox.now),
-            _ => self.settings.leave.away,
+            _ => self.settings.leave.retry_after,
         };
         let refusal = self.refusal(reason, wait);
         let subject = Subject { flow, request: 0 };
--- a/roles/agent/src/park.rs
+++ b/roles/agent/src/park.rs
@@ -42,7 +42,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Purpose {
     /// The peer stores them for the owner's next incarnation.
-    Keep,
+    Park,
     /// The peer adopts them, since the owner leaves for good.
     Adopt,
 }
--- a/roles/agent/src/parked.rs
+++ b/roles/agent/src/parked.rs
@@ -47,9 +47,12 @@
 #[derive(Debug)]
 struct ParkedState {
     owner: Token,
+    /// Number of parts of the complete state.
     count: u32,
+    /// Number of parts received from the owner.
     received: u32,
     parts: Vec<Part>,
+    /// Incarnation that has claimed the state.
     successor: Option<Incarnation>,
     /// Number of parts that the successor has received.
     granted: u32,
@@ -68,6 +71,7 @@
     }
 }
 
+/// Position of a parked flow in the state of its owner.
 #[derive(Clone, Copy, Debug)]
 struct Position {
     owner: TargetId,
@@ -216,8 +220,8 @@
         let takes = self.accepts_flows()
             && part.service == self.identity.service
             && owner != self.identity.id;
-        let expiry = outbox.now + self.settings.leave.keep;
-        let max_bytes = self.settings.leave.max_kept_bytes;
+        let expiry = outbox.now + self.settings.leave.parked_lifetime;
+        let max_bytes = self.settings.leave.max_parked_bytes;
         let was_whole = self.is_whole(owner);
         let accepted = takes && self.parked.store(part, expiry, max_bytes);
         outbox.push(Action::Parked { call, accepted });
@@ -225,7 +229,7 @@
             return;
         }
         match purpose {
-            Purpose::Keep => {
+            Purpose::Park => {
                 self.parked.index_flows(owner);
                 self.pin_parked(outbox);
             }
--- a/roles/agent/src/parts.rs
+++ b/roles/agent/src/parts.rs
@@ -28,7 +28,7 @@
         let mut size = usize::MAX;
         for held in self.flows.iter() {
             let flow = self.park_flow(held, &mut records);
-            if size.saturating_add(flow.bytes()) > self.settings.leave.part_bytes {
+            if size.saturating_add(flow.bytes()) > self.settings.leave.max_part_bytes {
                 groups.push(Vec::new());
                 size = 0;
             }
@@ -75,10 +75,10 @@
             records.entry(entry.key.flow).or_default().push(record);
         }
         let limits = self.settings.leave;
-        let mut left = limits.max_kept_bytes / ANSWERS_DIVISOR;
+        let mut left = limits.max_parked_bytes / ANSWERS_DIVISOR;
         for records in records.values_mut() {
             records.sort_by_key(|record| record.request);
-            let mut left_of_part = limits.part_bytes;
+            let mut left_of_part = limits.max_part_bytes;
             // Callers are most likely to request the latest answers again.
             for record in records.iter_mut().rev() {
                 record.limit_answer(left.min(left_of_part));
--- a/roles/agent/src/pass.rs
+++ b/roles/agent/src/pass.rs
@@ -50,8 +50,8 @@
         };
         let may_pass = self.view.service.binding == Binding::Independent
             && task.is_from_caller()
-            && task.tried_targets.len() < settings.tries
-            && outbox.now + settings.room < task.deadline;
+            && task.tried_targets.len() < settings.max_attempts
+            && outbox.now + settings.min_time_left < task.deadline;
         if !may_pass {
             return false;
         }
@@ -131,9 +131,8 @@
         }
     }
 
-    /// Retries a request that another agent did not run: if a slot is likely to
-    /// be free here it is treated like a new request, otherwise it is passed on
-    /// or queued.
+    /// Retries a request that another agent did not run: submits it to the gate
+    /// here, passes it to the next agent if that is preferable, or queues it.
     fn retry_refused(&mut self, outbox: &mut Outbox<'_>, job: JobId, refusal: Refusal) {
         if let Some(task) = self.tasks.get_mut(&job) {
             task.stage = Stage::New;
--- a/roles/agent/src/pinning.rs
+++ b/roles/agent/src/pinning.rs
@@ -144,9 +144,9 @@
     pub(crate) fn pin_opened(&mut self, outbox: &mut Outbox<'_>, home: Hop, key: FlowKey) {
         // If the entry's view is newer than this agent's, the home is unknown
         // here and the next round pins the flow again.
-        let told = self.target(home.target).map(token);
+        let known_home = self.target(home.target).map(token);
         if let Some(flow) = self.flows.get_mut(key) {
-            flow.home = told;
+            flow.home = known_home;
         }
         if home.target != self.identity.id {
             let flows = vec![key];
--- a/roles/agent/src/relay.rs
+++ b/roles/agent/src/relay.rs
@@ -100,7 +100,7 @@
     /// Forwards a packet to the first hop that it has not visited among: the
     /// pinned holder, the holder that the caller names, the rest of the path,
     /// and the order of the flow in this agent's view. Without such a hop,
-    /// replies as `misrouted.fallback` says.
+    /// replies according to `misrouted.fallback`.
     pub(crate) fn forward_misrouted(
         &mut self,
         outbox: &mut Outbox<'_>,
@@ -187,7 +187,7 @@
             flow: misrouted.flow,
             request,
         };
-        let refusal = self.refusal(Reason::FlowUnknown, self.settings.leave.away);
+        let refusal = self.refusal(Reason::FlowUnknown, self.settings.leave.retry_after);
         self.refuse(
             outbox,
             reply_path(relay),
--- a/roles/agent/src/request.rs
+++ b/roles/agent/src/request.rs
@@ -140,7 +140,7 @@
                 self.send_outcome(outbox, reply_path, key, &state);
             }
             Admission::Forgotten | Admission::Full => {
-                let refusal = self.refusal(Reason::TableFull, self.settings.leave.away);
+                let refusal = self.refusal(Reason::TableFull, self.settings.leave.retry_after);
                 self.send_outcome(outbox, reply_path, key, &State::Unknown(refusal));
             }
         }
@@ -201,7 +201,7 @@
         };
         match state {
             State::Done(answer) => {
-                let burst = usize::try_from(self.settings.burst_chunks).unwrap_or(usize::MAX);
+                let burst = usize::try_from(self.settings.initial_chunks).unwrap_or(usize::MAX);
                 for chunk in answer.chunks(key.request).take(burst) {
                     self.send_chunk(outbox, reply_path, key.flow, chunk);
                 }
--- a/roles/agent/src/retry.rs
+++ b/roles/agent/src/retry.rs
@@ -62,7 +62,7 @@
     /// retry budget: the flow is held here, fewer than [`MAX_RETRIES`] retries
     /// were made, and enough time is left until the deadline.
     fn may_retry(&mut self, now: Duration, job: JobId) -> bool {
-        let latest = now + self.settings.pass.room;
+        let latest = now + self.settings.pass.min_time_left;
         let Some(task) = self
             .tasks
             .get_mut(&job)
--- a/roles/agent/src/settings.rs
+++ b/roles/agent/src/settings.rs
@@ -27,7 +27,7 @@
     pub long_deadline: Duration,
     /// Number of chunks of an answer that are sent unrequested; the caller
     /// fetches the others.
-    pub burst_chunks: u32,
+    pub initial_chunks: u32,
     /// Shortest interval between two announcements of a changed weight.
     pub announce_interval: Duration,
 }
@@ -39,10 +39,10 @@
     /// request is passed if the expected wait here is long compared to it; see
     /// [`hunt::pass_pays`].
     pub round_trip: Duration,
-    /// Number of agents that one request may be passed to, one at a time.
-    pub tries: usize,
+    /// Largest number of agents that one request is passed to, one at a time.
+    pub max_attempts: usize,
     /// Shortest time until the deadline for another attempt.
-    pub room: Duration,
+    pub min_time_left: Duration,
     /// Number of offers from other agents that are recorded.
     pub max_offers: usize,
     /// Memory for recorded answers to offers from other agents, in bytes.
@@ -56,19 +56,19 @@
     pub grace: Duration,
     /// Longest time for handing the state over to a peer.
     pub handover: Duration,
-    /// Retry delay for callers whose holder or backend server is unavailable.
-    pub away: Duration,
+    /// Default retry delay of a refusal, as while a holder is away.
+    pub retry_after: Duration,
     /// Longest wait of a starting agent for each part of its predecessor's
     /// state.
-    pub claim: Duration,
+    pub claim_timeout: Duration,
     /// Time that a peer stores parked state for a successor.
-    pub keep: Duration,
-    /// Number of peers that an agent tries to hand its state over to.
-    pub peers: usize,
+    pub parked_lifetime: Duration,
+    /// Largest number of peers that an agent tries to hand its state over to.
+    pub max_peers: usize,
     /// Size limit of a part of the state, in bytes.
-    pub part_bytes: usize,
+    pub max_part_bytes: usize,
     /// Memory for the parked states of other agents, in bytes.
-    pub max_kept_bytes: usize,
+    pub max_parked_bytes: usize,
 }
 
 impl Default for Settings {
@@ -83,7 +83,7 @@
             pass: Pass::default(),
             leave: Leave::default(),
             long_deadline: Duration::from_secs(30),
-            burst_chunks: 256,
+            initial_chunks: 256,
             announce_interval: Duration::from_secs(1),
         }
     }
@@ -93,8 +93,8 @@
     fn default() -> Self {
         Self {
             round_trip: Duration::from_millis(3),
-            tries: hunt::PASS_WIDTH,
-            room: Duration::from_millis(20),
+            max_attempts: hunt::PASS_WIDTH,
+            min_time_left: Duration::from_millis(20),
             max_offers: 20_000,
             max_offer_bytes: 8 * 1024 * 1024,
         }
@@ -106,12 +106,12 @@
         Self {
             grace: Duration::from_secs(10),
             handover: Duration::from_secs(5),
-            away: Duration::from_secs(1),
-            claim: Duration::from_secs(2),
-            keep: Duration::from_mins(2),
-            peers: 4,
-            part_bytes: 256 * 1024,
-            max_kept_bytes: 64 * 1024 * 1024,
+            retry_after: Duration::from_secs(1),
+            claim_timeout: Duration::from_secs(2),
+            parked_lifetime: Duration::from_mins(2),
+            max_peers: 4,
+            max_part_bytes: 256 * 1024,
+            max_parked_bytes: 64 * 1024 * 1024,
         }
     }
 }
--- a/roles/agent/src/task.rs
+++ b/roles/agent/src/task.rs
@@ -270,7 +270,7 @@
                 self.retry_not_run(outbox, job, refusal, Placement::OtherServers);
             }
             Completion::Failed { ran: false } => {
-                let refusal = self.refusal(Reason::BackendFailed, self.settings.leave.away);
+                let refusal = self.refusal(Reason::BackendFailed, self.settings.leave.retry_after);
                 self.retry_not_run(outbox, job, refusal, Placement::AnyServer);
             }
             Completion::Failed { ran: true } => self.retry_unknown(outbox, job),
@@ -286,7 +286,7 @@
     }
 
     pub(crate) fn end_unknown(&mut self, outbox: &mut Outbox<'_>, job: JobId, reason: Reason) {
-        let refusal = self.refusal(reason, self.settings.leave.away);
+        let refusal = self.refusal(reason, self.settings.leave.retry_after);
         self.conclude(outbox, job, End::Unknown(refusal));
     }
 
--- a/roles/agent/tests/replacing.rs
+++ b/roles/agent/tests/replacing.rs
@@ -222,7 +222,7 @@
     cluster.restart(holder);
     cluster.send_view(holder);
     cluster.messages.clear();
-    cluster.advance_time(settings().leave.claim);
+    cluster.advance_time(settings().leave.claim_timeout);
     cluster.send_along(&request(FLOW, 1, token), &[holder]);
     assert_eq!(
         refused_outcome(&mut cluster, Reason::FlowUnknown),
@@ -290,11 +290,11 @@
     cluster.deliver_all();
     cluster.advance_time(settings().leave.handover);
     assert_eq!(cluster.exited, vec![holder]);
-    let kept: Vec<usize> = (0..4)
+    let parked: Vec<usize> = (0..4)
         .filter(|&index| index != holder)
         .map(|index| cluster.status(index).parked)
         .collect();
-    assert_eq!(kept.iter().sum::<usize>(), 1);
+    assert_eq!(parked.iter().sum::<usize>(), 1);
 }
 
 #[test]
@@ -308,11 +308,11 @@
     cluster.event(holder, Event::Replace);
     cluster.deliver_all();
     assert_eq!(cluster.exited, vec![holder]);
-    let kept: usize = (0..3)
+    let parked: usize = (0..3)
         .filter(|&index| index != holder)
         .map(|index| cluster.status(index).parked)
         .sum();
-    assert_eq!(kept, 1);
+    assert_eq!(parked, 1);
 }
 
 #[test]
@@ -339,7 +339,7 @@
 #[test]
 fn a_large_state_is_sent_in_parts() {
     let mut settings = settings();
-    settings.leave.part_bytes = 1_000;
+    settings.leave.max_part_bytes = 1_000;
     let mut cluster = Cluster::new(2, settings, agent::view::Service::default());
     let tokens: Vec<Token> = (1..=100).map(|flow| cluster.open_at(flow, 0)).collect();
     cluster.event(0, Event::Replace);
@@ -358,7 +358,9 @@
     let mut replaced = replaced(2);
     let peer = 1 - replaced.holder;
     assert_eq!(replaced.cluster.status(peer).parked, 1);
-    replaced.cluster.advance_time(settings().leave.keep);
+    replaced
+        .cluster
+        .advance_time(settings().leave.parked_lifetime);
     assert_eq!(replaced.cluster.status(peer).parked, 0);
     replaced.cluster.send(&request(FLOW, 1, replaced.token));
     let outcome = refused_outcome(&mut replaced.cluster, Reason::FlowUnknown);
@@ -368,7 +370,7 @@
 #[test]
 fn an_answer_too_large_to_hand_over_is_unknown() {
     let mut settings = settings();
-    settings.leave.part_bytes = 1_000;
+    settings.leave.max_part_bytes = 1_000;
     let mut cluster = Cluster::new(2, settings, agent::view::Service::default());
     let token = cluster.open_at(FLOW, 0);
     for id in [1, 2] {
