--- a/roles/agent/tests/routing.rs
+++ b/roles/agent/tests/routing.rs
@@ -26,7 +26,7 @@
 use wire::target::State;
 
 /// A flow held by the second agent of its order, and the home of the flow.
-struct PassedFlow {
+struct ForwardedFlow {
     cluster: Cluster,
     token: Token,
     home: usize,
@@ -34,7 +34,7 @@
 }
 
 /// Opens [`FLOW`] while the home has a request running.
-fn passed(agents: usize) -> PassedFlow {
+fn forwarded(agents: usize) -> ForwardedFlow {
     let mut cluster = Cluster::bound(agents);
     let home = cluster.home(FLOW);
     let busy = cluster.open_at(1, home);
@@ -42,7 +42,7 @@
     let token = cluster.open(FLOW);
     let holder = holder(token);
     assert_ne!(home, holder);
-    PassedFlow {
+    ForwardedFlow {
         cluster,
         token,
         home,
@@ -52,9 +52,9 @@
 
 #[test]
 fn an_open_is_forwarded_by_a_busy_home() {
-    let passed = passed(4);
-    assert_eq!(passed.holder, passed.cluster.ranked(FLOW)[1]);
-    assert_eq!(passed.cluster.status(passed.home).pins, 1);
+    let forwarded = forwarded(4);
+    assert_eq!(forwarded.holder, forwarded.cluster.ranked(FLOW)[1]);
+    assert_eq!(forwarded.cluster.status(forwarded.home).pins, 1);
 }
 
 /// Load that the home of [`FLOW`] has served before the flow is opened.
@@ -90,34 +90,34 @@
 
 #[test]
 fn a_repeated_open_finds_the_holder() {
-    let mut passed = passed(4);
-    let job = passed.cluster.running[0].job.clone();
+    let mut forwarded = forwarded(4);
+    let job = forwarded.cluster.running[0].job.clone();
     assert_eq!(job.flow, 1);
     // The home has no running request any more.
-    passed.cluster.finish_with("done");
-    assert_eq!(passed.cluster.open(FLOW), passed.token);
+    forwarded.cluster.finish_with("done");
+    assert_eq!(forwarded.cluster.open(FLOW), forwarded.token);
 }
 
 #[test]
 fn the_home_forwards_to_the_pinned_holder() {
-    let PassedFlow {
+    let ForwardedFlow {
         mut cluster,
         token,
         home,
         holder,
-    } = passed(4);
+    } = forwarded(4);
     cluster.send_along(&request(FLOW, REQUEST, token), &[home]);
     assert_eq!(cluster.runs.last().unwrap().agent, holder);
 }
 
 #[test]
 fn an_idempotent_request_without_token_finds_the_pinned_holder() {
-    let PassedFlow {
+    let ForwardedFlow {
         mut cluster,
         home,
         holder,
         ..
-    } = passed(6);
+    } = forwarded(6);
     cluster.send_along(&idempotent(FLOW, REQUEST), &[home]);
     assert_eq!(cluster.runs.last().unwrap().agent, holder);
 }
@@ -126,12 +126,12 @@
 /// that are not at the top of the flow's order.
 #[test]
 fn a_packet_along_a_stale_path_finds_the_holder() {
-    let PassedFlow {
+    let ForwardedFlow {
         mut cluster,
         token,
         holder,
         ..
-    } = passed(8);
+    } = forwarded(8);
     let ranked = cluster.ranked(FLOW);
     let stale: Vec<usize> = ranked[5..].to_vec();
     cluster.send_along(&request(FLOW, REQUEST, token), &stale);
@@ -140,11 +140,11 @@
 
 #[test]
 fn a_packet_without_token_is_forwarded_along_the_order_of_its_flow() {
-    let PassedFlow {
+    let ForwardedFlow {
         mut cluster,
         holder,
         ..
-    } = passed(8);
+    } = forwarded(8);
     let ranked = cluster.ranked(FLOW);
     cluster.send_along(&idempotent(FLOW, REQUEST), &[ranked[7]]);
     assert_eq!(cluster.runs.last().unwrap().agent, holder);
@@ -152,12 +152,12 @@
 
 #[test]
 fn a_close_along_a_stale_path_reaches_the_holder() {
-    let PassedFlow {
+    let ForwardedFlow {
         mut cluster,
         token,
         home,
         ..
-    } = passed(8);
+    } = forwarded(8);
     let ranked = cluster.ranked(FLOW);
     cluster.send_along(&close(FLOW, token), &ranked[5..]);
     let closed = cluster.replies.pop().and_then(|packet| packet.body);
@@ -232,12 +232,12 @@
 
 #[test]
 fn a_stale_pin_is_reported_to_its_home() {
-    let PassedFlow {
+    let ForwardedFlow {
         mut cluster,
         token,
         home,
         holder,
-    } = passed(4);
+    } = forwarded(4);
     cluster.restart(holder);
     cluster.send_views();
     cluster.send_along(&request(FLOW, REQUEST, token), &[home]);
@@ -249,12 +249,12 @@
 
 #[test]
 fn a_pin_to_a_target_that_left_is_not_used() {
-    let PassedFlow {
+    let ForwardedFlow {
         mut cluster,
         token,
         home,
         holder,
-    } = passed(4);
+    } = forwarded(4);
     cluster.agents[holder] = None;
     let left = cluster.targets[holder].id;
     let remaining: Vec<_> = cluster
@@ -299,9 +299,9 @@
 
 #[test]
 fn a_home_that_restarts_learns_the_holder_again() {
-    let PassedFlow {
+    let ForwardedFlow {
         mut cluster, home, ..
-    } = passed(4);
+    } = forwarded(4);
     cluster.restart(home);
     cluster.send_views();
     cluster.advance_time(Duration::from_secs(1));
