--- a/roles/agent/src/agent.rs
+++ b/roles/agent/src/agent.rs
@@ -185,12 +185,12 @@
         }
     }
 
-    /// Processes an event and appends the resulting actions to `out`. Expired
-    /// deadlines are processed first, so that a process that was paused does
-    /// not run requests whose callers have given up.
-    pub fn handle(&mut self, now: Duration, event: Event, out: &mut Vec<Action>) {
+    /// Processes an event and appends the resulting actions to `actions`.
+    /// Expired deadlines are processed first, so that a process that was paused
+    /// does not run requests whose callers have given up.
+    pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
-        let mut outbox = Outbox { now, actions: out };
+        let mut outbox = Outbox { now, actions };
         let outbox = &mut outbox;
         self.act_on_deadlines(outbox);
         match event {
--- a/roles/agent/src/parked.rs
+++ b/roles/agent/src/parked.rs
@@ -180,8 +180,8 @@
         }
     }
 
-    /// Removes and returns the parts of a complete state. Its entry stays, so
-    /// that repeated parts are recognized.
+    /// Removes and returns the parts of a complete state. The state stays
+    /// listed without its parts, so that repeated parts are recognized.
     fn take_parts(&mut self, owner: TargetId) -> Vec<Part> {
         let Some(parked) = self.states.get_mut(&owner) else {
             return Vec::new();
--- a/roles/agent/src/relay.rs
+++ b/roles/agent/src/relay.rs
@@ -99,8 +99,10 @@
 
     /// Forwards a packet to the first hop that it has not visited among: the
     /// pinned holder, the holder that the caller names, the rest of the path,
-    /// and the order of the flow in this agent's view. Without such a hop,
-    /// replies according to `misrouted.fallback`.
+    /// and the order of the flow in this agent's view. Without such a hop, or
+    /// if the caller names this incarnation, replies according to
+    /// `misrouted.fallback`. Drops the packet while its flow may still be part
+    /// of an unclaimed predecessor's state.
     pub(crate) fn forward_misrouted(
         &mut self,
         outbox: &mut Outbox<'_>,
--- a/roles/agent/tests/cluster/mod.rs
+++ b/roles/agent/tests/cluster/mod.rs
@@ -149,7 +149,7 @@
             next_call: 0,
         };
         for index in 0..count {
-            cluster.send_view(index);
+            cluster.update_view(index);
         }
         cluster.deliver_all();
         cluster
@@ -159,9 +159,9 @@
         Self::new(count, settings(), Service::default())
     }
 
-    pub fn send_view(&mut self, index: usize) {
+    pub fn update_view(&mut self, index: usize) {
         let targets = self.present_targets();
-        self.send_view_of(index, targets);
+        self.update_view_of(index, targets);
     }
 
     /// Returns the targets that have not left.
@@ -171,7 +171,7 @@
     }
 
     /// Sends an agent a view with the given targets.
-    pub fn send_view_of(&mut self, index: usize, targets: Vec<Target>) {
+    pub fn update_view_of(&mut self, index: usize, targets: Vec<Target>) {
         let service = self.service;
         self.event(index, Event::View(View { targets, service }));
     }
@@ -362,9 +362,9 @@
         self.agents[index] = Some(agent);
     }
 
-    pub fn send_views(&mut self) {
+    pub fn update_views(&mut self) {
         for index in 0..self.agents.len() {
-            self.send_view(index);
+            self.update_view(index);
         }
         self.deliver_all();
     }
@@ -379,7 +379,7 @@
             .cloned()
             .collect();
         for index in (0..self.agents.len()).filter(|&index| index != departed) {
-            self.send_view_of(index, targets.clone());
+            self.update_view_of(index, targets.clone());
         }
         self.deliver_all();
     }
--- a/roles/agent/tests/half_open.rs
+++ b/roles/agent/tests/half_open.rs
@@ -50,7 +50,7 @@
     cluster.send_along(&request(FLOW, 2, duplicate.token), &[duplicate.other]);
     assert!(cluster.replies.is_empty(), "{:?}", cluster.replies);
     cluster.restart(duplicate.holder);
-    cluster.send_views();
+    cluster.update_views();
     cluster.send_along(&request(FLOW, 2, duplicate.token), &[duplicate.other]);
     assert_eq!(cluster.runs.len(), 2);
     assert_eq!(cluster.runs[1].agent, duplicate.holder);
--- a/roles/agent/tests/interleavings.rs
+++ b/roles/agent/tests/interleavings.rs
@@ -131,7 +131,7 @@
                 let agent = exited.unwrap_or(agent);
                 break_connections(cluster, agent);
                 cluster.restart(agent);
-                cluster.send_view(agent);
+                cluster.update_view(agent);
             }
             Transition::Replace(agent) => cluster.event(agent, Event::Replace),
             Transition::ReplaceAndRestart { agent, lost } => self.replace_and_restart(agent, lost),
@@ -141,7 +141,7 @@
             Transition::View { agent, without } => {
                 let mut targets = cluster.targets.clone();
                 targets.remove(without);
-                cluster.send_view_of(agent, targets);
+                cluster.update_view_of(agent, targets);
             }
         }
         self.record_replies();
@@ -163,7 +163,7 @@
         self.deliver_except(usize::MAX);
         if self.cluster.agents[agent].is_none() {
             self.cluster.restart(agent);
-            self.cluster.send_view(agent);
+            self.cluster.update_view(agent);
             self.deliver_except(lost);
         }
     }
--- a/roles/agent/tests/passing.rs
+++ b/roles/agent/tests/passing.rs
@@ -315,7 +315,7 @@
     let token = cluster.open(FLOW);
     let holder = cluster::holder(token);
     cluster.event(holder, Event::Drain);
-    cluster.send_views();
+    cluster.update_views();
     cluster.send(&request(FLOW, REQUEST, token));
     assert_ne!(cluster.runs[0].agent, holder);
 }
--- a/roles/agent/tests/replacing.rs
+++ b/roles/agent/tests/replacing.rs
@@ -55,7 +55,7 @@
     /// Starts the successor and lets it claim the state.
     fn start_successor(&mut self) {
         self.cluster.restart(self.holder);
-        self.cluster.send_views();
+        self.cluster.update_views();
     }
 }
 
@@ -101,7 +101,7 @@
     cluster.deliver_all();
     cluster.remove_from_views(holder);
     cluster.restart(holder);
-    cluster.send_views();
+    cluster.update_views();
     cluster.replies.clear();
     cluster.send(&request(FLOW, 2, token));
     assert_eq!(
@@ -123,7 +123,7 @@
     cluster.deliver_all();
     cluster.remove_from_views(holder);
     cluster.restart(holder);
-    cluster.send_views();
+    cluster.update_views();
     cluster.replies.clear();
     cluster.send(&request(FLOW, 9, token));
     assert_eq!(
@@ -192,7 +192,7 @@
     let holder = holder(token);
     cluster.send(&request(FLOW, 1, token));
     cluster.restart(holder);
-    cluster.send_views();
+    cluster.update_views();
     cluster.send(&request(FLOW, 1, token));
     assert_eq!(
         refused_outcome(&mut cluster, Reason::FlowUnknown),
@@ -220,7 +220,7 @@
     let token = cluster.open(FLOW);
     let holder = holder(token);
     cluster.restart(holder);
-    cluster.send_view(holder);
+    cluster.update_view(holder);
     cluster.messages.clear();
     cluster.advance_time(settings().leave.claim_timeout);
     cluster.send_along(&request(FLOW, 1, token), &[holder]);
@@ -325,7 +325,7 @@
     cluster.deliver(first);
     cluster.messages.clear();
     cluster.restart(holder);
-    cluster.send_view(holder);
+    cluster.update_view(holder);
     let mut grants = Vec::new();
     while let Some(message) = cluster.take_message() {
         match message {
@@ -347,7 +347,7 @@
     assert_eq!(cluster.status(1).parked, 100);
     cluster.remove_from_views(0);
     cluster.restart(0);
-    cluster.send_views();
+    cluster.update_views();
     assert_eq!(cluster.status(0).flows, 100);
     cluster.send_along(&request(50, 1, tokens[49]), &[0]);
     assert_eq!(cluster.runs.len(), 1);
@@ -381,7 +381,7 @@
     cluster.deliver_all();
     cluster.remove_from_views(0);
     cluster.restart(0);
-    cluster.send_views();
+    cluster.update_views();
     cluster.replies.clear();
     cluster.send_along(&request(FLOW, 1, token), &[0]);
     assert_eq!(
@@ -404,7 +404,7 @@
         cluster.deliver_all();
         cluster.remove_from_views(replaced);
         cluster.restart(replaced);
-        cluster.send_views();
+        cluster.update_views();
         id += 1;
         for (flow, &token) in (1..).zip(&tokens) {
             cluster.send(&request(flow, id, token));
@@ -458,16 +458,16 @@
     let mut cluster = Cluster::bound(2);
     let token = cluster.open(FLOW);
     let holder = holder(token);
-    cluster.send_view_of(holder, vec![cluster.targets[holder].clone()]);
+    cluster.update_view_of(holder, vec![cluster.targets[holder].clone()]);
     cluster.event(holder, Event::Replace);
     cluster.deliver_all();
     assert_eq!(cluster.exited, vec![]);
-    cluster.send_views();
+    cluster.update_views();
     cluster.advance_time(Duration::from_secs(1));
     assert_eq!(cluster.exited, vec![holder]);
     cluster.remove_from_views(holder);
     cluster.restart(holder);
-    cluster.send_views();
+    cluster.update_views();
     cluster.send(&request(FLOW, 2, token));
     assert_eq!(cluster.runs[0].agent, holder);
 }
--- a/roles/agent/tests/replay.rs
+++ b/roles/agent/tests/replay.rs
@@ -107,11 +107,11 @@
             ["stop", agent] => self.send_event(agent, Event::Stop),
             ["drain", agent] => self.send_event(agent, Event::Drain),
             ["left", agent] => self.cluster.remove_from_views(index(agent)),
-            ["views"] => self.cluster.send_views(),
+            ["views"] => self.cluster.update_views(),
             ["view", agent, "without", other] => {
                 let mut targets = self.cluster.targets.clone();
                 targets.remove(index(other));
-                self.cluster.send_view_of(index(agent), targets);
+                self.cluster.update_view_of(index(agent), targets);
                 self.cluster.deliver_all();
             }
             ["expect", outcome @ ..] => self.expect(outcome),
--- a/roles/agent/tests/requests.rs
+++ b/roles/agent/tests/requests.rs
@@ -266,7 +266,7 @@
     let token = cluster.open(FLOW);
     cluster.send(&request(FLOW, REQUEST, token));
     cluster.restart(holder(token));
-    cluster.send_views();
+    cluster.update_views();
     cluster.send(&request(FLOW, REQUEST, token));
     assert_refused(&mut cluster, Reason::FlowUnknown, Outcome::Unknown);
     assert_eq!(cluster.runs.len(), 1);
@@ -278,7 +278,7 @@
     let old = cluster.open(FLOW);
     cluster.send(&request(FLOW, REQUEST, old));
     cluster.restart(0);
-    cluster.send_views();
+    cluster.update_views();
     let new = cluster.open(FLOW);
     assert_ne!(old, new);
     cluster.send(&request(FLOW, REQUEST, old));
--- a/roles/agent/tests/routing.rs
+++ b/roles/agent/tests/routing.rs
@@ -223,7 +223,7 @@
     let first = cluster.open_at(FLOW, ranked[0]);
     cluster.open_at(FLOW, ranked[1]);
     cluster.restart(ranked[0]);
-    cluster.send_views();
+    cluster.update_views();
     cluster.send(&request(FLOW, REQUEST, first));
     assert!(cluster.runs.is_empty());
     let refusal = cluster.take_refusal().unwrap();
@@ -239,7 +239,7 @@
         holder,
     } = forwarded(4);
     cluster.restart(holder);
-    cluster.send_views();
+    cluster.update_views();
     cluster.send_along(&request(FLOW, REQUEST, token), &[home]);
     let refusal = cluster.take_refusal().unwrap();
     assert_eq!(refusal.outcome(), Outcome::Unknown);
@@ -264,7 +264,7 @@
         .cloned()
         .collect();
     for index in 0..4 {
-        cluster.send_view_of(index, remaining.clone());
+        cluster.update_view_of(index, remaining.clone());
     }
     cluster.deliver_all();
     cluster.send_along(&request(FLOW, REQUEST, token), &[home]);
@@ -284,13 +284,13 @@
         .cloned()
         .collect();
     for index in 0..4 {
-        cluster.send_view_of(index, others.clone());
+        cluster.update_view_of(index, others.clone());
     }
     cluster.deliver_all();
     let old_home = cluster.ranked(FLOW)[1];
     let token = cluster.open_at(FLOW, old_home);
     cluster.advance_time(Duration::from_millis(10));
-    cluster.send_views();
+    cluster.update_views();
     cluster.advance_time(Duration::from_millis(10));
     assert_eq!(cluster.status(home).pins, 1);
     cluster.send_along(&idempotent(FLOW, REQUEST), &[home]);
@@ -303,7 +303,7 @@
         mut cluster, home, ..
     } = forwarded(4);
     cluster.restart(home);
-    cluster.send_views();
+    cluster.update_views();
     cluster.advance_time(Duration::from_secs(1));
     assert_eq!(cluster.status(home).pins, 1);
 }
@@ -319,7 +319,7 @@
     let elsewhere = (1..=4_000).filter(|&flow| cluster.home(flow) == 1).count();
     cluster.restart(1);
     for _ in 0..20 {
-        cluster.send_views();
+        cluster.update_views();
         cluster.advance_time(Duration::from_millis(40));
     }
     assert_eq!(cluster.status(1).pins, elsewhere);
@@ -333,9 +333,9 @@
         cluster.send_along(&fetch(flow, 1, vec![0], token), &[1]);
     }
     let elsewhere = (1..301).filter(|&flow| cluster.home(flow) == 0).count();
-    // The packets of the flows were sent along agent 1 only, so that it was
-    // pinned as their home.
-    cluster.send_views();
+    // The packets were sent along agent 1 only, which is therefore recorded as
+    // the home of all flows until the view is sent again.
+    cluster.update_views();
     cluster.advance_time(Duration::from_mins(10));
     assert_eq!(cluster.status(0).pins, elsewhere);
     cluster.advance_time(Duration::from_hours(1));
--- a/roles/agent/tests/stopping.rs
+++ b/roles/agent/tests/stopping.rs
@@ -118,7 +118,7 @@
         cluster.event(stopped, Event::Stop);
         cluster.deliver_all();
         assert!(cluster.exited.contains(&stopped));
-        cluster.send_views();
+        cluster.update_views();
         for (flow, &token) in (1..).zip(&tokens) {
             cluster.send(&request(flow, id, token));
             cluster.finish_with("served");
