--- a/roles/agent/src/agent.rs
+++ b/roles/agent/src/agent.rs
@@ -1,4 +1,4 @@
-//! The agent's state, and how events and deadlines reach its parts.
+//! The agent's state, and the dispatch of events and deadlines to its modules.
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -32,9 +32,9 @@
 use crate::View;
 use crate::claim::Claiming;
 use crate::event::JobId;
-use crate::keep::Keep;
 use crate::leave::Leaving;
 use crate::offered::Offers;
+use crate::parked::ParkedStates;
 use crate::pinning::Renewal;
 use crate::status::Counter;
 use crate::status::Counters;
@@ -43,7 +43,8 @@
 use crate::task::Timer;
 use crate::view;
 
-/// The agent beside one backend server.
+/// The agent beside one backend server: holds flows, admits requests, and
+/// exchanges flows and requests with the other agents of the service.
 ///
 /// ```
 /// use std::time::Duration;
@@ -76,24 +77,25 @@
     pub(crate) counters: Counters,
     pub(crate) view: View,
     pub(crate) order: Order,
-    /// Targets that were in an earlier view, with their last incarnation.
-    pub(crate) gone: BTreeMap<TargetId, Incarnation>,
+    /// Targets that were in an earlier view and are not in the current one,
+    /// with their last known incarnation.
+    pub(crate) departed: BTreeMap<TargetId, Incarnation>,
     pub(crate) flows: Table,
     pub(crate) ledger: Ledger,
     pub(crate) pins: pin::Table,
     pub(crate) gate: Gate,
-    /// Load of the flows held here.
+    /// Load that the flows held here put on the backend server.
     pub(crate) load: Load,
     pub(crate) budget: Budget,
     pub(crate) tasks: BTreeMap<JobId, Task>,
-    /// The task of each request of a flow that is held here.
-    pub(crate) by_request: HashMap<record::Key, JobId>,
-    /// The task of each offer that another agent has.
-    pub(crate) by_offer: HashMap<u64, JobId>,
+    /// Tasks by the request that they serve, for flows held here.
+    pub(crate) tasks_by_request: HashMap<record::Key, JobId>,
+    /// Tasks by the number of the offer that another agent holds for them.
+    pub(crate) tasks_by_offer: HashMap<u64, JobId>,
     pub(crate) timers: BTreeSet<Timer>,
     pub(crate) next_id: u64,
     pub(crate) offers: Offers,
-    pub(crate) keep: Keep,
+    pub(crate) parked: ParkedStates,
     pub(crate) renewal: Renewal,
     pub(crate) claiming: Option<Claiming>,
     pub(crate) draining: bool,
@@ -101,23 +103,24 @@
     announced: Announced,
 }
 
-/// What was last announced.
+/// The state and weight last announced, and the earliest time for the next
+/// change of weight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Announced {
     state: State,
     weight: u32,
-    next: Duration,
+    next_weight: Duration,
 }
 
-/// One call of [`Agent::handle`].
-pub(crate) struct Turn<'a> {
+/// Time and collected actions of one call of [`Agent::handle`].
+pub(crate) struct Outbox<'a> {
     pub(crate) now: Duration,
-    pub(crate) out: &'a mut Vec<Action>,
+    pub(crate) actions: &'a mut Vec<Action>,
 }
 
-impl Turn<'_> {
+impl Outbox<'_> {
     pub(crate) fn push(&mut self, action: Action) {
-        self.out.push(action);
+        self.actions.push(action);
     }
 
     pub(crate) fn send(&mut self, to: SocketAddr, frame: Frame) {
@@ -125,16 +128,17 @@
     }
 }
 
-/// Where replies to a caller go.
+/// Addresses of the entry and the caller that replies are sent to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Via {
+pub(crate) struct ReplyPath {
     pub(crate) entry: SocketAddr,
     pub(crate) caller: SocketAddr,
 }
 
 impl Agent {
-    /// Creates the agent of `identity`. It asks the peers of its first view for
-    /// what its predecessor left, and takes flows afterwards.
+    /// Creates the agent of `identity`. Once it has its first view, it asks
+    /// peers for the state that its predecessor parked, and accepts new flows
+    /// afterwards.
     #[must_use]
     pub fn new(settings: Settings, identity: Target, seed: u64, now: Duration) -> Self {
         let token = Token {
@@ -149,7 +153,7 @@
         Self {
             order: Order::new(&view.targets),
             view,
-            gone: BTreeMap::new(),
+            departed: BTreeMap::new(),
             flows: Table::new(settings.flows, random.u64(..), now),
             ledger: Ledger::new(settings.ledger, random.u64(..)),
             pins: pin::Table::new(settings.pins),
@@ -157,12 +161,12 @@
             load: Load::new(settings.load, now),
             budget: Budget::new(settings.retries),
             tasks: BTreeMap::new(),
-            by_request: HashMap::new(),
-            by_offer: HashMap::new(),
+            tasks_by_request: HashMap::new(),
+            tasks_by_offer: HashMap::new(),
             timers: BTreeSet::new(),
             next_id: 1,
             offers: Offers::default(),
-            keep: Keep::default(),
+            parked: ParkedStates::default(),
             renewal: Renewal::new(&settings, now),
             claiming: Some(Claiming::new(&settings, now)),
             draining: false,
@@ -170,7 +174,7 @@
             announced: Announced {
                 state: identity.state,
                 weight: identity.weight,
-                next: now,
+                next_weight: now,
             },
             counters: Counters::default(),
             now,
@@ -181,37 +185,37 @@
         }
     }
 
-    /// Takes an event and pushes what is to be done. Deadlines that have passed
-    /// are acted on first, so that a process that was paused does not run what
-    /// nobody waits for.
-    pub fn handle(&mut self, now: Duration, event: Event, out: &mut Vec<Action>) {
+    /// Processes an event and appends the resulting actions to `actions`.
+    /// Expired deadlines are processed first, so that a process that was paused
+    /// does not run requests whose callers have given up.
+    pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
-        let mut turn = Turn { now, out };
-        let turn = &mut turn;
-        self.act_on_deadlines(turn);
+        let mut outbox = Outbox { now, actions };
+        let outbox = &mut outbox;
+        self.act_on_deadlines(outbox);
         match event {
-            Event::Frame { from: _, frame } => self.on_frame(turn, frame),
-            Event::Finished { job, result } => self.on_finished(turn, job, result),
-            Event::Offered { call, offer } => self.on_offered(turn, call, offer),
-            Event::Withdrawn { offer } => self.on_withdrawn(turn, offer),
-            Event::Passed { offer, outcome } => self.on_passed(turn, offer, outcome),
-            Event::View(view) => self.on_view(turn, view),
-            Event::Park { call, part } => self.on_park(turn, call, part),
-            Event::Parked { index, accepted } => self.on_parked(turn, index, accepted),
-            Event::Claim { call, claim } => self.on_claim(turn, call, claim),
-            Event::Claimed { peer, grant } => self.on_claimed(turn, peer, grant),
+            Event::Frame { from: _, frame } => self.on_frame(outbox, frame),
+            Event::Finished { job, result } => self.on_finished(outbox, job, result),
+            Event::Offered { call, offer } => self.on_offered(outbox, call, offer),
+            Event::Withdrawn { offer } => self.on_withdrawn(outbox, offer),
+            Event::Passed { offer, outcome } => self.on_passed(outbox, offer, outcome),
+            Event::View(view) => self.on_view(outbox, view),
+            Event::Park { call, part } => self.on_park(outbox, call, part),
+            Event::Parked { index, accepted } => self.on_parked(outbox, index, accepted),
+            Event::Claim { call, claim } => self.on_claim(outbox, call, claim),
+            Event::Claimed { peer, grant } => self.on_claimed(outbox, peer, grant),
             Event::Tick => {}
             Event::Drain => self.draining = true,
             Event::Resume => self.draining = false,
-            Event::Stop => self.on_stop(turn),
-            Event::Replace => self.on_replace(turn),
+            Event::Stop => self.on_stop(outbox),
+            Event::Replace => self.on_replace(outbox),
         }
-        self.leave_when_finished(turn);
-        self.announce(turn);
+        self.leave_when_finished(outbox);
+        self.announce(outbox);
     }
 
-    /// When [`Agent::handle`] is to be called with [`Event::Tick`] at the
-    /// latest.
+    /// Returns the latest time for the next call of [`Agent::handle`] with
+    /// [`Event::Tick`].
     #[must_use]
     pub fn next_deadline(&self) -> Option<Duration> {
         [
@@ -220,7 +224,7 @@
             self.gate.next_deadline(),
             self.timers.first().map(|timer| timer.at),
             self.offers.next_deadline(),
-            self.keep.next_deadline(),
+            self.parked.next_deadline(),
             Some(self.renewal.next_deadline()),
             self.pins.next_deadline(),
             self.claiming.as_ref().map(Claiming::next_deadline),
@@ -231,7 +235,8 @@
         .min()
     }
 
-    /// A view of the agent for operators and metrics, as of the last event.
+    /// Returns the agent's status for operators and metrics, as of the last
+    /// event.
     #[must_use]
     pub fn status(&self) -> Status {
         Status {
@@ -245,26 +250,26 @@
             pin_bytes: self.pins.bytes(),
             tasks: self.tasks.len(),
             expected_wait: self.gate.expected_wait(self.now),
-            parked: self.keep.len(),
+            parked: self.parked.len(),
             counters: self.counters.clone(),
         }
     }
 
-    fn act_on_deadlines(&mut self, turn: &mut Turn<'_>) {
-        self.expire_flows(turn);
-        self.ledger.expire(turn.now);
-        self.expire_tasks(turn);
-        self.offers.expire(turn.now);
-        self.keep.expire(turn.now);
-        self.renew_pins(turn);
-        self.expire_claim(turn);
-        self.expire_leaving(turn);
+    fn act_on_deadlines(&mut self, outbox: &mut Outbox<'_>) {
+        self.expire_flows(outbox);
+        self.ledger.expire(outbox.now);
+        self.expire_tasks(outbox);
+        self.offers.expire(outbox.now);
+        self.parked.expire(outbox.now);
+        self.renew_pins(outbox);
+        self.expire_claim(outbox);
+        self.expire_leaving(outbox);
     }
 
-    fn on_frame(&mut self, turn: &mut Turn<'_>, frame: Frame) {
+    fn on_frame(&mut self, outbox: &mut Outbox<'_>, frame: Frame) {
         match frame {
-            Frame::Relay(relay) => self.on_relay(turn, relay),
-            Frame::Pin(pin) => self.on_pin(turn, &pin),
+            Frame::Relay(relay) => self.on_relay(outbox, relay),
+            Frame::Pin(pin) => self.on_pin(outbox, &pin),
             Frame::Unpin(pin) => self.on_unpin(&pin),
             Frame::Reply(_) | Frame::Control(_) | Frame::Sprayed(_) | Frame::Transit(_) => {
                 self.counters.add(Counter::UnexpectedFrame);
@@ -272,58 +277,59 @@
         }
     }
 
-    fn on_view(&mut self, turn: &mut Turn<'_>, mut view: View) {
+    fn on_view(&mut self, outbox: &mut Outbox<'_>, mut view: View) {
         if !view.targets.iter().any(|it| it.id == self.identity.id) {
             view.targets.push(self.identity.clone());
         }
         let old = std::mem::replace(&mut self.view, view);
         for target in old.targets {
-            self.gone.insert(target.id, target.incarnation);
+            self.departed.insert(target.id, target.incarnation);
         }
         for target in &self.view.targets {
-            self.gone.remove(&target.id);
+            self.departed.remove(&target.id);
         }
-        while self.gone.len() > MAX_GONE {
-            self.gone.pop_first();
+        while self.departed.len() > MAX_DEPARTED {
+            self.departed.pop_first();
         }
         self.order = Order::new(&self.view.targets);
         self.flows.set_idle(self.view.service.idle);
-        self.renewal.restart(turn.now, self.flows.slots());
-        self.pin_kept(turn);
-        self.start_claim(turn);
+        self.renewal.restart(outbox.now, self.flows.slots());
+        self.pin_parked(outbox);
+        self.start_claim(outbox);
     }
 
-    /// Announces a changed state at once, and a changed weight now and then.
-    fn announce(&mut self, turn: &mut Turn<'_>) {
+    /// Announces a changed state at once, and a changed weight at most once per
+    /// [`Settings::announce_interval`].
+    fn announce(&mut self, outbox: &mut Outbox<'_>) {
         let state = self.state();
         let weight = self.gate.weight();
         let Announced {
             state: old_state,
             weight: old_weight,
-            next,
+            next_weight,
         } = self.announced;
-        if state == old_state && (weight == old_weight || turn.now < next) {
+        if state == old_state && (weight == old_weight || outbox.now < next_weight) {
             return;
         }
         self.announced = Announced {
             state,
             weight,
-            next: turn.now + self.settings.announce_interval,
+            next_weight: outbox.now + self.settings.announce_interval,
         };
-        turn.push(Action::Announce { state, weight });
+        outbox.push(Action::Announce { state, weight });
     }
 
     fn state(&self) -> State {
         match &self.leaving {
-            Some(Leaving::Gone) => State::Left,
+            Some(Leaving::Exited) => State::Left,
             Some(_) => State::Draining,
             None if self.draining => State::Draining,
             None => State::Ready,
         }
     }
 
-    /// Whether new flows are taken.
-    pub(crate) fn takes_flows(&self) -> bool {
+    /// Returns whether the agent accepts new flows.
+    pub(crate) fn accepts_flows(&self) -> bool {
         !self.draining && self.leaving.is_none() && self.claiming.is_none()
     }
 
@@ -333,13 +339,13 @@
         id
     }
 
-    /// A target of the view.
+    /// Looks up a target of the current view.
     pub(crate) fn target(&self, id: TargetId) -> Option<&Target> {
         self.order.target(id)
     }
 
-    /// Spreads a time to come back by half of it either way, so that callers
-    /// refused together do not return together.
+    /// Randomizes a retry delay by up to half of it either way, so that callers
+    /// refused at the same time do not all retry at the same time.
     pub(crate) fn jitter(&mut self, time: Duration) -> Duration {
         time.mul_f64(0.5 + self.random.f64())
     }
@@ -351,39 +357,38 @@
         }
     }
 
-    /// When a caller that was refused for a reason should come back, where the
-    /// reason's origin did not say.
+    /// Returns the retry delay for a refusal whose source gave none.
     fn retry_after(&mut self, now: Duration, reason: Reason) -> Duration {
         let time = match reason {
             Reason::Cancelled => Duration::ZERO,
             Reason::Deadline | Reason::Overloaded => {
                 self.gate.expected_wait(now).max(MIN_RETRY_AFTER)
             }
-            _ => self.settings.leave.away,
+            _ => self.settings.leave.retry_after,
         };
         self.jitter(time)
     }
 
-    pub(crate) fn reply(&self, turn: &mut Turn<'_>, via: Via, packet: &Packet) {
+    pub(crate) fn reply(&self, outbox: &mut Outbox<'_>, reply_path: ReplyPath, packet: &Packet) {
         let reply = wire::Reply {
-            caller: via.caller,
+            caller: reply_path.caller,
             service: self.identity.service,
             packet: packet.to_bytes(),
         };
-        turn.send(via.entry, Frame::Reply(reply));
+        outbox.send(reply_path.entry, Frame::Reply(reply));
     }
 
     pub(crate) fn refuse(
         &mut self,
-        turn: &mut Turn<'_>,
-        via: Via,
+        outbox: &mut Outbox<'_>,
+        reply_path: ReplyPath,
         subject: Subject,
         refusal: Refusal,
         outcome: Outcome,
     ) {
         self.counters.refuse(refusal.reason);
         let retry_after = match refusal.retry_after {
-            Duration::ZERO => self.retry_after(turn.now, refusal.reason),
+            Duration::ZERO => self.retry_after(outbox.now, refusal.reason),
             time => time,
         };
         let retry_after = u32::try_from(retry_after.as_millis()).unwrap_or(u32::MAX);
@@ -394,19 +399,19 @@
             outcome,
             retry_after,
         );
-        self.reply(turn, via, &packet);
+        self.reply(outbox, reply_path, &packet);
     }
 }
 
-/// What a refusal is about; the request is 0 for an open.
+/// The flow and request that a refusal refers to; the request is 0 for an open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Subject {
     pub(crate) flow: FlowKey,
     pub(crate) request: RequestId,
 }
 
-/// Shortest time after which a caller refused for want of slots comes back.
+/// Shortest retry delay for callers that are refused because no slot is free.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(20);
 
-/// Number of targets no longer in the view that are remembered.
-const MAX_GONE: usize = 1_024;
+/// Largest number of departed targets that are remembered.
+const MAX_DEPARTED: usize = 1_024;
--- a/roles/agent/src/parts.rs
+++ b/roles/agent/src/parts.rs
@@ -1,4 +1,5 @@
-//! Cuts an agent's state into parts of bounded size for a peer.
+//! Splits an agent's state into parts of bounded size for the transfer to a
+//! peer.
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -15,19 +16,19 @@
 use crate::park::Part;
 use crate::park::Purpose;
 
-/// Records of each flow.
+/// Records by flow.
 type Records = BTreeMap<FlowKey, Vec<park::Record>>;
 
 impl Agent {
-    /// The whole state: a first part without flows, then the flows. A part is
-    /// larger than the limit only where one flow's records are.
+    /// Returns the whole state: a first part without flows, then the flows. A
+    /// part exceeds the size limit only if the records of a single flow do.
     pub(crate) fn parts(&self, now: Duration, purpose: Purpose) -> Vec<Part> {
         let mut records = self.park_records(now);
         let mut groups = vec![Vec::new()];
         let mut size = usize::MAX;
         for held in self.flows.iter() {
             let flow = self.park_flow(held, &mut records);
-            if size.saturating_add(flow.bytes()) > self.settings.leave.part_bytes {
+            if size.saturating_add(flow.bytes()) > self.settings.leave.max_part_bytes {
                 groups.push(Vec::new());
                 size = 0;
             }
@@ -63,9 +64,10 @@
         }
     }
 
-    /// All records. Answers that are too much to hand over become unknown:
-    /// those of a flow beyond the size of a part, and all beyond a share of
-    /// what a peer keeps.
+    /// Returns all records by flow. Answers that are too large to hand over
+    /// become unknown outcomes: those of one flow beyond the size of a part,
+    /// and those of all flows beyond a share of the memory that a peer has for
+    /// parked state.
     fn park_records(&self, now: Duration) -> Records {
         let mut records = Records::new();
         for entry in self.ledger.iter() {
@@ -73,13 +75,13 @@
             records.entry(entry.key.flow).or_default().push(record);
         }
         let limits = self.settings.leave;
-        let mut left = limits.max_kept_bytes / ANSWERS_DIVISOR;
+        let mut left = limits.max_parked_bytes / ANSWERS_DIVISOR;
         for records in records.values_mut() {
             records.sort_by_key(|record| record.request);
-            let mut left_of_part = limits.part_bytes;
-            // The latest answers are the likeliest to be asked for again.
+            let mut left_of_part = limits.max_part_bytes;
+            // Callers are most likely to request the latest answers again.
             for record in records.iter_mut().rev() {
-                record.keep_within(left.min(left_of_part));
+                record.limit_answer(left.min(left_of_part));
                 left -= record.answer_bytes();
                 left_of_part -= record.answer_bytes();
             }
@@ -88,7 +90,8 @@
     }
 }
 
-/// Share of what a peer keeps that one agent's answers may take.
+/// Divisor of a peer's memory for parked state; the quotient limits the answers
+/// of one agent.
 const ANSWERS_DIVISOR: usize = 4;
 
 fn park_record(now: Duration, request: wire::RequestId, record: &Record) -> park::Record {
@@ -109,8 +112,8 @@
 }
 
 impl park::Record {
-    /// Gives the answer up where it is larger than `bytes`.
-    fn keep_within(&mut self, bytes: usize) {
+    /// Replaces an answer larger than `bytes` by an unknown outcome.
+    fn limit_answer(&mut self, bytes: usize) {
         if self.answer_bytes() > bytes {
             self.outcome = Outcome::Unknown(Reason::TableFull.into());
         }
--- a/roles/agent/src/pinning.rs
+++ b/roles/agent/src/pinning.rs
@@ -1,4 +1,5 @@
-//! Tells homes which flows are held here, and keeps what others tell.
+//! Pins the flows held here at their homes, and stores the pins that other
+//! agents send.
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,23 +18,23 @@
 
 use crate::Agent;
 use crate::Settings;
-use crate::agent::Turn;
+use crate::agent::Outbox;
 use crate::status::Counter;
 
-/// Largest number of flows in one frame.
-const BATCH: usize = 128;
+/// Largest number of flows in one pin or unpin frame.
+const MAX_BATCH_FLOWS: usize = 128;
 
-/// Number of table slots looked at in one step.
+/// Number of flow table slots scanned in one step.
 const STEP_SLOTS: usize = 1_024;
 
-/// Time between two steps of a round.
-const STEP: Duration = Duration::from_millis(50);
+/// Time between two steps of a renewal round.
+const STEP_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The rounds over the flow table in which homes are told.
+/// Schedule of the rounds in which pins are renewed.
 ///
-/// Each round walks the table in steps. A round after a change of the view
-/// tells only the homes that changed or restarted; a regular one renews all
-/// pins.
+/// Each round scans the flow table in steps. A round after a change of the view
+/// pins only flows whose home has changed or restarted; a periodic round renews
+/// all pins.
 #[derive(Debug)]
 pub(crate) struct Renewal {
     interval: Duration,
@@ -44,8 +45,8 @@
 #[derive(Clone, Copy, Debug)]
 struct Round {
     next_slot: usize,
-    /// Slots that are left to be looked at, past the last of which the table
-    /// starts again.
+    /// Slots still to scan; after the last slot of the table the scan wraps
+    /// around.
     slots_left: usize,
     next_step: Duration,
     renews_all: bool,
@@ -61,9 +62,9 @@
         }
     }
 
-    /// Starts a round over so many slots after a change of the view. One that
-    /// is underway goes on from where it is, so that frequent changes do not
-    /// keep it at the first slots.
+    /// Starts a round over `slots` slots after a change of the view. A round in
+    /// progress continues from its position, so that frequent changes do not
+    /// confine it to the first slots.
     pub(crate) fn restart(&mut self, now: Duration, slots: usize) {
         let round = self.round.unwrap_or(Round {
             next_slot: 0,
@@ -93,11 +94,11 @@
     }
 }
 
-/// Flows by the address of their homes.
+/// Flows by the address of their home.
 pub(crate) type Batches = BTreeMap<SocketAddr, Vec<FlowKey>>;
 
 impl Agent {
-    pub(crate) fn on_pin(&mut self, turn: &mut Turn<'_>, pin: &Pin) {
+    pub(crate) fn on_pin(&mut self, outbox: &mut Outbox<'_>, pin: &Pin) {
         if pin.service != self.identity.service {
             self.counters.add(Counter::ForeignService);
             return;
@@ -107,7 +108,7 @@
             address: pin.address,
         };
         for &flow in &pin.flows {
-            let outcome = self.pins.pin(turn.now, pin.service, flow, holder);
+            let outcome = self.pins.pin(outbox.now, pin.service, flow, holder);
             if outcome == Outcome::Full {
                 self.counters.add(Counter::PinTableFull);
             }
@@ -120,40 +121,41 @@
         }
     }
 
-    /// The holder of a flow that has its home here, unless it is known to have
-    /// left.
+    /// Returns the pinned holder of a flow that has its home here, unless that
+    /// incarnation is known to have left.
     pub(crate) fn pinned(&self, flow: FlowKey) -> Option<Hop> {
         let holder = self.pins.get(self.identity.service, flow)?;
         let target = holder.token.target;
         let has_left = self
-            .gone
+            .departed
             .get(&target)
             .is_some_and(|&incarnation| incarnation >= holder.token.incarnation);
         if target == self.identity.id || has_left {
             return None;
         }
-        // A newer incarnation may have inherited the flow.
+        // A newer incarnation at another address may have inherited the flow.
         let address = self
             .target(target)
             .map_or(holder.address, |target| target.address);
         Some(Hop { target, address })
     }
 
-    /// Tells the home of a flow that was just opened.
-    pub(crate) fn pin_new(&mut self, turn: &mut Turn<'_>, home: Hop, key: FlowKey) {
-        // Where the entry's view is ahead, the home is told again.
-        let told = self.target(home.target).map(token);
+    /// Pins a newly opened flow at its home.
+    pub(crate) fn pin_opened(&mut self, outbox: &mut Outbox<'_>, home: Hop, key: FlowKey) {
+        // If the entry's view is newer than this agent's, the home is unknown
+        // here and the next round pins the flow again.
+        let known_home = self.target(home.target).map(token);
         if let Some(flow) = self.flows.get_mut(key) {
-            flow.home = told;
+            flow.home = known_home;
         }
         if home.target != self.identity.id {
             let flows = vec![key];
-            turn.send(home.address, Frame::Pin(self.pin_frame(flows)));
+            outbox.send(home.address, Frame::Pin(self.pin_frame(flows)));
         }
     }
 
-    /// Tells the homes of flows that they have ended.
-    pub(crate) fn unpin(&mut self, turn: &mut Turn<'_>, flows: impl IntoIterator<Item = Flow>) {
+    /// Removes the pins of ended flows from their homes.
+    pub(crate) fn unpin(&mut self, outbox: &mut Outbox<'_>, flows: impl IntoIterator<Item = Flow>) {
         let mut batches = Batches::new();
         for flow in flows {
             let home = flow.home.and_then(|home| self.target(home.target));
@@ -162,14 +164,20 @@
             }
         }
         for (to, flows) in batches {
-            for flows in flows.chunks(BATCH) {
-                turn.send(to, Frame::Unpin(self.pin_frame(flows.to_vec())));
+            for flows in flows.chunks(MAX_BATCH_FLOWS) {
+                outbox.send(to, Frame::Unpin(self.pin_frame(flows.to_vec())));
             }
         }
     }
 
-    /// Tells the home that its pin names this agent in vain.
-    pub(crate) fn report_stale_pin(&mut self, turn: &mut Turn<'_>, relay: &Relay, flow: FlowKey) {
+    /// Unpins a flow at its home if the home forwarded a packet here and this
+    /// agent does not hold the flow.
+    pub(crate) fn report_stale_pin(
+        &mut self,
+        outbox: &mut Outbox<'_>,
+        relay: &Relay,
+        flow: FlowKey,
+    ) {
         let previous = usize::from(relay.position)
             .checked_sub(1)
             .and_then(|index| relay.path.get(index));
@@ -177,26 +185,26 @@
         if is_from_home && self.claiming.is_none() {
             self.counters.add(Counter::StalePin);
             let flows = vec![flow];
-            turn.send(relay.home.address, Frame::Unpin(self.pin_frame(flows)));
+            outbox.send(relay.home.address, Frame::Unpin(self.pin_frame(flows)));
         }
     }
 
-    /// Takes the next step of a round that is due.
-    pub(crate) fn renew_pins(&mut self, turn: &mut Turn<'_>) {
-        if self.pins.next_deadline().is_some_and(|at| at <= turn.now) {
-            self.pins.expire(turn.now);
+    /// Runs the next step of a renewal round if it is due.
+    pub(crate) fn renew_pins(&mut self, outbox: &mut Outbox<'_>) {
+        if self.pins.next_deadline().is_some_and(|at| at <= outbox.now) {
+            self.pins.expire(outbox.now);
         }
-        self.renewal.start_if_due(turn.now, self.flows.slots());
+        self.renewal.start_if_due(outbox.now, self.flows.slots());
         let due = self
             .renewal
             .round
-            .filter(|round| round.next_step <= turn.now);
+            .filter(|round| round.next_step <= outbox.now);
         if let Some(round) = due {
-            self.renewal.round = self.step_round(turn, round);
+            self.renewal.round = self.step_round(outbox, round);
         }
     }
 
-    fn step_round(&mut self, turn: &mut Turn<'_>, round: Round) -> Option<Round> {
+    fn step_round(&mut self, outbox: &mut Outbox<'_>, round: Round) -> Option<Round> {
         let slots = STEP_SLOTS.min(round.slots_left);
         if slots == 0 {
             return None;
@@ -211,11 +219,11 @@
         for flow in flows.iter().filter(|flow| flow.phase != Phase::Closed) {
             self.renew_pin(flow, round.renews_all, &mut batches);
         }
-        self.send_pins(turn, batches);
+        self.send_pins(outbox, batches);
         Some(Round {
             next_slot: round.next_slot + slots,
             slots_left: round.slots_left - slots,
-            next_step: turn.now + STEP,
+            next_step: outbox.now + STEP_INTERVAL,
             renews_all: round.renews_all,
         })
     }
@@ -234,10 +242,10 @@
         }
     }
 
-    pub(crate) fn send_pins(&self, turn: &mut Turn<'_>, batches: Batches) {
+    pub(crate) fn send_pins(&self, outbox: &mut Outbox<'_>, batches: Batches) {
         for (to, flows) in batches {
-            for flows in flows.chunks(BATCH) {
-                turn.send(to, Frame::Pin(self.pin_frame(flows.to_vec())));
+            for flows in flows.chunks(MAX_BATCH_FLOWS) {
+                outbox.send(to, Frame::Pin(self.pin_frame(flows.to_vec())));
             }
         }
     }
@@ -251,9 +259,9 @@
         }
     }
 
-    pub(crate) fn expire_flows(&mut self, turn: &mut Turn<'_>) {
+    pub(crate) fn expire_flows(&mut self, outbox: &mut Outbox<'_>) {
         let mut expired = Vec::new();
-        self.flows.expire(turn.now, &mut expired);
+        self.flows.expire(outbox.now, &mut expired);
         for flow in &expired {
             self.ledger.forget(flow.key);
             match flow.phase {
@@ -265,11 +273,11 @@
         let live = expired
             .into_iter()
             .filter(|flow| flow.phase != Phase::Closed);
-        self.unpin(turn, live);
+        self.unpin(outbox, live);
     }
 }
 
-/// The incarnation that a target announces.
+/// Returns the token of a target's announced incarnation.
 const fn token(target: &Target) -> Token {
     Token {
         target: target.id,
--- a/roles/agent/src/retry.rs
+++ b/roles/agent/src/retry.rs
@@ -1,71 +1,72 @@
-//! Tries requests again: those known not to have run, and idempotent ones
-//! whose outcome was lost, within a budget and their deadline.
+//! Retries requests that are known not to have run, and idempotent ones with an
+//! unknown outcome, within the retry budget and their deadline.
 use std::time::Duration;
 
 use flow::record::Refusal;
 use wire::caller::Reason;
 
 use crate::Agent;
-use crate::agent::Turn;
+use crate::agent::Outbox;
 use crate::event::JobId;
 use crate::status::Counter;
 use crate::task::End;
 
-/// Largest number of times that one request is tried again.
+/// Largest number of retries of one request.
 const MAX_RETRIES: u8 = 2;
 
-/// Where a request that did not run may be tried again.
+/// Backend servers that a request that did not run may be retried at.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Elsewhere {
-    /// Only at another backend server.
-    Only,
-    /// At another backend server, or else here.
-    First,
+pub(crate) enum Placement {
+    /// Only other backend servers.
+    OtherServers,
+    /// Another backend server, or else the one here.
+    AnyServer,
 }
 
 impl Agent {
-    /// Tries a request again that is known not to have run, or refuses it.
+    /// Retries a request that is known not to have run, or refuses it.
     pub(crate) fn retry_not_run(
         &mut self,
-        turn: &mut Turn<'_>,
+        outbox: &mut Outbox<'_>,
         job: JobId,
         refusal: Refusal,
-        elsewhere: Elsewhere,
+        elsewhere: Placement,
     ) {
-        if !self.may_retry(turn.now, job) {
-            return self.conclude(turn, job, End::NotRun(refusal));
+        if !self.may_retry(outbox.now, job) {
+            return self.conclude(outbox, job, End::NotRun(refusal));
         }
         self.counters.add(Counter::RetryNotRun);
         match elsewhere {
-            _ if self.pass(turn, job) => {}
-            Elsewhere::First if self.leaving.is_none() => self.offer_to_gate(turn, job),
-            _ => self.conclude(turn, job, End::NotRun(refusal)),
+            _ if self.pass(outbox, job) => {}
+            Placement::AnyServer if self.leaving.is_none() => self.submit_to_gate(outbox, job),
+            _ => self.conclude(outbox, job, End::NotRun(refusal)),
         }
     }
 
-    /// Tries a request again whose outcome was lost, if it is idempotent.
-    pub(crate) fn retry_unknown(&mut self, turn: &mut Turn<'_>, job: JobId) {
+    /// Retries a request with an unknown outcome if it is idempotent.
+    pub(crate) fn retry_unknown(&mut self, outbox: &mut Outbox<'_>, job: JobId) {
         let Some(task) = self.tasks.get_mut(&job) else {
             return;
         };
-        task.is_uncertain = true;
-        if !task.idempotent || !self.may_retry(turn.now, job) {
-            return self.end_unknown(turn, job, Reason::BackendFailed);
+        task.may_have_run = true;
+        if !task.idempotent || !self.may_retry(outbox.now, job) {
+            return self.end_unknown(outbox, job, Reason::BackendFailed);
         }
         self.counters.add(Counter::RetryIdempotent);
-        if !self.pass(turn, job) {
-            self.offer_to_gate(turn, job);
+        if !self.pass(outbox, job) {
+            self.submit_to_gate(outbox, job);
         }
     }
 
-    /// Whether a request may be tried again: it is the holder's, it was not
-    /// tried too often, its deadline leaves room, and the retry budget pays.
+    /// Returns whether a request may be retried, and if so pays for it from the
+    /// retry budget: the flow is held here, fewer than [`MAX_RETRIES`] retries
+    /// were made, and enough time is left until the deadline.
     fn may_retry(&mut self, now: Duration, job: JobId) -> bool {
-        let latest = now + self.settings.pass.room;
+        let latest = now + self.settings.pass.min_time_left;
         let Some(task) = self
             .tasks
             .get_mut(&job)
-            .filter(|task| task.is_own() && latest < task.deadline)
+            .filter(|task| task.is_from_caller() && latest < task.deadline)
             .filter(|task| task.retries < MAX_RETRIES)
         else {
             return false;
--- a/roles/agent/src/settings.rs
+++ b/roles/agent/src/settings.rs
@@ -3,7 +3,7 @@
 
 use route::hunt;
 
-/// Settings of an agent, with those of its parts.
+/// Settings of an agent and its modules.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// The flow table.
@@ -12,60 +12,63 @@
     pub ledger: flow::ledger::Settings,
     /// The pins of flows that have their home here.
     pub pins: route::pin::Settings,
-    /// Slots and queue of the backend server.
+    /// Admission gate: slots and queue of the backend server.
     pub gate: limit::Settings,
-    /// Load of the flows held, which bids for bound flows count.
+    /// Load estimate of the flows held here, used in bids for bound flows.
     pub load: limit::load::Settings,
-    /// Share of requests that may be tried again inside the system.
+    /// Budget for retries inside the system.
     pub retries: limit::budget::Settings,
     /// Passing of single requests between agents.
     pub pass: Pass,
     /// Planned stop and replacement.
     pub leave: Leave,
-    /// A request with more time than this until its deadline counts as a feed.
+    /// Time until the deadline above which a request is classed as long-lived
+    /// ([`limit::Class::Long`]).
     pub long_deadline: Duration,
-    /// Number of chunks of an answer that are sent unasked; the caller fetches
-    /// the others.
-    pub burst_chunks: u32,
-    /// Smallest time between two announcements of a changed weight.
+    /// Number of chunks of an answer that are sent unrequested; the caller
+    /// fetches the others.
+    pub initial_chunks: u32,
+    /// Shortest interval between two announcements of a changed weight.
     pub announce_interval: Duration,
 }
 
 /// Passing of single requests between the agents of an independent service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Pass {
-    /// Round trip to another agent of the service, across zones; a request is
-    /// passed where the wait here pays for it, as [`hunt::pass_pays`] says.
+    /// Expected round trip to another agent of the service, across zones. A
+    /// request is passed if the expected wait here is long compared to it; see
+    /// [`hunt::pass_pays`].
     pub round_trip: Duration,
-    /// Number of agents that one request is passed to, one at a time.
-    pub tries: usize,
-    /// Smallest time until the deadline for another try.
-    pub room: Duration,
-    /// Number of offers of others that are remembered.
+    /// Largest number of agents that one request is passed to, one at a time.
+    pub max_attempts: usize,
+    /// Shortest time until the deadline for another attempt.
+    pub min_time_left: Duration,
+    /// Number of offers from other agents that are recorded.
     pub max_offers: usize,
-    /// Memory for answers to offers of others, in bytes.
+    /// Memory for recorded answers to offers from other agents, in bytes.
     pub max_offer_bytes: usize,
 }
 
 /// Planned stop and replacement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Leave {
-    /// Longest time that requests which run may take to finish.
+    /// Longest time that pending requests may take to finish.
     pub grace: Duration,
-    /// Longest time for handing state to a peer.
+    /// Longest time for handing the state over to a peer.
     pub handover: Duration,
-    /// Time after which a caller is told to come back.
-    pub away: Duration,
-    /// Longest time that a starting agent asks for its predecessor's state.
-    pub claim: Duration,
-    /// Time that a peer keeps state for a successor.
-    pub keep: Duration,
-    /// Number of peers that are asked.
-    pub peers: usize,
-    /// Size of a part of the state, in bytes.
-    pub part_bytes: usize,
-    /// Memory for the states of others, in bytes.
-    pub max_kept_bytes: usize,
+    /// Default retry delay of a refusal, as while a holder is away.
+    pub retry_after: Duration,
+    /// Longest wait of a starting agent for each part of its predecessor's
+    /// state.
+    pub claim_timeout: Duration,
+    /// Time that a peer stores parked state for a successor.
+    pub parked_lifetime: Duration,
+    /// Largest number of peers that an agent tries to hand its state over to.
+    pub max_peers: usize,
+    /// Size limit of a part of the state, in bytes.
+    pub max_part_bytes: usize,
+    /// Memory for the parked states of other agents, in bytes.
+    pub max_parked_bytes: usize,
 }
 
 impl Default for Settings {
@@ -80,7 +83,7 @@
             pass: Pass::default(),
             leave: Leave::default(),
             long_deadline: Duration::from_secs(30),
-            burst_chunks: 256,
+            initial_chunks: 256,
             announce_interval: Duration::from_secs(1),
         }
     }
@@ -90,8 +93,8 @@
     fn default() -> Self {
         Self {
             round_trip: Duration::from_millis(3),
-            tries: hunt::PASS_WIDTH,
-            room: Duration::from_millis(20),
+            max_attempts: hunt::PASS_WIDTH,
+            min_time_left: Duration::from_millis(20),
             max_offers: 20_000,
             max_offer_bytes: 8 * 1024 * 1024,
         }
@@ -103,12 +106,12 @@
         Self {
             grace: Duration::from_secs(10),
             handover: Duration::from_secs(5),
-            away: Duration::from_secs(1),
-            claim: Duration::from_secs(2),
-            keep: Duration::from_mins(2),
-            peers: 4,
-            part_bytes: 256 * 1024,
-            max_kept_bytes: 64 * 1024 * 1024,
+            retry_after: Duration::from_secs(1),
+            claim_timeout: Duration::from_secs(2),
+            parked_lifetime: Duration::from_mins(2),
+            max_peers: 4,
+            max_part_bytes: 256 * 1024,
+            max_parked_bytes: 64 * 1024 * 1024,
         }
     }
 }
--- a/roles/agent/src/task.rs
+++ b/roles/agent/src/task.rs
@@ -1,4 +1,4 @@
-//! Requests that are underway: queued, running or passed.
+//! Tracks pending requests: queued, running or passed to another agent.
 use std::time::Duration;
 
 use bytes::Bytes;
@@ -20,15 +20,15 @@
 use crate::Job;
 use crate::Offer;
 use crate::Outcome;
-use crate::agent::Turn;
-use crate::agent::Via;
+use crate::agent::Outbox;
+use crate::agent::ReplyPath;
 use crate::event::JobId;
 use crate::offer;
-use crate::pass::Lent;
-use crate::retry::Elsewhere;
+use crate::pass::Assignment;
+use crate::retry::Placement;
 use crate::status::Counter;
 
-/// A request that is underway.
+/// A pending request.
 #[derive(Clone, Debug)]
 pub(crate) struct Task {
     pub(crate) origin: Origin,
@@ -37,38 +37,38 @@
     pub(crate) deadline: Duration,
     pub(crate) payload: Bytes,
     pub(crate) stage: Stage,
-    /// Whether it may have run in a try that is over, or may run at another
-    /// agent that holds the flow too, since its caller named none.
-    pub(crate) is_uncertain: bool,
-    /// The agents that it was passed to.
-    pub(crate) tried: Vec<TargetId>,
-    /// How often it was tried again.
+    /// Whether an earlier attempt may have run it, or whether another agent
+    /// that holds the flow may run it too, since the request names no holder.
+    pub(crate) may_have_run: bool,
+    /// Targets that it was passed to.
+    pub(crate) tried_targets: Vec<TargetId>,
+    /// Number of retries.
     pub(crate) retries: u8,
 }
 
-/// Who waits for a request.
+/// Source of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Origin {
-    /// A caller; the flow is held here.
-    Caller(Via),
+    /// A caller, for a flow that is held here.
+    Caller(ReplyPath),
     /// Another agent, which holds the flow.
     Offer(offer::Id),
 }
 
-/// Where a request is.
+/// Stage of a pending request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Stage {
     /// Not admitted yet.
     New,
-    /// Waits for a slot here.
+    /// Queued for a slot of the backend server here.
     Queued,
-    /// Runs at the backend server here.
+    /// Running at the backend server here.
     Running,
-    /// Another agent has it.
-    Passed(Lent),
+    /// Passed to another agent.
+    Passed(Assignment),
 }
 
-/// How a request ended.
+/// Final outcome of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum End {
     Answered(Answer),
@@ -76,7 +76,7 @@
     Unknown(Refusal),
 }
 
-/// When a request's caller gives up.
+/// Deadline of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Timer {
     pub(crate) at: Duration,
@@ -91,20 +91,20 @@
         deadline: Duration,
     ) -> Self {
         Self {
-            is_uncertain: request.holder.is_empty(),
+            may_have_run: request.holder.is_empty(),
             origin,
             key,
             idempotent: request.idempotent,
             deadline,
             payload: request.payload,
             stage: Stage::New,
-            tried: Vec::new(),
+            tried_targets: Vec::new(),
             retries: 0,
         }
     }
 
-    /// Takes a request over that another agent passes.
-    pub(crate) fn lent(offer: Offer, now: Duration) -> Self {
+    /// Creates the task of a request that another agent passes to this one.
+    pub(crate) fn from_offer(offer: Offer, now: Duration) -> Self {
         Self {
             origin: Origin::Offer(offer.id),
             key: record::Key {
@@ -115,62 +115,63 @@
             deadline: now + offer.remaining,
             payload: offer.payload,
             stage: Stage::New,
-            is_uncertain: false,
-            tried: Vec::new(),
+            may_have_run: false,
+            tried_targets: Vec::new(),
             retries: 0,
         }
     }
 
-    pub(crate) const fn is_own(&self) -> bool {
+    pub(crate) const fn is_from_caller(&self) -> bool {
         matches!(self.origin, Origin::Caller(_))
     }
 }
 
 impl Agent {
-    /// Takes up a request that has just been recorded.
-    pub(crate) fn start(&mut self, turn: &mut Turn<'_>, task: Task) -> JobId {
+    /// Starts a request that has just been recorded: passes it, queues it, runs
+    /// it or refuses it.
+    pub(crate) fn start_task(&mut self, outbox: &mut Outbox<'_>, task: Task) -> JobId {
         let job = self.next_id();
         self.timers.insert(Timer {
             at: task.deadline,
             job,
         });
-        if task.is_own() {
-            self.by_request.insert(task.key, job);
+        if task.is_from_caller() {
+            self.tasks_by_request.insert(task.key, job);
             if let Some(flow) = self.flows.get_mut(task.key.flow) {
                 flow.pending += 1;
             }
         }
-        let may_pass = task.is_own();
-        let expired = task.deadline <= turn.now;
+        let may_pass = task.is_from_caller();
+        let expired = task.deadline <= outbox.now;
         self.tasks.insert(job, task);
         if expired {
             let refusal = self.refusal(Reason::Deadline, Duration::ZERO);
-            self.conclude(turn, job, End::NotRun(refusal));
+            self.conclude(outbox, job, End::NotRun(refusal));
             return job;
         }
-        if may_pass && self.prefers_passing(turn.now) && self.pass(turn, job) {
+        if may_pass && self.prefers_passing(outbox.now) && self.pass(outbox, job) {
             return job;
         }
         if may_pass && self.leaving.is_some() {
-            self.refuse_leaving(turn, job);
+            self.refuse_leaving(outbox, job);
             return job;
         }
-        self.offer_to_gate(turn, job);
+        self.submit_to_gate(outbox, job);
         job
     }
 
-    /// Offers a request to the backend server here.
-    pub(crate) fn offer_to_gate(&mut self, turn: &mut Turn<'_>, job: JobId) {
+    /// Submits a request to the admission gate of the backend server here.
+    pub(crate) fn submit_to_gate(&mut self, outbox: &mut Outbox<'_>, job: JobId) {
         let Some(task) = self.tasks.get(&job) else {
             return;
         };
-        let is_own = task.is_own();
-        let gate_job = self.gate_job(turn.now, job, task.deadline);
-        let verdict = self.admit_job(turn.now, gate_job);
+        let is_own = task.is_from_caller();
+        let gate_job = self.gate_job(outbox.now, job, task.deadline);
+        let verdict = self.admit_job(outbox.now, gate_job);
         match verdict {
-            Verdict::Start => self.run(turn, job),
-            Verdict::Queued => self.queue(turn.now, job),
-            Verdict::Refuse { .. } if is_own && self.pass(turn, job) => {}
+            Verdict::Start => self.run(outbox, job),
+            Verdict::Queued => self.queue(outbox.now, job),
+            Verdict::Refuse { .. } if is_own && self.pass(outbox, job) => {}
             Verdict::Refuse {
                 reason,
                 retry_after,
@@ -183,13 +184,13 @@
                     reason,
                     retry_after,
                 };
-                self.conclude(turn, job, End::NotRun(refusal));
+                self.conclude(outbox, job, End::NotRun(refusal));
             }
         }
     }
 
-    /// Offers a job to the gate, unless the expected wait is beyond the
-    /// service's limit.
+    /// Offers a job to the gate, unless no slot is free and the expected wait
+    /// exceeds the service's queue limit.
     fn admit_job(&mut self, now: Duration, job: limit::Job) -> Verdict {
         let wait = self.gate.expected_wait(now);
         if !self.gate.free_for(job.class) && wait > self.view.service.queue_limit {
@@ -219,22 +220,23 @@
             return;
         };
         task.stage = Stage::Queued;
-        if task.is_own() {
-            // A request that comes back from another agent stays as it is.
+        if task.is_from_caller() {
+            // Returns false for a request that another agent did not run, whose
+            // record stays in the running state.
             let _ = self.ledger.advance(now, task.key, State::Queued);
         }
     }
 
-    /// Hands a request to the backend server.
-    fn run(&mut self, turn: &mut Turn<'_>, job: JobId) {
+    /// Runs a request at the backend server.
+    fn run(&mut self, outbox: &mut Outbox<'_>, job: JobId) {
         let Some(task) = self.tasks.get_mut(&job) else {
             return;
         };
         task.stage = Stage::Running;
-        if task.is_own() {
-            let _ = self.ledger.advance(turn.now, task.key, State::Running);
+        if task.is_from_caller() {
+            let _ = self.ledger.advance(outbox.now, task.key, State::Running);
         }
-        turn.push(Action::Run(Job {
+        outbox.push(Action::Run(Job {
             id: job,
             flow: task.key.flow,
             request: task.key.request,
@@ -244,7 +246,7 @@
         }));
     }
 
-    pub(crate) fn on_finished(&mut self, turn: &mut Turn<'_>, job: JobId, result: Completion) {
+    pub(crate) fn on_finished(&mut self, outbox: &mut Outbox<'_>, job: JobId, result: Completion) {
         let is_running = self
             .tasks
             .get(&job)
@@ -258,95 +260,99 @@
             Completion::Failed { .. } => Finish::Failed,
         };
         let mut released = Vec::new();
-        self.gate.finish(turn.now, job, finish, &mut released);
-        self.release(turn, released);
+        self.gate.finish(outbox.now, job, finish, &mut released);
+        self.release(outbox, released);
         match result {
-            Completion::Completed(bytes) => self.answer(turn, job, bytes),
-            Completion::TooLarge => self.end_unknown(turn, job, Reason::TooLarge),
+            Completion::Completed(bytes) => self.answer(outbox, job, bytes),
+            Completion::TooLarge => self.end_unknown(outbox, job, Reason::TooLarge),
             Completion::Shed { retry_after } => {
                 let refusal = self.refusal(Reason::Overloaded, retry_after);
-                self.retry_not_run(turn, job, refusal, Elsewhere::Only);
+                self.retry_not_run(outbox, job, refusal, Placement::OtherServers);
             }
             Completion::Failed { ran: false } => {
-                let refusal = self.refusal(Reason::BackendFailed, self.settings.leave.away);
-                self.retry_not_run(turn, job, refusal, Elsewhere::First);
+                let refusal = self.refusal(Reason::BackendFailed, self.settings.leave.retry_after);
+                self.retry_not_run(outbox, job, refusal, Placement::AnyServer);
             }
-            Completion::Failed { ran: true } => self.retry_unknown(turn, job),
+            Completion::Failed { ran: true } => self.retry_unknown(outbox, job),
         }
     }
 
-    pub(crate) fn answer(&mut self, turn: &mut Turn<'_>, job: JobId, bytes: Bytes) {
+    pub(crate) fn answer(&mut self, outbox: &mut Outbox<'_>, job: JobId, bytes: Bytes) {
         let max_bytes = self.view.service.max_answer_bytes;
         match Answer::new(bytes).filter(|answer| answer.bytes().len() <= max_bytes) {
-            Some(answer) => self.conclude(turn, job, End::Answered(answer)),
-            None => self.end_unknown(turn, job, Reason::TooLarge),
+            Some(answer) => self.conclude(outbox, job, End::Answered(answer)),
+            None => self.end_unknown(outbox, job, Reason::TooLarge),
         }
     }
 
-    pub(crate) fn end_unknown(&mut self, turn: &mut Turn<'_>, job: JobId, reason: Reason) {
-        let refusal = self.refusal(reason, self.settings.leave.away);
-        self.conclude(turn, job, End::Unknown(refusal));
+    pub(crate) fn end_unknown(&mut self, outbox: &mut Outbox<'_>, job: JobId, reason: Reason) {
+        let refusal = self.refusal(reason, self.settings.leave.retry_after);
+        self.conclude(outbox, job, End::Unknown(refusal));
     }
 
-    pub(crate) fn release(&mut self, turn: &mut Turn<'_>, released: Vec<Release>) {
+    pub(crate) fn release(&mut self, outbox: &mut Outbox<'_>, released: Vec<Release>) {
         for release in released {
             match release {
-                Release::Start(job) => self.run(turn, job),
+                Release::Start(job) => self.run(outbox, job),
                 Release::Expire(job) => {
                     let refusal = self.refusal(Reason::Deadline, Duration::ZERO);
-                    self.conclude(turn, job, End::NotRun(refusal));
+                    self.conclude(outbox, job, End::NotRun(refusal));
                 }
             }
         }
     }
 
     /// Ends the requests whose deadline has passed.
-    pub(crate) fn expire_tasks(&mut self, turn: &mut Turn<'_>) {
+    pub(crate) fn expire_tasks(&mut self, outbox: &mut Outbox<'_>) {
         while self
             .timers
             .first()
-            .is_some_and(|timer| timer.at <= turn.now)
+            .is_some_and(|timer| timer.at <= outbox.now)
         {
             if let Some(timer) = self.timers.pop_first() {
                 let refusal = self.refusal(Reason::Deadline, Duration::ZERO);
-                self.abandon(turn, timer.job, refusal);
+                self.abandon(outbox, timer.job, refusal);
             }
         }
-        if self.gate.next_deadline().is_some_and(|at| at <= turn.now) {
+        if self.gate.next_deadline().is_some_and(|at| at <= outbox.now) {
             let mut released = Vec::new();
-            self.gate.expire(turn.now, &mut released);
-            self.release(turn, released);
+            self.gate.expire(outbox.now, &mut released);
+            self.release(outbox, released);
         }
     }
 
-    /// Takes a request back from where it is; true where it may have run.
-    pub(crate) fn withdraw(&mut self, turn: &mut Turn<'_>, job: JobId) -> bool {
+    /// Withdraws a request from its current stage. Returns whether it may have
+    /// run.
+    pub(crate) fn withdraw(&mut self, outbox: &mut Outbox<'_>, job: JobId) -> bool {
         let Some(task) = self.tasks.get_mut(&job) else {
             return false;
         };
         let stage = std::mem::replace(&mut task.stage, Stage::New);
         match stage {
             Stage::New => return false,
-            Stage::Passed(lent) => {
-                self.by_offer.remove(&lent.number);
+            Stage::Passed(assignment) => {
+                self.tasks_by_offer.remove(&assignment.number);
                 let offer = offer::Id {
                     origin: self.token,
-                    number: lent.number,
+                    number: assignment.number,
                 };
-                turn.push(Action::Withdraw { to: lent.to, offer });
+                outbox.push(Action::Withdraw {
+                    to: assignment.to,
+                    offer,
+                });
                 return true;
             }
             Stage::Queued => {}
-            Stage::Running => turn.push(Action::Abort { job }),
+            Stage::Running => outbox.push(Action::Abort { job }),
         }
         let mut released = Vec::new();
-        self.gate.cancel(turn.now, job, &mut released);
-        self.release(turn, released);
+        self.gate.cancel(outbox.now, job, &mut released);
+        self.release(outbox, released);
         stage == Stage::Running
     }
 
-    /// Ends a request: records its final state, then tells who waits for it.
-    pub(crate) fn conclude(&mut self, turn: &mut Turn<'_>, job: JobId, end: End) {
+    /// Ends a request: records its final state, then notifies its source.
+    pub(crate) fn conclude(&mut self, outbox: &mut Outbox<'_>, job: JobId, end: End) {
         let Some(task) = self.tasks.remove(&job) else {
             return;
         };
@@ -355,31 +361,39 @@
             job,
         });
         let end = match end {
-            End::NotRun(refusal) if task.is_uncertain => End::Unknown(refusal),
+            End::NotRun(refusal) if task.may_have_run => End::Unknown(refusal),
             end => end,
         };
         match task.origin {
-            Origin::Caller(via) => self.conclude_own(turn, via, task.key, end),
-            Origin::Offer(id) => self.conclude_offer(turn, id, task.deadline, end),
+            Origin::Caller(reply_path) => {
+                self.conclude_from_caller(outbox, reply_path, task.key, end);
+            }
+            Origin::Offer(id) => self.conclude_offer(outbox, id, task.deadline, end),
         }
     }
 
-    fn conclude_own(&mut self, turn: &mut Turn<'_>, via: Via, key: record::Key, end: End) {
-        self.by_request.remove(&key);
+    fn conclude_from_caller(
+        &mut self,
+        outbox: &mut Outbox<'_>,
+        reply_path: ReplyPath,
+        key: record::Key,
+        end: End,
+    ) {
+        self.tasks_by_request.remove(&key);
         if let Some(flow) = self.flows.get_mut(key.flow) {
             flow.pending = flow.pending.saturating_sub(1);
-            flow.last_seen = turn.now;
+            flow.last_seen = outbox.now;
         }
         let state = match end {
             End::Answered(answer) => State::Done(answer),
             End::NotRun(refusal) => State::NotRun(refusal),
             End::Unknown(refusal) => State::Unknown(refusal),
         };
-        if self.ledger.advance(turn.now, key, state.clone()) {
+        if self.ledger.advance(outbox.now, key, state.clone()) {
             if matches!(state, State::Done(_)) {
                 self.counters.add(Counter::Answered);
             }
-            self.tell(turn, via, key, &state);
+            self.send_outcome(outbox, reply_path, key, &state);
         }
     }
 }
--- a/roles/agent/tests/world/mod.rs
+++ b/roles/agent/tests/cluster/mod.rs
@@ -1,5 +1,5 @@
-//! A few agents of one service, and the messages between them, which a test
-//! delivers, repeats, loses and delays as it likes.
+//! A simulated cluster: agents of one service, and the messages between them,
+//! which a test can deliver, repeat, lose and delay.
 #![allow(dead_code, missing_docs, unused_imports)]
 mod message;
 mod packet;
@@ -42,7 +42,7 @@
 pub const FLOW: u64 = 77;
 pub const REQUEST: u64 = 5;
 
-/// A call that waits for an agent's answer.
+/// A call that waits for an agent's reply.
 #[derive(Clone, Debug)]
 enum Call {
     Offer { from: usize, offer: offer::Id },
@@ -57,23 +57,23 @@
     pub job: Job,
 }
 
-pub struct World {
+pub struct Cluster {
     pub now: Duration,
     pub agents: Vec<Option<Agent>>,
     pub targets: Vec<Target>,
     pub settings: Settings,
     pub service: Service,
     pub messages: Vec<Message>,
-    /// Packets that reached the callers.
+    /// Packets sent to the callers.
     pub replies: Vec<Packet>,
-    /// Jobs at the backend servers that are not finished.
+    /// Unfinished jobs at the backend servers.
     pub running: Vec<Running>,
-    /// All jobs that ever reached a backend server.
+    /// All jobs that have been started at a backend server.
     pub runs: Vec<Running>,
     pub aborted: Vec<u64>,
     pub announced: Vec<State>,
     pub exited: Vec<usize>,
-    /// Events that wait for frozen agents.
+    /// Pending events of frozen agents.
     frozen: BTreeMap<usize, Vec<Event>>,
     calls: BTreeMap<u64, Call>,
     next_call: u64,
@@ -113,7 +113,7 @@
     settings
 }
 
-/// Cases that do not fit a bound service say so.
+/// Returns the settings of a service whose requests may run at any agent.
 pub fn independent() -> Service {
     Service {
         binding: Binding::Independent,
@@ -121,8 +121,9 @@
     }
 }
 
-impl World {
-    /// Starts agents that know each other and have nothing to claim.
+impl Cluster {
+    /// Starts `count` agents that have each other in their views and no
+    /// predecessor's state to claim.
     pub fn new(count: usize, settings: Settings, service: Service) -> Self {
         let targets: Vec<Target> = (0..count).map(target).collect();
         let now = Duration::from_secs(100);
@@ -130,7 +131,7 @@
             .iter()
             .map(|target| Some(Agent::new(settings.clone(), target.clone(), 7, now)))
             .collect();
-        let mut world = Self {
+        let mut cluster = Self {
             now,
             agents,
             targets,
@@ -148,34 +149,34 @@
             next_call: 0,
         };
         for index in 0..count {
-            world.tell_view(index);
+            cluster.update_view(index);
         }
-        world.settle();
-        world
+        cluster.deliver_all();
+        cluster
     }
 
     pub fn bound(count: usize) -> Self {
         Self::new(count, settings(), Service::default())
     }
 
-    pub fn tell_view(&mut self, index: usize) {
-        let targets = self.live();
-        self.tell_view_of(index, targets);
+    pub fn update_view(&mut self, index: usize) {
+        let targets = self.present_targets();
+        self.update_view_of(index, targets);
     }
 
-    /// The targets that have not left.
-    pub fn live(&self) -> Vec<Target> {
+    /// Returns the targets that have not left.
+    pub fn present_targets(&self) -> Vec<Target> {
         let live = |target: &&Target| target.state != State::Left;
         self.targets.iter().filter(live).cloned().collect()
     }
 
-    /// Gives an agent a view that differs from that of others.
-    pub fn tell_view_of(&mut self, index: usize, targets: Vec<Target>) {
+    /// Sends an agent a view with the given targets.
+    pub fn update_view_of(&mut self, index: usize, targets: Vec<Target>) {
         let service = self.service;
         self.event(index, Event::View(View { targets, service }));
     }
 
-    /// Hands an event to an agent and takes its actions up.
+    /// Passes an event to an agent and carries out its actions.
     pub fn event(&mut self, index: usize, event: Event) {
         if let Some(events) = self.frozen.get_mut(&index) {
             events.push(event);
@@ -187,24 +188,24 @@
         let mut actions = Vec::new();
         agent.handle(self.now, event, &mut actions);
         for action in actions {
-            self.act(index, action);
+            self.perform(index, action);
         }
     }
 
-    /// Stops a process; what is sent to it waits.
+    /// Freezes an agent; events for it are held back.
     pub fn freeze(&mut self, index: usize) {
         self.frozen.insert(index, Vec::new());
     }
 
-    /// Lets a stopped process go on.
+    /// Resumes a frozen agent and passes it the events held back.
     pub fn thaw(&mut self, index: usize) {
         for event in self.frozen.remove(&index).unwrap_or_default() {
             self.event(index, event);
         }
-        self.settle();
+        self.deliver_all();
     }
 
-    fn act(&mut self, index: usize, action: Action) {
+    fn perform(&mut self, index: usize, action: Action) {
         match action {
             Action::Send {
                 frame: Frame::Reply(reply),
@@ -231,7 +232,7 @@
                     .retain(|it| it.agent != index || it.job.id != job);
             }
             Action::Pass { to, offer } => {
-                let connected = self.by_address(to).map(|it| self.targets[it].incarnation);
+                let connected = self.live_index(to).map(|it| self.targets[it].incarnation);
                 self.messages.push(Message::Offer {
                     from: index,
                     to,
@@ -290,38 +291,39 @@
         }
     }
 
-    fn call(&mut self, call: Call) -> u64 {
+    fn register_call(&mut self, call: Call) -> u64 {
         self.next_call += 1;
         self.calls.insert(self.next_call, call);
         self.next_call
     }
 
-    fn by_address(&self, address: SocketAddr) -> Option<usize> {
+    fn live_index(&self, address: SocketAddr) -> Option<usize> {
         self.targets
             .iter()
             .position(|target| target.address == address || target.control == address)
             .filter(|&index| self.agents[index].is_some())
     }
 
-    /// Delivers all messages, in order.
-    pub fn settle(&mut self) {
+    /// Delivers all messages in order, including those that result.
+    pub fn deliver_all(&mut self) {
         while !self.messages.is_empty() {
             let message = self.messages.remove(0);
             self.deliver(message);
         }
     }
 
-    /// Lets time pass, with the ticks that the agents ask for.
-    pub fn pass(&mut self, time: Duration) {
+    /// Advances the time, with the ticks that are due, and delivers all
+    /// messages.
+    pub fn advance_time(&mut self, time: Duration) {
         let end = self.now + time;
         while let Some(next) = self.next_deadline().filter(|&at| at <= end) {
             self.now = self.now.max(next);
             self.tick();
-            self.settle();
+            self.deliver_all();
         }
         self.now = end;
         self.tick();
-        self.settle();
+        self.deliver_all();
     }
 
     pub fn next_deadline(&self) -> Option<Duration> {
@@ -337,20 +339,20 @@
         }
     }
 
-    /// Finishes the oldest job at a backend server.
+    /// Finishes the oldest unfinished job and delivers all messages.
     pub fn finish(&mut self, result: Completion) {
         assert!(!self.running.is_empty(), "a job should be running");
         let Running { agent, job } = self.running.remove(0);
         let job = job.id;
         self.event(agent, Event::Finished { job, result });
-        self.settle();
+        self.deliver_all();
     }
 
-    pub fn answer(&mut self, text: &str) {
+    pub fn finish_with(&mut self, text: &str) {
         self.finish(Completion::Completed(Bytes::from(text.to_owned())));
     }
 
-    /// Replaces an agent by a new incarnation that knows nothing.
+    /// Replaces an agent by a new incarnation without its state.
     pub fn restart(&mut self, index: usize) {
         self.running.retain(|it| it.agent != index);
         self.targets[index].incarnation += 1;
@@ -360,58 +362,61 @@
         self.agents[index] = Some(agent);
     }
 
-    pub fn tell_all(&mut self) {
+    pub fn update_views(&mut self) {
         for index in 0..self.agents.len() {
-            self.tell_view(index);
+            self.update_view(index);
         }
-        self.settle();
+        self.deliver_all();
     }
 
-    /// Tells all agents that one has left.
-    pub fn tell_others(&mut self, gone: usize) {
-        let id = self.targets[gone].id;
+    /// Removes a target from the views of all other agents.
+    pub fn remove_from_views(&mut self, departed: usize) {
+        let id = self.targets[departed].id;
         let targets: Vec<Target> = self
             .targets
             .iter()
             .filter(|target| target.id != id)
             .cloned()
             .collect();
-        for index in (0..self.agents.len()).filter(|&index| index != gone) {
-            self.tell_view_of(index, targets.clone());
+        for index in (0..self.agents.len()).filter(|&index| index != departed) {
+            self.update_view_of(index, targets.clone());
         }
-        self.settle();
+        self.deliver_all();
     }
 
-    /// Takes the oldest message on its way.
+    /// Removes and returns the oldest message.
     pub fn take_message(&mut self) -> Option<Message> {
         (!self.messages.is_empty()).then(|| self.messages.remove(0))
     }
 
     pub fn status(&self, index: usize) -> agent::Status {
-        let agent = self.agents[index].as_ref().expect("the agent should live");
+        let agent = self.agents[index]
+            .as_ref()
+            .expect("the agent should be running");
         agent.status()
     }
 }
 
-/// Index of the agent that a token names.
+/// Returns the index of the agent that a token names.
 pub fn holder(token: Token) -> usize {
     usize::try_from(token.target - 1000).unwrap()
 }
 
-/// Checks that a caller was refused, and how.
-pub fn assert_refused(world: &mut World, reason: Reason, outcome: caller::Outcome) {
-    let refusal = world.take_refusal().expect("a refusal should be sent");
+/// Checks the reason and the outcome of the refusal that a caller received.
+pub fn assert_refused(cluster: &mut Cluster, reason: Reason, outcome: caller::Outcome) {
+    let refusal = cluster.take_refusal().expect("a refusal should be sent");
     assert_eq!(refusal.reason(), reason);
     assert_eq!(refusal.outcome(), outcome);
 }
 
-/// A world of one agent with one slot, which is taken by request 1.
-pub fn busy() -> (World, Token) {
+/// Returns a cluster of one agent with one slot, which request 1 of [`FLOW`]
+/// occupies, and the token of the flow.
+pub fn one_busy_agent() -> (Cluster, Token) {
     let mut settings = settings();
     settings.gate.slots = 1;
-    let mut world = World::new(1, settings, Service::default());
-    let token = world.open(FLOW);
-    world.send(&request(FLOW, 1, token));
-    assert_eq!(world.runs.len(), 1);
-    (world, token)
+    let mut cluster = Cluster::new(1, settings, Service::default());
+    let token = cluster.open(FLOW);
+    cluster.send(&request(FLOW, 1, token));
+    assert_eq!(cluster.runs.len(), 1);
+    (cluster, token)
 }
