--- a/roles/app/src/agent.rs
+++ b/roles/app/src/agent.rs
@@ -1,10 +1,10 @@
 //! The process of `greengagelug agent`.
 //!
-//! One thread runs the agent's core and carries the traffic; the main thread
+//! The traffic thread runs the agent's core and relays frames; the main thread
 //! runs the membership protocol and serves the calls of peers.
 pub mod control;
+pub mod driver;
 pub mod peer;
-pub mod shell;
 pub mod worker;
 
 use std::io;
@@ -27,32 +27,32 @@
 use wire::id::target_id;
 use wire::target::State;
 
-use crate::agent::shell::Shell;
+use crate::agent::driver::Driver;
 use crate::agent::worker::Worker;
 use crate::clock;
 use crate::metric;
 use crate::settings;
 use crate::signal;
 
-/// Control messages that wait for the control thread.
+/// Capacity of the queue of inputs to the control thread.
 const CONTROL_QUEUE: usize = 4096;
 
-/// Capacity that is announced until it has been learned, in requests a second
-/// for each slot.
+/// Capacity announced until the real one has been learned, in requests per second
+/// and slot.
 const INITIAL_WEIGHT_PER_SLOT: u32 = 20;
 
-/// What the traffic thread is told by other threads and tasks.
+/// An input to the traffic thread from other threads and tasks.
 pub enum Input {
-    /// Something for the core.
+    /// An event for the core.
     Event(Event),
-    /// A peer calls.
+    /// A call of a peer.
     Call {
-        /// What is asked.
+        /// The call.
         call: peer::Call,
-        /// Where the answer goes.
+        /// Channel for the answer.
         reply: Sender<peer::Answer>,
     },
-    /// The counters are asked for.
+    /// A request for the counters.
     Status(Sender<Status>),
 }
 
@@ -66,7 +66,7 @@
 ///
 /// # Errors
 ///
-/// The operating system's error where an address cannot be bound.
+/// Returns the operating system's error if an address cannot be bound.
 pub fn run(settings: &settings::Agent) -> io::Result<()> {
     smol::block_on(start(settings))
 }
@@ -112,7 +112,7 @@
     let traffic = thread::Builder::new()
         .name("traffic".to_string())
         .spawn(move || {
-            let shell = Shell::new(
+            let driver = Driver::new(
                 traffic_port.clone(),
                 origin,
                 client,
@@ -126,11 +126,11 @@
                 port: traffic_port,
                 inputs,
                 control: sender,
-                shell,
+                driver,
             };
             let result = smol::block_on(worker::run(worker));
             let _ = control_sender.send_blocking(control::Input::Leave);
-            smol::spawn(listen(port, control_sender)).detach();
+            smol::spawn(receive_control(port, control_sender)).detach();
             result
         })?;
     control.run().await;
@@ -149,14 +149,15 @@
 
 fn core(settings: &settings::Agent, target: Target, origin: Instant) -> Agent {
     let settings = ::agent::Settings {
-        leave: leave(settings.stop),
+        leave: leave_settings(settings.stop),
         ..::agent::Settings::default()
     };
     Agent::new(settings, target, fastrand::u64(..), origin.elapsed())
 }
 
-/// Takes the answers to the farewell, once the traffic thread has ended.
-async fn listen(port: Port, control: Sender<control::Input>) {
+/// Receives the acknowledgements of the departure announcement, after the traffic
+/// thread has ended.
+async fn receive_control(port: Port, control: Sender<control::Input>) {
     let mut receiver = port.receiver();
     while let Ok(received) = receiver.receive().await {
         if let Frame::Control(payload) = received.frame {
@@ -168,9 +169,9 @@
     }
 }
 
-/// Shares the time between SIGTERM and exit: two thirds for requests that run,
-/// one for handing the flows over.
-fn leave(stop: Duration) -> Leave {
+/// Divides the time between SIGTERM and exit: two thirds for running requests,
+/// one third for the handover of flows.
+fn leave_settings(stop: Duration) -> Leave {
     let handover = stop / 3;
     Leave {
         grace: stop.saturating_sub(handover),
@@ -194,9 +195,10 @@
     }
 }
 
-/// Turns SIGTERM and SIGINT into a stop, SIGHUP into a replacement.
+/// Sends the core a stop event for SIGTERM and SIGINT, and a replacement event for
+/// SIGHUP.
 async fn stop_on_signal(inputs: Sender<Input>) {
-    let signals = signal::watch();
+    let signals = signal::subscribe();
     while let Ok(signal) = signals.recv().await {
         let event = match signal {
             signal::Signal::Stop => Event::Stop,
--- a/roles/app/src/agent/control.rs
+++ b/roles/app/src/agent/control.rs
@@ -1,5 +1,5 @@
-//! The control thread of an agent: announces the backend server and follows
-//! its service.
+//! The control thread of an agent: announces the backend server to entries and
+//! passes changes of its service to the core.
 use std::net::SocketAddr;
 use std::time::Duration;
 use std::time::Instant;
@@ -24,63 +24,65 @@
 use crate::directory;
 use crate::event;
 
-/// Longest sleep while nothing is due.
+/// Longest sleep when no deadline is pending.
 const IDLE: Duration = Duration::from_millis(250);
 
-/// Longest wait for the other agents of the service after the start.
+/// Longest wait after the start for the first complete view of the service's
+/// other agents.
 const FIRST_VIEW_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What the control thread is told.
+/// An input to the control thread.
 pub enum Input {
-    /// A message of the membership protocol arrived.
+    /// A message of the membership protocol.
     Message {
         /// UDP address of the sender.
         from: SocketAddr,
         /// The encoded message.
         payload: Bytes,
     },
-    /// The announcement changes.
+    /// A change of the announcement.
     Announce {
-        /// Whether the backend server takes new flows.
+        /// State of the backend server, which decides whether it gets new flows.
         state: State,
         /// Learned capacity, as in [`wire::Target::weight`].
         weight: u32,
     },
-    /// The agent has nothing left to do; the backend server stays.
+    /// The agent is done and exits; the backend server stays.
     Exit,
-    /// The agent has nothing left to do; the backend server leaves for good.
+    /// The agent is done and the backend server leaves for good, which is to be
+    /// announced.
     Leave,
 }
 
-/// What the control thread works with.
+/// State of the control thread.
 pub struct Control {
     /// The membership protocol.
     pub announcer: Announcer,
-    /// Origin of the time.
+    /// Origin of the monotonic time of the membership protocol.
     pub origin: Instant,
     /// The port for frames, shared with the traffic thread.
     pub port: Port,
     /// The backend server that this agent announces.
     pub target: TargetId,
-    /// What arrives from the traffic thread.
+    /// Inputs from the traffic thread.
     pub inputs: Receiver<Input>,
-    /// The traffic thread.
+    /// Queue of inputs to the traffic thread.
     pub worker: Sender<agent::Input>,
-    /// Whether the operators drain the target, as last told to the core.
+    /// Whether operators drain the target, as last reported to the core.
     pub drained: bool,
-    /// Whether the core has not been told of the last change.
+    /// Whether the view has changed since it was last sent to the core.
     pub changed: bool,
-    /// Whether a newer agent stands beside the backend server.
+    /// Whether a newer agent of the same backend server is known.
     pub superseded: bool,
 }
 
 impl Control {
-    /// Runs until the process is to end.
+    /// Runs until the process must end.
     pub async fn run(mut self) {
         let mut actions = Vec::new();
         loop {
             let now = self.origin.elapsed();
-            match self.next(now).await {
+            match self.next_input(now).await {
                 Some(Input::Message { from, payload }) => {
                     if let Ok(message) = Message::decode(&payload) {
                         let now = self.origin.elapsed();
@@ -108,8 +110,8 @@
         }
     }
 
-    /// Lets the core finish what it has once a newer agent stands beside the
-    /// backend server, as after a long freeze of this one.
+    /// Stops the core, which finishes its work, once a newer agent of the same
+    /// backend server is known. This happens after a long freeze of this process.
     async fn stop_if_superseded(&mut self) {
         let Some(incarnation) = self.announcer.successor().filter(|_| !self.superseded) else {
             return;
@@ -119,14 +121,14 @@
         let _ = self.worker.send(::agent::Event::Stop.into()).await;
     }
 
-    /// Whether an entry has told of all other agents, or had the time to. The
-    /// core asks the peers of its first view for the flows of its predecessor,
-    /// so that view must be whole.
+    /// Returns whether the view of the other agents is complete, or the time to
+    /// wait for it has passed. The core asks the peers of its first view for the
+    /// flows of its predecessor, so that view must be complete.
     fn knows_peers(&self) -> bool {
         self.announcer.is_current() || self.origin.elapsed() >= FIRST_VIEW_TIMEOUT
     }
 
-    async fn next(&self, now: Duration) -> Option<Input> {
+    async fn next_input(&self, now: Duration) -> Option<Input> {
         let due = self.announcer.next_deadline().min(now + IDLE);
         let tick = async {
             Timer::at(self.origin + due).await;
@@ -145,7 +147,7 @@
         }
     }
 
-    /// Tells the core what has changed of its service.
+    /// Sends the core the current view of its service.
     async fn publish(&mut self) {
         let view = self.announcer.view();
         let Some(service) = directory::service(view) else {
--- a/roles/app/src/agent/shell.rs
+++ b/roles/app/src/agent/driver.rs
@@ -1,4 +1,4 @@
-//! Carries out what an agent's core decides.
+//! Executes the actions that an agent's core returns.
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -28,12 +28,13 @@
 use crate::agent::peer::Call;
 use crate::agent::peer::Failure;
 
-/// Longest wait for a peer that keeps, gives or withdraws something.
+/// Timeout of calls to a peer that park, claim or withdraw something.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Carries out what the core decides.
-pub struct Shell {
-    /// Runs the tasks of the backend server's connections and of calls.
+/// Executes the core's actions: I/O, runs at the backend server and calls to
+/// peers.
+pub struct Driver {
+    /// Executor of the tasks for the backend server's connections and for calls.
     pub(super) executor: Rc<LocalExecutor<'static>>,
     port: Port,
     origin: Instant,
@@ -46,10 +47,9 @@
     next_call: CallId,
 }
 
-impl Shell {
-    /// Carries out actions with a backend server and connections to peers.
-    /// `inputs` is told what becomes of them; `origin` is that of the core's
-    /// time.
+impl Driver {
+    /// Creates a driver without running tasks. The results of actions are sent to
+    /// `inputs`; `origin` is the origin of the core's time.
     #[must_use]
     pub fn new(
         port: Port,
@@ -73,8 +73,9 @@
         }
     }
 
-    /// Turns an input into an event; calls of peers wait for their answer.
-    pub fn event(&mut self, input: Input) -> Event {
+    /// Converts an input into an event for the core. Keeps the reply channel of a
+    /// peer's call until the core answers it.
+    pub fn event_from(&mut self, input: Input) -> Event {
         match input {
             Input::Event(event) => {
                 if let Event::Finished { job, .. } = &event {
@@ -101,13 +102,13 @@
         }
     }
 
-    /// Carries out an action; false where the process is to end.
+    /// Executes an action. Returns false if the process must end.
     pub fn perform(&mut self, action: Action) -> bool {
         match action {
             Action::Send { to, frame } => self.port.send(to, &frame),
             Action::Run(job) => self.run(job),
             Action::Abort { job } => drop(self.jobs.remove(&job)),
-            Action::Pass { to, offer } => self.pass(to, offer),
+            Action::Pass { to, offer } => self.forward_offer(to, offer),
             Action::Withdraw { to, offer } => self.call(to, Call::Withdraw(offer), |_| None),
             Action::Resolve { call, outcome } => self.answer(call, Answer::Offer(outcome)),
             Action::Parked { call, accepted } => self.answer(call, Answer::Parked(accepted)),
@@ -147,11 +148,11 @@
         }
     }
 
-    fn pass(&self, to: SocketAddr, offer: Offer) {
+    fn forward_offer(&self, to: SocketAddr, offer: Offer) {
         let id = offer.id;
         let timeout = offer.remaining;
         let call = Call::Offer(offer);
-        self.call_within(to, call, timeout, move |result| {
+        self.call_with_timeout(to, call, timeout, move |result| {
             let outcome = match result {
                 Ok(Answer::Offer(outcome)) => outcome,
                 Err(Failure::Unsent) => Outcome::NotRun {
@@ -186,24 +187,24 @@
         &self,
         to: SocketAddr,
         call: Call,
-        done: impl FnOnce(Result<Answer, Failure>) -> Option<Event> + 'static,
+        to_event: impl FnOnce(Result<Answer, Failure>) -> Option<Event> + 'static,
     ) {
-        self.call_within(to, call, CALL_TIMEOUT, done);
+        self.call_with_timeout(to, call, CALL_TIMEOUT, to_event);
     }
 
-    fn call_within(
+    fn call_with_timeout(
         &self,
         to: SocketAddr,
         call: Call,
         timeout: Duration,
-        done: impl FnOnce(Result<Answer, Failure>) -> Option<Event> + 'static,
+        to_event: impl FnOnce(Result<Answer, Failure>) -> Option<Event> + 'static,
     ) {
         let peers = Rc::clone(&self.peers);
         let inputs = self.inputs.clone();
         self.executor
             .spawn(async move {
                 let result = peers.call(to, &call, timeout).await;
-                if let Some(event) = done(result) {
+                if let Some(event) = to_event(result) {
                     let _ = inputs.send(Input::Event(event)).await;
                 }
             })
--- a/roles/app/src/agent/peer.rs
+++ b/roles/app/src/agent/peer.rs
@@ -1,7 +1,7 @@
 //! Calls between agents of a service, over `tarpc`.
 //!
-//! The content of a call is sealed, so that a process without the
-//! installation's key can neither offer work nor claim a parked state.
+//! Calls are authenticated, so that a process without the installation's key can
+//! neither offer requests nor claim parked state.
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -35,55 +35,55 @@
 
 use crate::agent::Input;
 
-/// Longest wait for a connection to a peer.
+/// Timeout of connecting to a peer.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What one agent asks of another.
+/// A call from one agent to another.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Call {
     /// Run a single request.
     Offer(Offer),
-    /// Withdraw a request that was offered.
+    /// Withdraw a request that was offered before.
     Withdraw(offer::Id),
-    /// Keep a part of the caller's state.
+    /// Store a part of the state of the calling agent.
     Park(park::Part),
-    /// Give back a part that a predecessor of the caller parked.
+    /// Return a part that a predecessor of the calling agent parked.
     Claim(park::Claim),
 }
 
-/// What the other agent answers.
+/// The answer to a [`Call`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Answer {
-    /// What became of an offer.
+    /// Outcome of an offer.
     Offer(Outcome),
-    /// A withdrawal was noted.
+    /// Acknowledgement of a withdrawal.
     Withdrawn,
-    /// Whether a part is kept.
+    /// Whether the part was stored.
     Parked(bool),
-    /// A part, or none.
+    /// The claimed part, or why there is none.
     Claimed(park::Grant),
 }
 
-/// Why a call has no answer.
+/// Reason why a call has no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
     /// The call was not sent.
     Unsent,
-    /// The call was sent; whether it was carried out is unknown.
+    /// The call was sent; whether it was executed is unknown.
     Lost,
 }
 
-/// Calls that agents make on each other.
+/// RPC service that agents offer each other.
 #[tarpc::service]
 trait Peer {
-    /// Carries out a sealed [`Call`] and returns a sealed [`Answer`], or nothing
-    /// where the call cannot be authenticated.
+    /// Executes a sealed [`Call`] and returns a sealed [`Answer`], or nothing if
+    /// the call cannot be authenticated or the process exits meanwhile.
     async fn call(sealed: Vec<u8>) -> Vec<u8>;
 }
 
 type Clients = Mutex<HashMap<SocketAddr, PeerClient>>;
 
-/// Opens connections to peers and keeps them while they last.
+/// Pool of connections to peers, which are opened on demand.
 pub struct Pool {
     seal: Arc<Seal>,
     clients: Arc<Clients>,
@@ -99,11 +99,11 @@
         }
     }
 
-    /// Calls the peer at `to` and waits for `timeout` at most.
+    /// Calls the peer at `to` and waits for the answer, up to `timeout`.
     ///
     /// # Errors
     ///
-    /// A [`Failure`] that says whether the call may have been carried out.
+    /// Returns a [`Failure`], which tells whether the call may have been executed.
     pub async fn call(
         &self,
         to: SocketAddr,
@@ -165,20 +165,21 @@
 }
 
 impl Server {
-    /// Hands a call to the agent's core and waits for its answer; `None` where
-    /// this process exits while the core has the call.
-    async fn handle(&self, call: Call) -> Option<Answer> {
+    /// Passes a call to the agent's core and waits for the answer. Returns `None`
+    /// if this process exits before the core has answered.
+    async fn execute(&self, call: Call) -> Option<Answer> {
         let (reply, answer) = async_channel::bounded(1);
-        let refused = refused(&call);
+        let refusal = refusal(&call);
         match self.inputs.send(Input::Call { call, reply }).await {
             Ok(()) => answer.recv().await.ok(),
-            Err(_) => Some(refused),
+            Err(_) => Some(refusal),
         }
     }
 }
 
-/// The answer to a call that no core takes any more: it was not carried out.
-const fn refused(call: &Call) -> Answer {
+/// Returns the answer to a call that arrives after the core has exited: the call
+/// was not executed.
+const fn refusal(call: &Call) -> Answer {
     match call {
         Call::Offer(_) => Answer::Offer(Outcome::NotRun {
             reason: offer::Refusal::Unreachable,
@@ -195,7 +196,7 @@
         let Ok(call) = self.seal.open_as(Purpose::Call, &sealed) else {
             return Vec::new();
         };
-        match self.handle(call).await {
+        match self.execute(call).await {
             Some(answer) => self
                 .seal
                 .seal_as(Purpose::Answer, &answer)
--- a/roles/app/src/agent/worker.rs
+++ b/roles/app/src/agent/worker.rs
@@ -1,4 +1,4 @@
-//! The traffic thread of an agent: feeds its core with what arrives.
+//! The traffic thread of an agent, which passes frames and inputs to the core.
 use std::io;
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,31 +17,31 @@
 
 use crate::agent::Input;
 use crate::agent::control;
-use crate::agent::shell::Shell;
+use crate::agent::driver::Driver;
 
-/// Frames that are taken from the port before other inputs are looked at.
+/// Maximum number of frames read from the port before other inputs are checked.
 const BATCH: usize = 64;
 
-/// Longest sleep while nothing is due.
+/// Longest sleep when the core has no deadline.
 const IDLE: Duration = Duration::from_secs(1);
 
-/// What the traffic thread works with.
+/// State of the traffic thread.
 pub struct Worker {
-    /// The decisions.
+    /// The core, which decides and does no I/O.
     pub core: Agent,
     /// Origin of the core's time.
     pub origin: Instant,
     /// The port for frames.
     pub port: Port,
-    /// What arrives from other threads and from finished tasks.
+    /// Inputs from other threads and from finished tasks.
     pub inputs: Receiver<Input>,
-    /// The control thread.
+    /// Queue of inputs to the control thread.
     pub control: Sender<control::Input>,
-    /// What carries out the decisions.
-    pub shell: Shell,
+    /// Executes the core's actions.
+    pub driver: Driver,
 }
 
-/// What the loop was woken by.
+/// Reason why the loop woke up.
 enum Wake {
     Frame(Received),
     Input(Input),
@@ -52,24 +52,24 @@
 ///
 /// # Errors
 ///
-/// The operating system's error where the port fails.
+/// Returns the operating system's error if the port fails.
 pub async fn run(mut worker: Worker) -> io::Result<()> {
-    let executor = Rc::clone(&worker.shell.executor);
+    let executor = Rc::clone(&worker.driver.executor);
     let mut receiver = worker.port.receiver();
-    let turns = async {
-        while worker.turn(&mut receiver).await? {
+    let processing = async {
+        while worker.process_next(&mut receiver).await? {
             // Lets the tasks of the backend server's connections run.
             smol::future::yield_now().await;
         }
         Ok(())
     };
-    executor.run(turns).await
+    executor.run(processing).await
 }
 
 impl Worker {
-    /// Takes what has arrived and carries out what follows; false where the
-    /// process is to end.
-    async fn turn(&mut self, receiver: &mut net::port::Receiver) -> io::Result<bool> {
+    /// Waits for and processes one wake-up and a batch of frames, and executes the
+    /// resulting actions. Returns false if the process must end.
+    async fn process_next(&mut self, receiver: &mut net::port::Receiver) -> io::Result<bool> {
         let mut actions = Vec::new();
         match self.wake(receiver).await? {
             Wake::Deadline => self.handle(Event::Tick, &mut actions),
@@ -77,25 +77,27 @@
                 let _ = reply.try_send(self.core.status());
             }
             Wake::Input(input) => {
-                let event = self.shell.event(input);
+                let event = self.driver.event_from(input);
                 self.handle(event, &mut actions);
             }
-            Wake::Frame(frame) => self.take(frame, &mut actions),
+            Wake::Frame(frame) => self.dispatch(frame, &mut actions),
         }
         for _ in 0..BATCH {
             match receiver.try_receive() {
-                Ok(Some(frame)) => self.take(frame, &mut actions),
+                Ok(Some(frame)) => self.dispatch(frame, &mut actions),
                 Ok(None) => {}
                 Err(_) => break,
             }
         }
-        let goes_on = actions.into_iter().all(|action| self.shell.perform(action));
-        Ok(goes_on)
+        let keeps_running = actions
+            .into_iter()
+            .all(|action| self.driver.perform(action));
+        Ok(keeps_running)
     }
 
-    /// Waits for the first of an input, a frame and the core's deadline. The
-    /// core acts on its deadlines before any event, so that a stream of events
-    /// does not hold them up.
+    /// Waits for the first of an input, a frame and the core's deadline. The core
+    /// handles expired deadlines before any event, so that a continuous stream of
+    /// events does not delay them.
     async fn wake(&self, receiver: &mut net::port::Receiver) -> io::Result<Wake> {
         let frame = async { receiver.receive().await.map(Wake::Frame) };
         let input = async {
@@ -117,14 +119,15 @@
         self.core.handle(self.origin.elapsed(), event, actions);
     }
 
-    /// Takes a frame: messages of the membership protocol go to the control
-    /// thread, all others to the core.
-    fn take(&mut self, received: Received, actions: &mut Vec<Action>) {
+    /// Passes messages of the membership protocol to the control thread, and all
+    /// other frames to the core.
+    fn dispatch(&mut self, received: Received, actions: &mut Vec<Action>) {
         let from = received.from;
         match received.frame {
             Frame::Control(payload) => {
                 let message = control::Input::Message { from, payload };
-                // A full control thread loses messages, as a network does.
+                // Messages are dropped while the control thread's queue is full;
+                // the protocol tolerates loss.
                 let _ = self.control.try_send(message);
             }
             frame => self.handle(Event::Frame { from, frame }, actions),
--- a/roles/app/src/carried.rs
+++ b/roles/app/src/carried.rs
@@ -1,4 +1,5 @@
-//! What gateways and sidecars have in common.
+//! Parts shared by gateways and sidecars, which forward packets without reading
+//! their content.
 pub mod event;
 pub mod lifecycle;
 pub mod link;
--- a/roles/app/src/carried/event.rs
+++ b/roles/app/src/carried/event.rs
@@ -1,4 +1,4 @@
-//! Logs the decisions on carried flows, each kind at a bounded rate.
+//! Rate-limited logging of decisions on forwarded flows.
 use std::collections::HashMap;
 use std::sync::Mutex;
 use std::sync::PoisonError;
@@ -9,21 +9,21 @@
 
 use crate::event::Event;
 
-/// Lines a second of one kind of event.
-const RATE: f64 = 20.0;
+/// Sustained rate of log lines per second for one kind of event.
+const LINES_PER_SECOND: f64 = 20.0;
 
-/// Lines of one kind that may come at once.
-const BURST: f64 = 60.0;
+/// Log lines of one kind of event that may come in a burst.
+const BURST_LINES: f64 = 60.0;
 
-/// How many times as many warnings may come.
-const WARNINGS: f64 = 3.0;
+/// Factor by which warnings and errors exceed the rate and the burst.
+const WARNING_FACTOR: f64 = 3.0;
 
-/// Time between two lines that tell how many were dropped.
-const SUMMARY: Duration = Duration::from_secs(10);
+/// Shortest time between two summaries of suppressed lines.
+const SUMMARY_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Logs events, each kind at a bounded rate.
+/// Log of events with a token bucket for each kind.
 #[derive(Debug, Default)]
-pub struct Journal {
+pub struct Limiter {
     state: Mutex<State>,
 }
 
@@ -31,17 +31,18 @@
 struct State {
     buckets: HashMap<u16, Bucket>,
     dropped: u64,
-    summary: Duration,
+    next_summary: Duration,
 }
 
 #[derive(Debug)]
 struct Bucket {
     tokens: f64,
-    filled: Duration,
+    refilled: Duration,
 }
 
-impl Journal {
-    /// Logs an event unless its kind has had its share.
+impl Limiter {
+    /// Logs an event unless its kind has exceeded its rate, and logs a summary of
+    /// suppressed lines if one is due.
     pub fn log(&self, now: Duration, event: &Event) {
         let dropped = {
             let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
@@ -49,7 +50,7 @@
                 state.dropped += 1;
                 return;
             }
-            state.summary(now)
+            state.take_dropped(now)
         };
         event.log();
         if let Some(lines) = dropped {
@@ -60,17 +61,18 @@
 
 impl State {
     fn allows(&mut self, now: Duration, event: &Event) -> bool {
-        let times = match event.level() {
-            Level::Error | Level::Warn => WARNINGS,
+        let factor = match event.level() {
+            Level::Error | Level::Warn => WARNING_FACTOR,
             Level::Info | Level::Debug | Level::Trace => 1.0,
         };
         let bucket = self.buckets.entry(event.number()).or_insert(Bucket {
-            tokens: BURST * times,
-            filled: now,
+            tokens: BURST_LINES * factor,
+            refilled: now,
         });
-        let passed = now.saturating_sub(bucket.filled).as_secs_f64();
-        bucket.filled = now;
-        bucket.tokens = (bucket.tokens + passed * RATE * times).min(BURST * times);
+        let elapsed = now.saturating_sub(bucket.refilled).as_secs_f64();
+        bucket.refilled = now;
+        bucket.tokens =
+            (bucket.tokens + elapsed * LINES_PER_SECOND * factor).min(BURST_LINES * factor);
         let allows = bucket.tokens >= 1.0;
         if allows {
             bucket.tokens -= 1.0;
@@ -78,17 +80,17 @@
         allows
     }
 
-    fn summary(&mut self, now: Duration) -> Option<u64> {
-        if self.dropped == 0 || now < self.summary {
+    fn take_dropped(&mut self, now: Duration) -> Option<u64> {
+        if self.dropped == 0 || now < self.next_summary {
             return None;
         }
-        self.summary = now + SUMMARY;
+        self.next_summary = now + SUMMARY_INTERVAL;
         Some(std::mem::take(&mut self.dropped))
     }
 }
 
-/// A flow in the log: caller, arrow, service address.
+/// Returns the name of a flow for the log: `CALLER>SERVICE`.
 #[must_use]
-pub fn flow(flow: &FlowId) -> String {
+pub fn flow_name(flow: &FlowId) -> String {
     format!("{}>{}", flow.caller, flow.service)
 }
--- a/roles/app/src/carried/lifecycle.rs
+++ b/roles/app/src/carried/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The start and the stop of a gateway or sidecar.
+//! Start and stop of a gateway or sidecar.
 use async_channel::Receiver;
 
 use crate::event::Event;
@@ -6,7 +6,7 @@
 use crate::signal::Signal;
 
 /// Logs that the process has started.
-pub fn started(role: Role, host: &platform::Settings) {
+pub fn log_start(role: Role, host: &platform::Settings) {
     let starting = Event::CarrierStarting {
         role: role.name().to_owned(),
         host: host.host.clone(),
@@ -16,9 +16,9 @@
     starting.log();
 }
 
-/// Waits for SIGTERM. What may change in the settings of a running process comes
-/// with the configuration and the announcements, so that SIGHUP is only logged.
-pub async fn stop_requested(role: Role, signals: Receiver<Signal>) {
+/// Waits for SIGTERM or SIGINT. Settings that may change while the process runs
+/// arrive with the configuration and the announcements, so SIGHUP is only logged.
+pub async fn wait_for_stop(role: Role, signals: Receiver<Signal>) {
     while let Ok(signal) = signals.recv().await {
         let role = role.name().to_owned();
         match signal {
--- a/roles/app/src/carried/link.rs
+++ b/roles/app/src/carried/link.rs
@@ -1,4 +1,4 @@
-//! The sockets, the log and the metrics of a gateway or sidecar.
+//! Sockets, log and metrics of a gateway or sidecar.
 use std::net::SocketAddr;
 use std::net::SocketAddrV4;
 use std::net::UdpSocket;
@@ -16,11 +16,11 @@
 use crate::carried::event;
 use crate::carried::report::Report;
 use crate::event::Event;
-use crate::metric::Board;
 use crate::metric::Error;
-use crate::metric::carried::publish_calls;
+use crate::metric::Instruments;
+use crate::metric::forwarding::publish_calls;
 
-/// What the threads of a gateway or sidecar send, log and count with.
+/// Sockets, log and metrics shared by the threads of a gateway or sidecar.
 pub struct Link {
     /// Origin of the core's time.
     pub origin: Instant,
@@ -35,22 +35,22 @@
 }
 
 impl Link {
-    /// Time since the origin.
+    /// Returns the time since the origin.
     pub fn now(&self) -> Duration {
         self.origin.elapsed()
     }
 
     /// Logs an event, at a bounded rate.
     pub fn log(&self, event: &Event) {
-        self.report.journal.log(self.now(), event);
+        self.report.limiter.log(self.now(), event);
     }
 
-    /// Counts one more of a metric.
+    /// Increments a counter of the table of metrics.
     pub fn count(&self, name: &'static str, reason: &'static str) {
         self.report.counts.add(name, reason);
     }
 
-    /// Counts and logs a packet that is dropped.
+    /// Counts and logs a dropped packet.
     pub fn drop_packet(&self, reason: &'static str) {
         self.count("carried.dropped", reason);
         let reason = reason.to_owned();
@@ -58,52 +58,52 @@
     }
 
     /// Sends a frame to an entry or agent.
-    pub fn frame(&self, to: SocketAddr, transit: Transit) {
+    pub fn send_frame(&self, to: SocketAddr, transit: Transit) {
         self.port.send(to, &Frame::Transit(transit));
     }
 
-    /// Sends what the membership protocol asks for.
-    pub fn control(&self, actions: &mut Vec<Action>) {
+    /// Sends the messages of the membership protocol.
+    pub fn send_control(&self, actions: &mut Vec<Action>) {
         for Action::Send { to, message } in actions.drain(..) {
             match message.encode() {
                 Ok(payload) => self.port.send(to, &Frame::Control(payload)),
-                Err(error) => log::warn!("a message to {to} was not sent: {error}"),
+                Err(error) => log::warn!("cannot encode a membership message to {to}: {error}"),
             }
         }
     }
 
-    /// Sends a packet as it is.
-    pub fn packet(&self, to: SocketAddr, packet: &[u8]) {
+    /// Sends a packet unchanged.
+    pub fn send_packet(&self, to: SocketAddr, packet: &[u8]) {
         if let Err(error) = self.socket.send_to(packet, to) {
-            log::debug!("a packet to {to} was not sent: {error}");
+            log::debug!("cannot send a packet to {to}: {error}");
             self.count("carried.dropped", "not_sent");
         }
     }
 
-    /// Sends a packet to a caller: all are reached on one port.
-    pub fn to_caller(&self, caller: SocketAddrV4, packet: &[u8]) {
+    /// Sends a packet to a caller. All callers are reached on the same port.
+    pub fn send_to_caller(&self, caller: SocketAddrV4, packet: &[u8]) {
         let to = SocketAddr::from((*caller.ip(), self.caller_port));
-        self.packet(to, packet);
+        self.send_packet(to, packet);
     }
 
-    /// Resets a flow towards its caller.
-    pub fn reset(&self, flow: &FlowId, sequence: u32, reason: &'static str, detail: String) {
+    /// Sends the caller of a flow a reset, and counts and logs it.
+    pub fn reset_flow(&self, flow: &FlowId, sequence: u32, reason: &'static str, detail: String) {
         self.count("carried.flows.reset", reason);
         self.log(&Event::FlowReset {
-            flow: event::flow(flow),
+            flow: event::flow_name(flow),
             reason: reason.to_owned(),
             detail,
         });
-        self.to_caller(flow.caller, &packet::reset(flow, sequence));
+        self.send_to_caller(flow.caller, &packet::reset(flow, sequence));
     }
 
-    /// Copies what was counted to a board.
+    /// Copies the counters to the instruments.
     ///
     /// # Errors
     ///
-    /// [`Error::Unknown`] where a metric is not in the table.
-    pub fn publish(&self, board: &mut Board, calls: &Calls) -> Result<(), Error> {
-        self.report.counts.publish(board)?;
-        publish_calls(board, calls)
+    /// Returns [`Error::Unknown`] if a metric is not in the table.
+    pub fn publish(&self, instruments: &mut Instruments, calls: &Calls) -> Result<(), Error> {
+        self.report.counts.publish(instruments)?;
+        publish_calls(instruments, calls)
     }
 }
--- a/roles/app/src/carried/reader.rs
+++ b/roles/app/src/carried/reader.rs
@@ -1,4 +1,4 @@
-//! Threads that read one socket each.
+//! Threads that each read one socket.
 use std::io;
 use std::net::UdpSocket;
 use std::thread;
@@ -7,55 +7,55 @@
 use net::Port;
 use net::port::Received;
 
-/// Longest wait of a reading thread, after which it looks at what is due.
-pub const WAIT: Duration = Duration::from_millis(100);
+/// Read timeout of the sockets, after which a reading thread checks deadlines.
+pub const POLL_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Room for one packet, larger than any of them.
+/// Size of the receive buffer in bytes, larger than any packet.
 const BUFFER_BYTES: usize = 2 * 1024;
 
-/// Reads the datagrams of a socket on a thread of its own.
+/// Starts a thread that passes each datagram of a socket to `on_receive`.
 ///
 /// # Errors
 ///
-/// The operating system's error where no thread can be started.
+/// Returns the operating system's error if the thread cannot be started.
 pub fn spawn_packets(
     name: &str,
     socket: UdpSocket,
-    mut handle: impl FnMut(&mut [u8]) + Send + 'static,
+    mut on_receive: impl FnMut(&mut [u8]) + Send + 'static,
 ) -> io::Result<()> {
     let read = move || {
         let mut buffer = vec![0; BUFFER_BYTES];
         loop {
             match socket.recv_from(&mut buffer) {
-                Ok((length, _)) => handle(&mut buffer[..length]),
-                Err(error) if is_quiet(&error) => {}
-                Err(error) => log::warn!("a socket cannot be read: {error}"),
+                Ok((length, _)) => on_receive(&mut buffer[..length]),
+                Err(error) if is_transient(&error) => {}
+                Err(error) => log::warn!("cannot read from a socket: {error}"),
             }
         }
     };
     spawn(name, read)
 }
 
-/// Reads the frames of a port on a thread of its own, which is told `None` where
-/// none arrived for a while.
+/// Starts a thread that passes each frame of a port to `on_receive`, or `None` if
+/// none arrived within the port's read timeout.
 ///
 /// # Errors
 ///
-/// The operating system's error where no thread can be started.
+/// Returns the operating system's error if the thread cannot be started.
 pub fn spawn_frames(
     name: &str,
     port: &Port,
-    mut handle: impl FnMut(Option<Received>) + Send + 'static,
+    mut on_receive: impl FnMut(Option<Received>) + Send + 'static,
 ) -> io::Result<()> {
     let mut receiver = port.receiver();
     let read = move || {
         loop {
             match receiver.try_receive() {
-                Ok(Some(frame)) => handle(Some(frame)),
-                // What could not be read is counted by the port.
+                Ok(Some(frame)) => on_receive(Some(frame)),
+                // The port counts datagrams that it could not decode.
                 Ok(None) => {}
-                Err(error) if is_quiet(&error) => handle(None),
-                Err(error) => log::warn!("the port for frames cannot be read: {error}"),
+                Err(error) if is_transient(&error) => on_receive(None),
+                Err(error) => log::warn!("cannot read from the port for frames: {error}"),
             }
         }
     };
@@ -67,8 +67,9 @@
     Ok(())
 }
 
-/// Whether nothing arrived in time, or an earlier datagram met a closed port.
-fn is_quiet(error: &io::Error) -> bool {
+/// Returns whether the read timed out or was interrupted, or an earlier datagram
+/// met a closed port.
+fn is_transient(error: &io::Error) -> bool {
     matches!(
         error.kind(),
         io::ErrorKind::WouldBlock
--- a/roles/app/src/carried/ready.rs
+++ b/roles/app/src/carried/ready.rs
@@ -1,4 +1,4 @@
-//! Answers whether the process takes traffic.
+//! Readiness endpoint of gateways and sidecars.
 use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,18 +11,18 @@
 use platform::probe;
 use smol::Executor;
 
-/// Serves the question whether the process takes traffic.
+/// Serves the platform's readiness check over HTTP.
 ///
 /// # Errors
 ///
-/// The operating system's error where the address cannot be bound.
+/// Returns the operating system's error if the address cannot be bound.
 pub async fn serve(
     address: SocketAddr,
     executor: &Arc<Executor<'static>>,
     is_ready: Arc<AtomicBool>,
 ) -> io::Result<()> {
-    let answer = move |question: http::Question| {
-        let status = if probe::is_question(&question.method, &question.path) {
+    let answer = move |request: http::Question| {
+        let status = if probe::is_question(&request.method, &request.path) {
             probe::status(is_ready.load(Ordering::Relaxed))
         } else {
             StatusCode::NOT_FOUND
--- a/roles/app/src/carried/report.rs
+++ b/roles/app/src/carried/report.rs
@@ -1,38 +1,38 @@
-//! Logs, counts and times what a gateway or sidecar does.
+//! Log, counters and latency histograms of a gateway or sidecar.
 use opentelemetry::metrics::Histogram;
 
-use crate::carried::event::Journal;
-use crate::metric::Board;
+use crate::carried::event::Limiter;
 use crate::metric::Error;
-use crate::metric::carried::Counts;
+use crate::metric::Instruments;
+use crate::metric::forwarding::Counts;
 
-/// Where decisions are logged, counted and timed.
+/// Log, counters and latency histograms of the decisions.
 pub struct Report {
-    /// The log.
-    pub journal: Journal,
+    /// Rate-limited log.
+    pub limiter: Limiter,
     /// The counters.
     pub counts: Counts,
-    /// From an opening packet to the word of its holder.
+    /// Microseconds from an opening packet to the holder's confirmation.
     pub open_time: Histogram<u64>,
-    /// From a search to the word of the holder.
+    /// Microseconds from the start of a search to the holder's answer.
     pub search_time: Histogram<u64>,
-    /// From a request to the first packet of its answer.
+    /// Microseconds from a request to the first packet of its answer.
     pub request_time: Histogram<u64>,
 }
 
 impl Report {
-    /// Reports to the histograms of a board.
+    /// Creates a report whose histograms belong to `instruments`.
     ///
     /// # Errors
     ///
-    /// [`Error::Unknown`] where the table of metrics lacks one.
-    pub fn new(board: &Board) -> Result<Self, Error> {
+    /// Returns [`Error::Unknown`] if a histogram is not in the table of metrics.
+    pub fn new(instruments: &Instruments) -> Result<Self, Error> {
         Ok(Self {
-            journal: Journal::default(),
+            limiter: Limiter::default(),
             counts: Counts::default(),
-            open_time: board.histogram("carried.open.time")?,
-            search_time: board.histogram("carried.search.time")?,
-            request_time: board.histogram("carried.request.time")?,
+            open_time: instruments.histogram("carried.open.time")?,
+            search_time: instruments.histogram("carried.search.time")?,
+            request_time: instruments.histogram("carried.request.time")?,
         })
     }
 }
--- a/roles/app/src/clock.rs
+++ b/roles/app/src/clock.rs
@@ -1,10 +1,11 @@
-//! The time of the operating system.
+//! Wall-clock time of the operating system.
 use std::time::SystemTime;
 use std::time::UNIX_EPOCH;
 
 use wire::Incarnation;
 
-/// Returns an incarnation for a process that starts now.
+/// Returns an incarnation for a process that starts now: microseconds since the
+/// Unix epoch.
 #[must_use]
 pub fn incarnation() -> Incarnation {
     let age = SystemTime::now()
--- a/roles/app/src/directory.rs
+++ b/roles/app/src/directory.rs
@@ -1,12 +1,12 @@
-//! What a process acts on, out of what the membership protocol knows.
+//! Service configurations and targets taken from views of the membership protocol.
 use config::Service;
 use member::Health;
 use member::View;
 use wire::Target;
 use wire::target::State;
 
-/// Returns the configuration of a service, or `None` where none is known, it
-/// cannot be read, or the service was deleted.
+/// Returns the configuration of a service, or `None` if none is known, it cannot
+/// be decoded, or the service was deleted.
 #[must_use]
 pub fn service(view: &View) -> Option<Service> {
     let record = view.config.as_ref()?;
@@ -14,19 +14,19 @@
     service.is_active().then_some(service)
 }
 
-/// Returns the targets that may hold flows: those that have not left and are
-/// not held down. Targets that the operators drain count as draining.
+/// Returns the targets that may hold flows: those that have not left and are not
+/// marked down. Targets drained by operators get the state `Draining`.
 #[must_use]
 pub fn targets(view: &View, service: &Service) -> Vec<Target> {
     view.targets
         .values()
         .filter(|member| member.health != Health::Down)
         .filter(|member| member.target.state != State::Left)
-        .map(|member| drained(member.target.clone(), service))
+        .map(|member| apply_drain(member.target.clone(), service))
         .collect()
 }
 
-fn drained(mut target: Target, service: &Service) -> Target {
+fn apply_drain(mut target: Target, service: &Service) -> Target {
     if service.is_drained(target.id, target.zone) {
         target.state = State::Draining;
     }
--- a/roles/app/src/entry.rs
+++ b/roles/app/src/entry.rs
@@ -2,10 +2,10 @@
 //!
 //! Traffic threads relay datagrams; the main thread runs the membership
 //! protocol, follows the configuration and serves the operators.
+pub mod config_reader;
 pub mod control;
+pub mod discovery;
 pub mod edge;
-pub mod reading;
-pub mod seek;
 pub mod status;
 pub mod traffic;
 
@@ -29,31 +29,32 @@
 use store::Http;
 
 use crate::clock;
+use crate::entry::config_reader::Ranking;
 use crate::entry::control::Control;
 use crate::entry::control::Input;
+use crate::entry::discovery::Discovery;
 use crate::entry::edge::Edge;
-use crate::entry::reading::Ranking;
-use crate::entry::seek::Seek;
 use crate::entry::traffic::Traffic;
 use crate::metric;
-use crate::metric::Board;
+use crate::metric::Instruments;
 use crate::operator;
 use crate::settings;
 use crate::signal;
-use crate::watch::Watch;
+use crate::watch::Tracker;
 
-/// Control messages that wait for the control thread.
+/// Capacity of the queue of inputs to the control thread.
 const CONTROL_QUEUE: usize = 16 * 1024;
 
-/// Time that a stopping entry goes on relaying, so that replies under way reach
-/// their callers and the other entries learn that it leaves.
+/// Time for which a stopping entry continues to relay, so that replies in flight
+/// reach their callers and the other entries learn that it leaves.
 const LINGER: Duration = Duration::from_secs(2);
 
-/// Runs the entry until it has stopped.
+/// Runs the entry until it is stopped by a signal or superseded by a newer
+/// process at the same address.
 ///
 /// # Errors
 ///
-/// The operating system's error where an address cannot be bound.
+/// Returns the operating system's error if an address cannot be bound.
 pub fn run(settings: &settings::Entry) -> io::Result<()> {
     smol::block_on(start(settings))
 }
@@ -81,7 +82,7 @@
     let store = Http::new(store::http::Settings::new(settings.store));
     let (events_sender, events) = async_channel::unbounded();
     executor
-        .spawn(reading::run(
+        .spawn(config_reader::run(
             settings.clone(),
             store.clone(),
             events,
@@ -90,7 +91,7 @@
         .detach();
     let context = operator::Context {
         store,
-        snapshot: status::Inquiry {
+        snapshot: status::Source {
             control: inputs_sender.clone(),
         },
     };
@@ -103,20 +104,20 @@
             settings.metrics,
         ))
         .detach();
-    let stopped = stopped(inputs_sender, events_sender.clone(), settings.stop);
+    let stopping = wait_for_stop(inputs_sender, events_sender.clone(), settings.stop);
     let control = Control {
         registry: registry(settings, origin),
         origin,
         port,
         traffic,
         inputs,
-        board: Board::default(),
-        watch: Watch::default(),
-        seek: Seek::default(),
+        instruments: Instruments::default(),
+        tracker: Tracker::default(),
+        discovery: Discovery::default(),
         ranking: Ranking::new(settings, events_sender),
         listeners: HashMap::new(),
     };
-    executor.run(control.run().or(stopped)).await;
+    executor.run(control.run().or(stopping)).await;
     Ok(())
 }
 
@@ -137,10 +138,10 @@
     registry
 }
 
-/// Waits for SIGTERM, says so to the other entries, and then waits for what is
-/// under way to arrive.
-async fn stopped(control: Sender<Input>, reading: Sender<Event>, limit: Duration) {
-    let signals = signal::watch();
+/// Waits for a stop signal, tells the store reader and the other entries that
+/// this one leaves, and then gives packets in flight time to arrive.
+async fn wait_for_stop(control: Sender<Input>, reading: Sender<Event>, limit: Duration) {
+    let signals = signal::subscribe();
     let _ = signals.recv().await;
     let _ = reading.send(Event::Stop).await;
     let _ = control.send(Input::Leave).await;
--- a/roles/app/src/entry/reading.rs
+++ b/roles/app/src/entry/config_reader.rs
@@ -1,5 +1,5 @@
-//! Reads the configuration from the platform's store, where this entry has a
-//! seat in its zone.
+//! Reads the configuration from the platform's store while this entry holds a
+//! reader lock of its zone.
 use std::collections::HashSet;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,14 +17,15 @@
 use crate::entry::control::Input;
 use crate::settings;
 
-/// Time that a reader waits for an answer. Longer than an operator should, so
-/// that a slow store is still read.
+/// Timeout of a store call by the reader. Longer than that of an operator's
+/// call, so that a slow store can still be read.
 const READ_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Time between looks at the rank of this entry.
+/// Interval at which the rank of this entry is checked.
 const RANK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Tells the reader which rank this entry has among those of its zone.
+/// Reports changes of this entry's rank among the live entries of its zone to
+/// the store reader.
 pub struct Ranking {
     own: SocketAddr,
     zone: ZoneId,
@@ -34,7 +35,7 @@
 }
 
 impl Ranking {
-    /// Starts with the rank that the settings let expect.
+    /// Starts with the rank among the peers that the settings list.
     #[must_use]
     pub fn new(settings: &settings::Entry, events: Sender<Event>) -> Self {
         Self {
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Looks at the rank, where that is due.
+    /// Checks the rank if the check is due, and reports a change.
     pub fn tick(&mut self, now: Duration, registry: &Registry) {
         if now < self.due {
             return;
@@ -64,7 +65,8 @@
     }
 }
 
-/// Reads the store until told to stop, and hands on what it publishes.
+/// Runs the store reader until it stops, and forwards the configurations that it
+/// reads to the control thread.
 pub async fn run(
     settings: settings::Entry,
     store: Http,
@@ -79,12 +81,12 @@
     );
     let (sender, updates) = async_channel::bounded(1);
     let reading = store::reader::run(store.with_timeout(READ_TIMEOUT), reader, events, sender);
-    let passing = async {
+    let forwarding = async {
         while let Ok(update) = updates.recv().await {
             let _ = control.send(Input::Update(update)).await;
         }
     };
-    reading.or(passing).await;
+    reading.or(forwarding).await;
 }
 
 fn first_rank(settings: &settings::Entry) -> usize {
--- a/roles/app/src/entry/control.rs
+++ b/roles/app/src/entry/control.rs
@@ -1,4 +1,5 @@
-//! The control thread of an entry.
+//! The control thread of an entry: runs the membership protocol and publishes
+//! routes to the traffic threads.
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,79 +24,80 @@
 use wire::ServiceAddress;
 
 use crate::directory;
-use crate::entry::reading::Ranking;
-use crate::entry::seek::Seek;
-use crate::entry::seek::Verdict;
+use crate::entry::config_reader::Ranking;
+use crate::entry::discovery::Discovery;
+use crate::entry::discovery::Outcome;
 use crate::entry::status;
 use crate::entry::traffic::Traffic;
 use crate::event::Event;
 use crate::metric;
-use crate::metric::Board;
+use crate::metric::Instruments;
 use crate::metric::Sample;
-use crate::watch::Watch;
+use crate::watch::Tracker;
 
-/// Longest sleep while nothing is due.
+/// Longest sleep when no deadline is pending.
 const IDLE: Duration = Duration::from_millis(250);
 
-/// What the control thread is told.
+/// An input to the control thread.
 pub enum Input {
-    /// A message of the membership protocol arrived.
+    /// A message of the membership protocol.
     Message {
         /// UDP address of the sender.
         from: SocketAddr,
         /// The encoded message.
         payload: Bytes,
     },
-    /// The store has a configuration.
+    /// A service configuration read from the store or accepted from an operator.
     Update(Update),
-    /// An operator asks for the state of the system.
+    /// A request for the state of the system, made by an operator.
     Status(Sender<StatusReply>),
-    /// The metrics are asked for.
+    /// A request for the metrics.
     Metrics(Sender<Vec<Sample>>),
-    /// A caller asks for a service that is not known.
-    Need(ServiceAddress),
-    /// The entry is to stop.
+    /// The address of a caller's packet, of which no service is known.
+    UnknownService(ServiceAddress),
+    /// A request to announce that this entry leaves.
     Leave,
 }
 
-/// What the control thread works with.
+/// State of the control thread.
 pub struct Control {
     /// The membership protocol.
     pub registry: Registry,
-    /// Origin of the time.
+    /// Origin of the monotonic time of the membership protocol.
     pub origin: Instant,
     /// The port for frames, shared with the traffic threads.
     pub port: Port,
-    /// What the traffic threads share.
+    /// State shared with the traffic threads.
     pub traffic: Arc<Traffic>,
-    /// What arrives from other threads and tasks.
+    /// Inputs from other threads and tasks.
     pub inputs: Receiver<Input>,
-    /// The metrics.
-    pub board: Board,
-    /// What was last logged of the services.
-    pub watch: Watch,
-    /// Searches for services that are not known.
-    pub seek: Seek,
-    /// Tells the reader of the store this entry's rank.
+    /// Instruments of the metrics.
+    pub instruments: Instruments,
+    /// Last logged state of the services and targets.
+    pub tracker: Tracker,
+    /// Pending queries for services that are not known.
+    pub discovery: Discovery,
+    /// Reports this entry's rank to the store reader.
     pub ranking: Ranking,
-    /// Readers of the service addresses that are bound here.
+    /// Tasks that read the service addresses bound by this entry.
     pub listeners: HashMap<ServiceAddress, Task<()>>,
 }
 
 impl Control {
-    /// Runs until dropped, or until a newer process has this one's place.
+    /// Runs until dropped, or until a newer process at the same address
+    /// supersedes this one.
     pub async fn run(mut self) {
         let mut actions = Vec::new();
         while self.registry.successor().is_none() {
-            self.turn(&mut actions).await;
+            self.process_next(&mut actions).await;
         }
         if let Some(incarnation) = self.registry.successor() {
             Event::Superseded { incarnation }.log();
         }
     }
 
-    async fn turn(&mut self, actions: &mut Vec<Action>) {
-        let input = self.next().await;
+    async fn process_next(&mut self, actions: &mut Vec<Action>) {
+        let input = self.next_input().await;
         let now = self.origin.elapsed();
         match input {
             Some(Input::Message { from, payload }) => {
@@ -103,12 +105,12 @@
                     self.registry.handle(now, from, message, actions);
                 }
             }
-            Some(Input::Update(update)) => self.put(now, &update),
+            Some(Input::Update(update)) => self.update_config(now, &update),
             Some(Input::Status(reply)) => {
                 let samples = self.samples();
                 let _ = reply.try_send(status::describe(&self.registry, &samples));
             }
-            Some(Input::Need(address)) => self.need(now, address),
+            Some(Input::UnknownService(address)) => self.discover(now, address),
             Some(Input::Leave) => self.registry.leave(now, actions),
             Some(Input::Metrics(reply)) => {
                 let _ = reply.try_send(self.samples());
@@ -125,20 +127,20 @@
         }
         let changes = self.registry.changes();
         if !changes.is_empty() {
-            self.rebuild(now, &changes);
+            self.rebuild_routes(now, &changes);
         }
-        let verdicts = self.seek.due(now);
-        if !verdicts.is_empty() {
-            self.judge(now, &verdicts);
+        let outcomes = self.discovery.take_due(now);
+        if !outcomes.is_empty() {
+            self.apply_outcomes(now, &outcomes);
         }
     }
 
-    /// Seeks a service, unless it is known to have been deleted.
-    fn need(&mut self, now: Duration, address: ServiceAddress) {
+    /// Asks peers for a service, unless it is known to have been deleted.
+    fn discover(&mut self, now: Duration, address: ServiceAddress) {
         if self.is_deleted(&address) {
-            return self.rebuild(now, &[address]);
+            return self.rebuild_routes(now, &[address]);
         }
-        if self.seek.start(now, address) {
+        if self.discovery.start(now, address) {
             self.registry.need(now, address);
         }
     }
@@ -149,26 +151,26 @@
             .is_some_and(|view| view.config.is_some() && directory::service(view).is_none())
     }
 
-    /// Acts on searches that are over.
-    fn judge(&mut self, now: Duration, verdicts: &[Verdict]) {
+    /// Applies the outcomes of queries that timed out or expired.
+    fn apply_outcomes(&mut self, now: Duration, outcomes: &[Outcome]) {
         let mut router = self.traffic.router.load().as_ref().clone();
-        let mut known = Vec::new();
-        for verdict in verdicts {
-            match verdict {
-                Verdict::Absent(address) if self.registry.service(address).is_some() => {
-                    known.push(*address);
+        let mut arrived = Vec::new();
+        for outcome in outcomes {
+            match outcome {
+                Outcome::Absent(address) if self.registry.service(address).is_some() => {
+                    arrived.push(*address);
                 }
-                Verdict::Absent(address) => router.refuse(*address),
-                Verdict::Forgotten(address) => router.forget(*address),
+                Outcome::Absent(address) => router.refuse(*address),
+                Outcome::Expired(address) => router.forget(*address),
             }
         }
         self.traffic.router.store(Arc::new(router));
-        if !known.is_empty() {
-            self.rebuild(now, &known);
+        if !arrived.is_empty() {
+            self.rebuild_routes(now, &arrived);
         }
     }
 
-    async fn next(&self) -> Option<Input> {
+    async fn next_input(&self) -> Option<Input> {
         let now = self.origin.elapsed();
         let due = self.registry.next_deadline().min(now + IDLE);
         let tick = async {
@@ -179,7 +181,7 @@
         input.or(tick).await
     }
 
-    fn put(&mut self, now: Duration, update: &Update) {
+    fn update_config(&mut self, now: Duration, update: &Update) {
         let Ok(body) = update.service.to_bytes() else {
             return;
         };
@@ -191,32 +193,39 @@
         self.registry.put(now, service);
     }
 
-    /// Reads all metrics.
+    /// Returns the current values of all metrics, or none if they cannot be
+    /// read.
     fn samples(&mut self) -> Vec<Sample> {
-        metric::entry::publish(&mut self.board, &self.registry, &self.traffic)
-            .and_then(|()| self.board.read())
+        metric::entry::publish(&mut self.instruments, &self.registry, &self.traffic)
+            .and_then(|()| self.instruments.read())
             .unwrap_or_else(|error| {
                 log::warn!("{error}");
                 Vec::new()
             })
     }
 
-    /// Replaces the routes of the services that changed.
-    fn rebuild(&mut self, now: Duration, changes: &[ServiceAddress]) {
+    /// Rebuilds the routes of the services that changed, and binds or releases
+    /// their addresses.
+    fn rebuild_routes(&mut self, now: Duration, changes: &[ServiceAddress]) {
         let mut router = self.traffic.router.load().as_ref().clone();
         for address in changes {
             let view = self.registry.service(address);
-            for event in view.map(|view| self.watch.view(view)).unwrap_or_default() {
+            for event in view
+                .map(|view| self.tracker.update(view))
+                .unwrap_or_default()
+            {
                 event.log();
             }
             match self.route(*address) {
-                Some(service) if service.order().is_empty() && !self.seek.is_over(*address) => {
-                    // Its targets may not have arrived yet.
-                    self.seek.start(now, *address);
+                Some(service)
+                    if service.order().is_empty() && !self.discovery.has_timed_out(*address) =>
+                {
+                    // The service's targets may not have arrived by gossip yet.
+                    self.discovery.start(now, *address);
                 }
                 Some(service) => {
                     if !service.order().is_empty() {
-                        self.seek.found(*address);
+                        self.discovery.finish(*address);
                     }
                     router.insert(service);
                     self.bind(*address);
--- a/roles/app/src/entry/edge.rs
+++ b/roles/app/src/entry/edge.rs
@@ -1,8 +1,8 @@
-//! How an entry exchanges datagrams with callers.
+//! Datagram exchange between an entry and callers.
 //!
-//! A fabric that wraps datagrams hands them over in frames, on the port of the
-//! entry. Behind any other fabric the entry binds the service addresses itself,
-//! which the host must own.
+//! A fabric that encapsulates datagrams delivers them in frames to the entry's
+//! port. Behind any other fabric the entry binds the service addresses itself,
+//! so the host must own them.
 use std::collections::HashMap;
 use std::io;
 use std::net::SocketAddr;
@@ -18,31 +18,31 @@
 use wire::frame::MAX_DATAGRAM_BYTES;
 use wire::frame::Sprayed;
 
-/// Datagrams that are read from one socket before other tasks run.
+/// Maximum number of datagrams read from one socket before other tasks run.
 const BATCH: usize = 64;
 
 type Sockets = HashMap<ServiceAddress, Arc<Async<UdpSocket>>>;
 
-/// How an entry exchanges datagrams with callers.
+/// Path on which an entry exchanges datagrams with callers.
 pub enum Edge {
-    /// Through a fabric that wraps them.
+    /// A fabric that encapsulates datagrams in frames.
     Wrapped {
-        /// Where packets for callers are sent.
+        /// UDP address of the fabric, to which packets for callers are sent.
         fabric: SocketAddr,
     },
-    /// On sockets of the entry's own.
+    /// Sockets that the entry binds to the service addresses.
     Bound(Bound),
 }
 
-/// The sockets of the service addresses that an entry binds.
+/// Sockets that an entry has bound to service addresses.
 #[derive(Default)]
 pub struct Bound {
     sockets: ArcSwap<Sockets>,
 }
 
 impl Edge {
-    /// Wraps datagrams for `fabric`, or binds the service addresses where there
-    /// is none.
+    /// Creates the path through `fabric`, or one that binds service addresses if
+    /// there is none.
     #[must_use]
     pub fn new(fabric: Option<SocketAddr>) -> Self {
         match fabric {
@@ -53,13 +53,13 @@
 }
 
 impl Bound {
-    /// Binds a service address and returns its socket, or `None` where it is
-    /// bound already.
+    /// Binds a service address and returns its socket, or `None` if it is bound
+    /// already.
     ///
     /// # Errors
     ///
-    /// The operating system's error, such as that the host does not own the
-    /// address.
+    /// Returns the operating system's error, for example if the host does not
+    /// own the address.
     pub fn bind(&self, service: ServiceAddress) -> io::Result<Option<Arc<Async<UdpSocket>>>> {
         let mut sockets = self.sockets.load().as_ref().clone();
         if sockets.contains_key(&service) {
@@ -71,7 +71,8 @@
         Ok(Some(socket))
     }
 
-    /// Gives up a service address.
+    /// Stops replying from a service address; its socket is closed once its
+    /// reading task is dropped too.
     pub fn release(&self, service: ServiceAddress) {
         let mut sockets = self.sockets.load().as_ref().clone();
         if sockets.remove(&service).is_some() {
@@ -79,8 +80,8 @@
         }
     }
 
-    /// Sends a packet to a caller from the address of its service; false where
-    /// that was not possible.
+    /// Sends a packet to a caller from the address of its service. Returns false
+    /// if the address is not bound or the send fails.
     #[must_use]
     pub fn send(&self, reply: &Reply) -> bool {
         let sockets = self.sockets.load();
@@ -94,17 +95,17 @@
     }
 }
 
-/// Reads the datagrams of a service until dropped.
+/// Passes the datagrams that arrive for a service to `on_datagram` until dropped.
 pub async fn receive(
     service: ServiceAddress,
     socket: Arc<Async<UdpSocket>>,
-    mut handle: impl FnMut(Sprayed),
+    mut on_datagram: impl FnMut(Sprayed),
 ) {
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         for _ in 0..BATCH {
             match socket.get_ref().recv_from(&mut buffer) {
-                Ok((length, caller)) => handle(Sprayed {
+                Ok((length, caller)) => on_datagram(Sprayed {
                     caller,
                     service,
                     packet: Bytes::copy_from_slice(&buffer[..length]),
@@ -112,7 +113,8 @@
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
                     let _ = socket.readable().await;
                 }
-                // A caller's port is closed; UDP reports it on the next call.
+                // An earlier reply met a closed port: the kernel reports the
+                // ICMP error on a later call.
                 Err(_) => {}
             }
         }
--- a/roles/app/src/entry/status.rs
+++ b/roles/app/src/entry/status.rs
@@ -1,4 +1,4 @@
-//! What an entry tells operators of the system.
+//! State of the system as an entry reports it to operators.
 use api::operator::Counter;
 use api::operator::Health;
 use api::operator::InForce;
@@ -19,13 +19,13 @@
 use crate::metric::Sample;
 use crate::operator::Snapshot;
 
-/// Asks the control thread for the state of the system.
-pub struct Inquiry {
-    /// The control thread.
+/// Source of the system's state that queries the control thread.
+pub struct Source {
+    /// Queue of inputs to the control thread.
     pub control: Sender<Input>,
 }
 
-impl Snapshot for Inquiry {
+impl Snapshot for Source {
     async fn accept(&self, update: Update) {
         let _ = self.control.send(Input::Update(update)).await;
     }
@@ -37,7 +37,7 @@
     }
 }
 
-/// Describes the state of the system as this entry knows it.
+/// Returns the state of the system as this entry knows it.
 #[must_use]
 pub fn describe(registry: &Registry, samples: &[Sample]) -> StatusReply {
     let services: Vec<InForce> = registry.services().filter_map(in_force).collect();
--- a/roles/app/src/entry/traffic.rs
+++ b/roles/app/src/entry/traffic.rs
@@ -1,4 +1,5 @@
-//! The traffic threads of an entry: they relay datagrams and keep nothing.
+//! The traffic threads of an entry, which relay datagrams without state for each
+//! flow.
 use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,51 +26,51 @@
 use crate::entry::edge;
 use crate::entry::edge::Edge;
 
-/// Frames that are read from the port before other tasks run.
+/// Maximum number of frames read from the port before other tasks run.
 const BATCH: usize = 64;
 
-/// What the traffic threads of one entry share.
+/// State shared by the traffic threads of one entry.
 pub struct Traffic {
     /// The port for frames.
     pub port: Port,
-    /// How datagrams are exchanged with callers.
+    /// Path on which datagrams are exchanged with callers.
     pub edge: Edge,
-    /// Runs the tasks of the traffic threads.
+    /// Executor of the traffic threads' tasks.
     pub executor: Executor<'static>,
     /// The current snapshot of all services.
     pub router: ArcSwap<Router>,
-    /// Where control messages go; they are dropped while it is full.
+    /// Queue of inputs to the control thread; inputs are dropped while it is full.
     pub control: Sender<Input>,
-    /// What was done.
+    /// Counters of the traffic threads.
     pub counters: Counters,
 }
 
-/// Counts what the traffic threads did with datagrams, by reason.
+/// Counters of datagrams and frames, by what was done with them and why.
 #[derive(Default)]
 pub struct Counters {
     /// Packets relayed to an agent.
     pub relayed: AtomicU64,
     /// Packets returned to a caller.
     pub replied: AtomicU64,
-    /// Packets that could not be read.
+    /// Packets that could not be decoded.
     pub malformed: AtomicU64,
-    /// Packets of another version.
+    /// Packets of an unsupported protocol version.
     pub version: AtomicU64,
     /// Packets whose payload is too large.
     pub too_large: AtomicU64,
-    /// Packets that only the system sends.
+    /// Packets of a kind that callers must not send.
     pub direction: AtomicU64,
-    /// Packets to an address that is not known yet.
-    pub sought: AtomicU64,
+    /// Packets to an address for which peers are being queried.
+    pub unknown_address: AtomicU64,
     /// Packets to an address without a service.
     pub no_service: AtomicU64,
     /// Packets to a service without targets.
     pub no_target: AtomicU64,
-    /// Frames that an entry does not take.
-    pub unexpected: AtomicU64,
-    /// Control messages that arrived faster than they were read.
+    /// Frames of a kind that an entry does not handle.
+    pub unexpected_frame: AtomicU64,
+    /// Control messages dropped because the control thread's queue was full.
     pub control_full: AtomicU64,
-    /// Replies of a service whose address is not bound here.
+    /// Replies that could not be sent from the address of their service.
     pub not_bound: AtomicU64,
 }
 
@@ -78,7 +79,7 @@
     ///
     /// # Errors
     ///
-    /// The operating system's error.
+    /// Returns the operating system's error.
     pub async fn run(self: Arc<Self>) -> io::Result<()> {
         self.executor.run(self.receive()).await
     }
@@ -89,19 +90,20 @@
         loop {
             for _ in 0..BATCH {
                 let incoming = receiver.receive().await?;
-                self.handle(incoming, entry);
+                self.dispatch(incoming, entry);
             }
             smol::future::yield_now().await;
         }
     }
 
-    /// Binds the address of a service, where the entry does that itself and has
-    /// not yet. The address is read until the task is dropped.
+    /// Binds the address of a service and returns the task that reads it, which
+    /// ends when dropped. Returns `None` if the address is bound already, or if
+    /// a fabric delivers the datagrams.
     ///
     /// # Errors
     ///
-    /// The operating system's error, such as that the host does not own the
-    /// address.
+    /// Returns the operating system's error, for example if the host does not
+    /// own the address.
     pub fn bind(self: &Arc<Self>, service: ServiceAddress) -> io::Result<Option<Task<()>>> {
         let Edge::Bound(bound) = &self.edge else {
             return Ok(None);
@@ -116,20 +118,20 @@
         Ok(Some(self.executor.spawn(reading)))
     }
 
-    /// Gives up the address of a service.
+    /// Stops replying from the address of a service, if the entry has bound it.
     pub fn release(&self, service: ServiceAddress) {
         if let Edge::Bound(bound) = &self.edge {
             bound.release(service);
         }
     }
 
-    fn handle(&self, received: Received, entry: SocketAddr) {
+    fn dispatch(&self, received: Received, entry: SocketAddr) {
         match received.frame {
             Frame::Sprayed(sprayed) => self.relay(sprayed, entry),
             Frame::Reply(reply) => self.reply(reply),
             Frame::Control(payload) => self.control(received.from, payload),
             Frame::Relay(_) | Frame::Pin(_) | Frame::Unpin(_) | Frame::Transit(_) => {
-                count(&self.counters.unexpected);
+                count(&self.counters.unexpected_frame);
             }
         }
     }
@@ -142,14 +144,15 @@
                 self.port.send(to, &Frame::Relay(relay));
             }
             Step::Refuse { reply, reason } => {
-                count(self.counters.dropped(reason));
+                count(self.counters.of_reason(reason));
                 self.reply(reply);
             }
             Step::Ignore(reason) => {
-                count(self.counters.dropped(reason));
+                count(self.counters.of_reason(reason));
                 if reason == Drop::Sought {
-                    // Repeats of the caller ask again where the queue is full.
-                    let _ = self.control.try_send(Input::Need(service));
+                    // If the queue is full, the caller's retransmission triggers
+                    // the query.
+                    let _ = self.control.try_send(Input::UnknownService(service));
                 }
             }
         }
@@ -193,25 +196,25 @@
             ("refused.version", &self.version),
             ("refused.too_large", &self.too_large),
             ("refused.direction", &self.direction),
-            ("refused.sought", &self.sought),
+            ("refused.sought", &self.unknown_address),
             ("refused.no_service", &self.no_service),
             ("refused.no_target", &self.no_target),
-            ("refused.unexpected_frame", &self.unexpected),
+            ("refused.unexpected_frame", &self.unexpected_frame),
             ("refused.control_queue_full", &self.control_full),
             ("refused.not_bound", &self.not_bound),
         ]
         .map(|(name, value)| Named { name, value })
     }
 
-    /// Returns the counter of a reason.
+    /// Returns the counter of packets that were not relayed for `reason`.
     #[must_use]
-    pub const fn dropped(&self, reason: Drop) -> &AtomicU64 {
+    pub const fn of_reason(&self, reason: Drop) -> &AtomicU64 {
         match reason {
             Drop::Malformed => &self.malformed,
             Drop::Version => &self.version,
             Drop::TooLarge => &self.too_large,
             Drop::Direction => &self.direction,
-            Drop::Sought => &self.sought,
+            Drop::Sought => &self.unknown_address,
             Drop::NoService => &self.no_service,
             Drop::NoTarget => &self.no_target,
         }
--- a/roles/app/src/event.rs
+++ b/roles/app/src/event.rs
@@ -1,7 +1,7 @@
-//! The numbered events of the log. docs/EVENTS.md is made from this table; a
-//! test holds it against the code.
+//! The numbered events of the log. docs/EVENTS.md is generated from this table; a
+//! test compares the two.
 //!
-//! Numbers are never used again: 1xxx the process, 2xxx configuration and the
+//! The number of a removed event is never reused. 1xxx the process, 2xxx configuration and the
 //! platform, 3xxx membership, 4xxx traffic, 5xxx backend servers.
 use std::fmt;
 use std::fmt::Write;
@@ -16,18 +16,18 @@
 /// Target of the log records that carry an event.
 pub const LOG_TARGET: &str = "greengagelug";
 
-/// One line of the catalogue.
+/// Definition of an event in the catalogue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Entry {
+pub struct Definition {
     /// Number of the event.
     pub number: u16,
     /// Severity.
     pub level: Level,
     /// Name of the event in the code.
     pub name: &'static str,
-    /// Text, with the names of its fields in braces.
+    /// Text of the log line, with the names of the fields in braces.
     pub text: &'static str,
-    /// What an operator does about it.
+    /// Action for an operator, or `nothing`.
     pub remedy: &'static str,
 }
 
@@ -51,9 +51,9 @@
             )+
         }
 
-        /// All events, by number.
-        pub const CATALOGUE: &[Entry] = &[
-            $(Entry {
+        /// All events, in order of their numbers.
+        pub const CATALOGUE: &[Definition] = &[
+            $(Definition {
                 number: $number,
                 level: Level::$level,
                 name: stringify!($name),
@@ -63,7 +63,7 @@
         ];
 
         impl Event {
-            /// Number of the event.
+            /// Returns the number of the event.
             #[must_use]
             pub const fn number(&self) -> u16 {
                 match self {
@@ -71,7 +71,7 @@
                 }
             }
 
-            /// Severity of the event.
+            /// Returns the severity of the event.
             #[must_use]
             pub const fn level(&self) -> Level {
                 match self {
@@ -100,77 +100,78 @@
     1004 Info Metrics { samples: String }
         "metrics: {samples}", "nothing";
     1005 Info CarrierStarting { role: String, host: String, zone: String, frames: SocketAddr }
-        "{role} starts on {host} in {zone}, frames on {frames}", "nothing";
+        "{role} starts on host {host} in availability zone {zone} and receives frames on {frames}", "nothing";
     1006 Info Stopping { role: String }
-        "{role} was told to stop and takes no new flows", "nothing";
+        "{role} received a stop signal and takes no new flows", "nothing";
     1007 Info Reloading { role: String }
-        "{role} was told that its settings changed; they count from the next start", "nothing";
+        "{role} received SIGHUP; changed settings take effect at the next start", "nothing";
     1008 Info Unlogged { lines: u64 }
-        "{lines} log lines were dropped since the last line like this", "nothing";
+        "{lines} log lines were suppressed by the rate limit since the last summary", "nothing";
     2001 Info InForce { service: ServiceAddress, revision: Revision }
         "revision {revision} of service {service} is in force here", "nothing";
     2002 Error NotBound { service: ServiceAddress, error: String }
-        "the address of service {service} cannot be bound: {error}",
+        "cannot bind the address of service {service}: {error}",
         "give the host that address and restart the entry, or set --fabric";
     2003 Info ConfigInForce { version: Revision, routes: usize }
-        "version {version} of the configuration with {routes} routes is in force here", "nothing";
+        "configuration version {version} with {routes} routes is in force here", "nothing";
     2004 Error ConfigUnreadable { error: String }
-        "a configuration cannot be read: {error}", "look at what the operators wrote last";
+        "cannot decode a configuration: {error}", "check the configuration that was last written to the store";
     2005 Warn StoreLost { fault: String }
-        "the store is lost: {fault}", "look at the platform's key-value service; flows go on";
+        "the store does not answer: {fault}", "check the platform's key-value service; existing flows continue";
     2006 Info StoreRegained { }
         "the store answers again", "nothing";
     2007 Info Listed { key: String }
-        "the store lists this process under {key}", "nothing";
+        "this process is registered in the store under {key}", "nothing";
     3001 Info TargetUp { service: ServiceAddress, target: TargetId }
-        "backend server {target} of service {service} takes work", "nothing";
+        "backend server {target} of service {service} is ready for new flows", "nothing";
     3002 Warn TargetDown { service: ServiceAddress, target: TargetId }
-        "backend server {target} of service {service} is held down",
-        "look at its host, its agent's log and the network to it";
+        "backend server {target} of service {service} is marked down",
+        "check its host, its agent's log and the network to it";
     3003 Info TargetDraining { service: ServiceAddress, target: TargetId }
-        "backend server {target} of service {service} takes no new flows", "nothing";
+        "backend server {target} of service {service} is draining and takes no new flows", "nothing";
     3004 Info TargetLeft { service: ServiceAddress, target: TargetId }
         "backend server {target} of service {service} has left", "nothing";
     3005 Error Superseded { incarnation: Incarnation }
-        "a newer process of incarnation {incarnation} has this one's place; this one ends",
-        "run one process at an address, and look at why this one was frozen";
+        "a newer process with incarnation {incarnation} has superseded this one, which ends",
+        "run one process per address, and find out why this one was frozen";
     3006 Warn NotAnAnnouncement { path: String }
-        "a call to {path} tells of no backend server here", "look at what calls this address";
+        "a call to {path} is no announcement of a backend server on this host",
+        "check which process calls this address";
     3007 Info Announced { server: String, state: String, sequence: u64 }
-        "backend server {server} is {state} by its announcement {sequence}", "nothing";
+        "backend server {server} announced the state {state} in announcement {sequence}", "nothing";
     3008 Info OldAnnouncement { server: String, sequence: u64 }
-        "announcement {sequence} of {server} is older than the last and was dropped", "nothing";
+        "announcement {sequence} of backend server {server} is older than the last one and was ignored", "nothing";
     4001 Info FlowOpened { flow: String, first: TargetId, version: Revision, count: usize }
-        "flow {flow} goes to {first} and {count} more by version {version}", "nothing";
+        "flow {flow} was sent to the agent of {first}, with {count} more agents on its path, by configuration version {version}", "nothing";
     4002 Info FlowTaken { flow: String, wait_us: u128, held_us: u128, risk_us: u128, running: u16, held: usize, entry: SocketAddr }
-        "flow {flow} is taken: expected wait {wait_us} us, later {held_us} us, through failures {risk_us} us, {running} requests, {held} flows, through {entry}",
+        "flow {flow} was accepted: expected wait {wait_us} us, later wait through other flows {held_us} us, expected loss through failures {risk_us} us; before it {running} requests and {held} flows; received from entry {entry}",
         "nothing";
     4003 Info FlowPassed { flow: String, bid: String, to: TargetId, settled: bool }
-        "flow {flow} is passed to {to}: bid here {bid}, settled {settled}", "nothing";
+        "flow {flow} was passed on to the agent of {to}: bid here {bid}, final decision left to that agent: {settled}", "nothing";
     4004 Warn FlowReset { flow: String, reason: String, detail: String }
-        "flow {flow} is reset: {reason}, {detail}",
-        "no route: look at the configuration; no slot or no server: look at the load";
+        "flow {flow} was reset: {reason}, {detail}",
+        "no_route: check the configuration; no_slot or no_server: check the load";
     4005 Info FlowSought { flow: String, searcher: TargetId, known: usize, may_try: bool, max_age_ms: u32 }
-        "the agent of {searcher} searches for the holder of flow {flow} among {known} agents, tries allowed {may_try}, denials of backend servers up to {max_age_ms} ms old", "nothing";
+        "the agent of {searcher} searches for the holder of flow {flow} among {known} known agents; probes allowed: {may_try}, oldest accepted denial of a backend server: {max_age_ms} ms", "nothing";
     4006 Info FlowFound { flow: String, holder: TargetId, took_us: u128 }
-        "flow {flow} is held by {holder}, found after {took_us} us", "nothing";
+        "flow {flow} is held by the agent of {holder}, found after {took_us} us", "nothing";
     4007 Warn FlowLost { flow: String, rounds: u8 }
-        "nobody says to hold flow {flow} after {rounds} searches; its packets are dropped for a while",
-        "look for an agent that stopped beside a running backend server";
+        "no holder of flow {flow} was found in {rounds} searches; its packets are dropped for a short time",
+        "look for an agent that stopped while its backend server still runs";
     4008 Info FlowTried { flow: String }
-        "a packet of flow {flow} is tried at the backend server", "nothing";
+        "a packet of flow {flow} was delivered to the backend server as a probe", "nothing";
     4009 Info FlowReturned { flow: String, was_held: bool }
-        "the backend server handed back a packet of flow {flow}, believed held {was_held}", "nothing";
+        "the backend server returned a packet of flow {flow}; believed to be held here: {was_held}", "nothing";
     4010 Info PacketDropped { reason: String }
         "a packet was dropped: {reason}", "nothing";
     4011 Info FlowUnheld { flow: String, agents: usize, took_us: u128 }
-        "none of {agents} agents holds flow {flow}, known after {took_us} us", "nothing";
+        "none of {agents} agents holds flow {flow}; the search took {took_us} us", "nothing";
     4012 Info FlowUndecided { flow: String, denied: usize, agents: usize, is_complete: bool }
-        "{denied} of {agents} agents deny flow {flow}, all known {is_complete}; none is known to hold it", "nothing";
+        "the search for the holder of flow {flow} ended without a result: {denied} of {agents} agents deny holding it; all agents known: {is_complete}", "nothing";
     4013 Warn RequestFailed { flow: String }
-        "the backend server reset a request of flow {flow}, or did not answer it in its time", "look at the backend server's own log";
+        "the backend server reset a request of flow {flow} or did not answer it in time", "check the backend server's log";
     5001 Warn ServerEnded { flows: usize }
-        "the backend server has ended with {flows} flows", "nothing where that was planned";
+        "the backend server has ended with {flows} flows", "nothing if this was planned";
 }
 
 impl Event {
@@ -181,7 +182,7 @@
     }
 }
 
-/// The page docs/EVENTS.md.
+/// Returns the content of docs/EVENTS.md.
 #[must_use]
 pub fn page() -> String {
     let mut page = String::from(include_str!("event/page.md"));
--- a/roles/app/src/exit.rs
+++ b/roles/app/src/exit.rs
@@ -1,10 +1,10 @@
 //! Exit codes of the binary; docs/SETTINGS.md lists them.
 
-/// Failed while running.
+/// Failure at run time.
 pub const FAILED: u8 = 1;
 
-/// Settings or arguments were not accepted.
+/// Invalid settings or arguments.
 pub const USAGE: u8 = 2;
 
-/// `call` found a broken promise.
+/// Wrong results found by `call`.
 pub const BROKEN: u8 = 3;
--- a/roles/app/src/gateway.rs
+++ b/roles/app/src/gateway.rs
@@ -1,13 +1,13 @@
-//! The process of `greengagelug gateway`: an entry whose flows are carried
-//! unread.
+//! The process of `greengagelug gateway`: an entry that forwards flows without
+//! reading their content.
 //!
-//! One thread reads callers' packets, one the frames of other processes; both
-//! act on one core. The main thread runs the membership protocol, follows the
-//! configuration and answers the platform.
+//! One thread reads callers' packets and one the frames of other processes; both
+//! share one core. The main thread runs the membership protocol, follows the
+//! configuration and answers the platform's health checks.
 mod announcements;
 mod control;
 mod follow;
-mod presence;
+mod registration;
 mod routes;
 mod traffic;
 
@@ -43,40 +43,41 @@
 use crate::gateway::routes::Builder;
 use crate::gateway::traffic::Traffic;
 use crate::metric;
-use crate::metric::Board;
+use crate::metric::Instruments;
 use crate::settings;
 use crate::settings::table::Role;
 use crate::signal;
 use crate::signal::Signal;
 
-/// Control messages that wait for the control thread.
+/// Capacity of the queue of inputs to the control thread.
 const CONTROL_QUEUE: usize = 4 * 1024;
 
-/// Time that a stopping gateway goes on carrying packets, so that the platform
-/// sends them elsewhere first: four of its questions whether it takes traffic.
+/// Time for which a stopping gateway continues to forward packets: four
+/// intervals of the platform's health check, so that the platform has stopped
+/// sending packets here.
 const LINGER: Duration = Duration::from_secs(2);
 
 /// Runs the gateway until it has stopped.
 ///
 /// # Errors
 ///
-/// The operating system's error where an address cannot be bound, or the
-/// settings file's.
+/// Returns the operating system's error if an address cannot be bound, or the
+/// error of reading the settings file.
 pub fn run(settings: &settings::Gateway) -> io::Result<()> {
     let host = platform::Settings::read(&settings.0.boot).map_err(io::Error::other)?;
     smol::block_on(start(settings, host))
 }
 
 async fn start(settings: &settings::Gateway, host: platform::Settings) -> io::Result<()> {
-    // A signal may come before the process is ready to act on it.
-    let signals = signal::watch();
+    // A signal may arrive before the process is ready to handle it.
+    let signals = signal::subscribe();
     let origin = Instant::now();
     let executor = Arc::new(Executor::new());
     let seal = Arc::new(settings.0.keys.seal());
     let frames = host.frames();
     let bind = settings.0.bind.unwrap_or(frames);
-    let port = Port::bind_blocking(bind, seal, reader::WAIT)?;
-    let callers = net::port::blocking(host.listen.packets, reader::WAIT)?;
+    let port = Port::bind_blocking(bind, seal, reader::POLL_TIMEOUT)?;
+    let callers = net::port::blocking(host.listen.packets, reader::POLL_TIMEOUT)?;
     let (sender, inputs) = async_channel::bounded(CONTROL_QUEUE);
     let core = Entry::new(
         forward::entry::Settings::default(),
@@ -85,8 +86,8 @@
         fastrand::u64(..),
         origin.elapsed(),
     );
-    let board = Board::default();
-    let report = Report::new(&board).map_err(io::Error::other)?;
+    let instruments = Instruments::default();
+    let report = Report::new(&instruments).map_err(io::Error::other)?;
     let traffic = Arc::new(Traffic {
         core: Mutex::new(core),
         link: Link {
@@ -108,14 +109,14 @@
     let store = platform::Client::new(http.clone());
     let metrics = SocketAddr::new(host.address, settings.0.metrics_port);
     let shared = Arc::clone(&traffic);
-    let read = move |board: &mut Board| shared.publish(board, &http.counts());
-    metric::carried::serve(metrics, &executor, read, board).await?;
-    lifecycle::started(Role::Gateway, &host);
+    let read = move |instruments: &mut Instruments| shared.publish(instruments, &http.counts());
+    metric::forwarding::serve(metrics, &executor, read, instruments).await?;
+    lifecycle::log_start(Role::Gateway, &host);
     let is_confirmed = Arc::new(AtomicBool::new(false));
-    let following = follow::run(store.clone(), sender.clone(), Arc::clone(&is_confirmed));
-    executor.spawn(following).detach();
+    let follower = follow::run(store.clone(), sender.clone(), Arc::clone(&is_confirmed));
+    executor.spawn(follower).detach();
     executor
-        .spawn(presence::run(store, frames, sender.clone()))
+        .spawn(registration::run(store, frames, sender.clone()))
         .detach();
     let control = Control {
         registry: registry(&host, origin),
@@ -126,11 +127,11 @@
         is_confirmed,
         is_ready: Arc::clone(&is_ready),
         seeds: host.seed_frames(),
-        needed: BTreeSet::new(),
-        watch: crate::watch::Watch::default(),
+        requested: BTreeSet::new(),
+        tracker: crate::watch::Tracker::default(),
     };
-    let stopped = stopped(signals, sender, is_ready);
-    executor.run(control.run().or(stopped)).await;
+    let stopping = wait_for_stop(signals, sender, is_ready);
+    executor.run(control.run().or(stopping)).await;
     Ok(())
 }
 
@@ -148,10 +149,14 @@
     registry
 }
 
-/// Waits for SIGTERM, tells the platform and the other entries, and then lets
-/// the packets under way arrive.
-async fn stopped(signals: Receiver<Signal>, control: Sender<Input>, is_ready: Arc<AtomicBool>) {
-    lifecycle::stop_requested(Role::Gateway, signals).await;
+/// Waits for a stop signal, reports this gateway as not ready to the platform and
+/// as leaving to the other entries, and then waits for packets in flight.
+async fn wait_for_stop(
+    signals: Receiver<Signal>,
+    control: Sender<Input>,
+    is_ready: Arc<AtomicBool>,
+) {
+    lifecycle::wait_for_stop(Role::Gateway, signals).await;
     is_ready.store(false, Ordering::Relaxed);
     let _ = control.send(Input::Leave).await;
     Timer::after(LINGER).await;
--- a/roles/app/src/gateway/announcements.rs
+++ b/roles/app/src/gateway/announcements.rs
@@ -1,4 +1,4 @@
-//! Answers backend servers that reach a gateway in place of their sidecar.
+//! Answers backend servers that call a gateway instead of their sidecar.
 use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,15 +10,15 @@
 
 use crate::event::Event;
 
-/// Serves the address for announcements. A gateway stands beside no backend
-/// server, so that its answer sends the caller on to another process.
+/// Serves the address for announcements. A gateway has no backend server, so it
+/// answers with status 503, after which the caller tries another process.
 ///
 /// # Errors
 ///
-/// The operating system's error where the address cannot be bound.
+/// Returns the operating system's error if the address cannot be bound.
 pub async fn serve(address: SocketAddr, executor: &Arc<Executor<'static>>) -> io::Result<()> {
-    let answer = |question: http::Question| async move {
-        let path = question.path;
+    let answer = |request: http::Question| async move {
+        let path = request.path;
         Event::NotAnAnnouncement { path }.log();
         Answer {
             status: StatusCode::SERVICE_UNAVAILABLE,
--- a/roles/app/src/gateway/control.rs
+++ b/roles/app/src/gateway/control.rs
@@ -1,4 +1,5 @@
-//! The control thread of a gateway.
+//! The control thread of a gateway: runs the membership protocol and publishes
+//! routes to the traffic threads.
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,50 +25,50 @@
 use crate::gateway::routes;
 use crate::gateway::routes::Builder;
 use crate::gateway::traffic::Traffic;
-use crate::watch::Watch;
+use crate::watch::Tracker;
 
-/// Longest sleep while nothing is due.
+/// Longest sleep when no deadline is pending.
 const IDLE: Duration = Duration::from_millis(250);
 
-/// What the control thread is told.
+/// An input to the control thread.
 pub enum Input {
-    /// A message of the membership protocol arrived.
+    /// A message of the membership protocol.
     Message {
         /// UDP address of the sender.
         from: SocketAddr,
         /// The encoded message.
         payload: Bytes,
     },
-    /// The store has a configuration.
+    /// An encoded configuration read from the store.
     Document(Vec<u8>),
-    /// The store lists these entries.
+    /// Addresses of the entries that the store lists.
     Peers(Vec<SocketAddr>),
-    /// The gateway is to stop.
+    /// A request to announce that this gateway leaves.
     Leave,
 }
 
-/// What the control thread works with.
+/// State of the control thread.
 pub struct Control {
     /// The membership protocol.
     pub registry: Registry,
-    /// Origin of the time.
+    /// Origin of the monotonic time of the membership protocol.
     pub origin: Instant,
-    /// What carries the packets.
+    /// State shared with the threads that forward packets.
     pub traffic: Arc<Traffic>,
-    /// What arrives from other threads and tasks.
+    /// Inputs from other threads and tasks.
     pub inputs: Receiver<Input>,
-    /// The routes as last built.
+    /// Builder that holds the current routes.
     pub builder: Builder,
-    /// Whether the store confirmed the configuration lately.
+    /// Whether the store has recently confirmed the configuration as current.
     pub is_confirmed: Arc<AtomicBool>,
-    /// Whether callers can be served.
+    /// Whether callers can be served, as reported to the platform.
     pub is_ready: Arc<AtomicBool>,
-    /// The entries that the settings name.
+    /// Addresses of the entries that the settings name.
     pub seeds: Vec<SocketAddr>,
-    /// Services that other entries were asked for.
-    pub needed: BTreeSet<ServiceAddress>,
-    /// What was last logged of the services.
-    pub watch: Watch,
+    /// Services that were requested from other entries.
+    pub requested: BTreeSet<ServiceAddress>,
+    /// Last logged state of the targets.
+    pub tracker: Tracker,
 }
 
 impl Control {
@@ -75,32 +76,32 @@
     pub async fn run(mut self) {
         let mut actions = Vec::new();
         loop {
-            self.turn(&mut actions).await;
-            // Messages that never cease must not keep a stop from being seen.
+            self.process_next(&mut actions).await;
+            // Lets the stop task run even under a continuous stream of messages.
             yield_now().await;
         }
     }
 
-    async fn turn(&mut self, actions: &mut Vec<Action>) {
-        let input = self.next().await;
+    async fn process_next(&mut self, actions: &mut Vec<Action>) {
+        let input = self.next_input().await;
         let now = self.origin.elapsed();
         match input {
             Some(Input::Message { from, payload }) => match Message::decode(&payload) {
                 Ok(message) => self.registry.handle(now, from, message, actions),
-                Err(error) => log::debug!("a message of {from} cannot be read: {error}"),
+                Err(error) => log::debug!("cannot decode message from {from}: {error}"),
             },
-            Some(Input::Document(bytes)) => self.put(now, bytes),
-            Some(Input::Peers(peers)) => self.join(now, &peers),
+            Some(Input::Document(bytes)) => self.update_document(now, bytes),
+            Some(Input::Peers(peers)) => self.join_listed(now, &peers),
             Some(Input::Leave) => self.registry.leave(now, actions),
             None => {}
         }
         self.registry.outrank();
         self.registry.tick(now, actions);
-        self.traffic.link.control(actions);
+        self.traffic.link.send_control(actions);
         self.publish(now);
     }
 
-    /// Gives the traffic threads the routes where they changed.
+    /// Publishes the routes to the traffic threads if they changed.
     fn publish(&mut self, now: Duration) {
         let changes = self.registry.changes();
         if !changes.is_empty() {
@@ -108,13 +109,13 @@
             let routes = self.builder.update(&self.registry, &changes);
             if changes.contains(&routes::DOCUMENT) {
                 let version = routes.table.version;
-                let routes_count = routes.table.routes.len();
+                let route_count = routes.table.routes.len();
                 LogEvent::ConfigInForce {
                     version,
-                    routes: routes_count,
+                    routes: route_count,
                 }
                 .log();
-                self.need_services(now, &routes);
+                self.request_services(now, &routes);
             }
             self.traffic.handle(Event::Routes(routes));
             if self.builder.is_ready() {
@@ -128,33 +129,35 @@
         }
     }
 
-    /// Logs what changed of the backend servers, at a bounded rate: a cold start
-    /// changes all of them at once.
+    /// Logs the changed states of backend servers at a bounded rate, because a cold
+    /// start changes all of them at once.
     fn log_changes(&mut self, changes: &[ServiceAddress]) {
         let services = changes
             .iter()
             .filter(|address| **address != routes::DOCUMENT);
         for view in services.filter_map(|address| self.registry.service(address)) {
-            for event in self.watch.view(view) {
+            for event in self.tracker.update(view) {
                 self.traffic.link.log(&event);
             }
         }
     }
 
-    /// Asks other entries for the backend servers of services that are new here.
-    fn need_services(&mut self, now: Duration, routes: &Routes) {
+    /// Requests the backend servers of services that were not requested before
+    /// from other entries.
+    fn request_services(&mut self, now: Duration, routes: &Routes) {
         let all = routes.table.routes.values();
         let shares = all.flat_map(|route| &route.shares);
         let services: BTreeSet<ServiceAddress> = shares.map(|share| share.service).collect();
         for service in services {
-            if self.needed.insert(service) {
+            if self.requested.insert(service) {
                 self.registry.need(now, service);
             }
         }
     }
 
-    /// Takes the entries that the store lists, unless all are known.
-    fn join(&mut self, now: Duration, listed: &[SocketAddr]) {
+    /// Joins the entries that the store lists, with the seeds, unless all listed
+    /// ones are known to be live.
+    fn join_listed(&mut self, now: Duration, listed: &[SocketAddr]) {
         let known: BTreeSet<SocketAddr> = self.registry.live_entries().collect();
         if listed.iter().all(|entry| known.contains(entry)) {
             return;
@@ -164,7 +167,7 @@
         self.registry.join(now, &all);
     }
 
-    async fn next(&self) -> Option<Input> {
+    async fn next_input(&self) -> Option<Input> {
         let now = self.origin.elapsed();
         let due = self.registry.next_deadline().min(now + IDLE);
         let tick = async {
@@ -175,7 +178,7 @@
         input.or(tick).await
     }
 
-    fn put(&mut self, now: Duration, bytes: Vec<u8>) {
+    fn update_document(&mut self, now: Duration, bytes: Vec<u8>) {
         let version = match document::decode(&bytes) {
             Ok(table) => table.version,
             Err(error) => {
--- a/roles/app/src/gateway/follow.rs
+++ b/roles/app/src/gateway/follow.rs
@@ -1,4 +1,4 @@
-//! Follows the configuration in the platform's store.
+//! Follows the configuration key in the platform's store.
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
 use std::sync::atomic::Ordering;
@@ -17,19 +17,20 @@
 use crate::event::Event as LogEvent;
 use crate::gateway::control::Input;
 
-/// Follows the configuration until the control thread has ended.
+/// Sends each new configuration to the control thread until that has ended, and
+/// sets `is_confirmed` to whether the store confirmed it recently.
 pub async fn run(store: impl Store, control: Sender<Input>, is_confirmed: Arc<AtomicBool>) {
     let origin = Instant::now();
-    let mut follow = Follow::new(Settings::default(), document::KEY, fastrand::u64(..));
+    let mut follower = Follow::new(Settings::default(), document::KEY, fastrand::u64(..));
     loop {
-        let event = match follow.next() {
-            Action::Read => Event::Read(store.get(follow.key()).await),
+        let event = match follower.next() {
+            Action::Read => Event::Read(store.get(follower.key()).await),
             Action::Watch { since, wait } => {
-                Event::Watched(store.watch(follow.key(), since, wait).await)
+                Event::Watched(store.watch(follower.key(), since, wait).await)
             }
         };
-        let outcome = follow.handle(origin.elapsed(), event);
-        is_confirmed.store(follow.is_confirmed(origin.elapsed()), Ordering::Relaxed);
+        let outcome = follower.handle(origin.elapsed(), event);
+        is_confirmed.store(follower.is_confirmed(origin.elapsed()), Ordering::Relaxed);
         match outcome.change {
             Some(Change::Lost(fault)) => {
                 let fault = fault.to_string();
--- a/roles/app/src/gateway/presence.rs
+++ b/roles/app/src/gateway/registration.rs
@@ -1,4 +1,5 @@
-//! Keeps the gateway listed in the platform's store, and finds the others.
+//! Keeps the gateway registered in the platform's store, and discovers the other
+//! entries there.
 use std::net::SocketAddr;
 use std::time::Instant;
 
@@ -14,35 +15,38 @@
 use crate::event::Event as LogEvent;
 use crate::gateway::control::Input;
 
-/// Keeps the gateway listed until the control thread has ended.
+/// Keeps the gateway registered until the control thread has ended, and sends it
+/// the entries that the store lists.
 pub async fn run(store: impl Store, own: SocketAddr, control: Sender<Input>) {
     let origin = Instant::now();
     let key = name::entry_key(own);
-    let mut presence = Presence::new(
+    let mut registration = Presence::new(
         Settings::default(),
         key,
         fastrand::u64(..),
         origin.elapsed(),
     );
     while !control.is_closed() {
-        let event = match presence.next(origin.elapsed()) {
+        let event = match registration.next(origin.elapsed()) {
             Action::Sleep(pause) => {
                 Timer::after(pause).await;
                 continue;
             }
             Action::List => Event::Listed(store.list_stale(name::ENTRIES).await),
             Action::Grant(ttl) => Event::Granted(store.grant(ttl).await),
-            Action::Acquire(lease) => Event::Acquired(store.acquire(presence.key(), &lease).await),
+            Action::Acquire(lease) => {
+                Event::Acquired(store.acquire(registration.key(), &lease).await)
+            }
             Action::Renew(lease) => Event::Renewed(store.keep_alive(&lease).await),
         };
         if event == Event::Acquired(Ok(true)) {
-            let key = presence.key().to_owned();
+            let key = registration.key().to_owned();
             LogEvent::Listed { key }.log();
         }
-        let listed = presence.handle(origin.elapsed(), event);
+        let listed = registration.handle(origin.elapsed(), event);
         let peers: Vec<SocketAddr> = listed.iter().filter_map(|key| name::entry(key)).collect();
         if !peers.is_empty() {
-            // A full queue is tried again with the next reading.
+            // If the queue is full, the next listing is sent.
             let _ = control.try_send(Input::Peers(peers));
         }
     }
--- a/roles/app/src/gateway/routes.rs
+++ b/roles/app/src/gateway/routes.rs
@@ -1,4 +1,4 @@
-//! Builds the routes of a gateway from what the membership protocol knows.
+//! Builds the routes of a gateway from the records of the membership protocol.
 use std::net::IpAddr;
 use std::net::Ipv6Addr;
 use std::net::SocketAddr;
@@ -13,25 +13,26 @@
 use wire::Target;
 use wire::target::State;
 
-/// The record under which the entries pass on the whole configuration.
+/// Pseudo service address of the record under which entries gossip the whole
+/// configuration.
 pub const DOCUMENT: ServiceAddress = SocketAddr::new(IpAddr::V6(Ipv6Addr::UNSPECIFIED), 1);
 
-/// Keeps the routes that were built last.
+/// Builder that holds the current routes.
 #[derive(Default)]
 pub struct Builder {
     routes: Routes,
 }
 
 impl Builder {
-    /// Takes what changed; the routes as they are now.
+    /// Applies the changed records and returns the current routes.
     pub fn update(&mut self, registry: &Registry, changes: &[ServiceAddress]) -> Arc<Routes> {
         for address in changes {
             let view = registry.service(address);
             if *address == DOCUMENT {
-                self.document(view);
+                self.update_table(view);
             } else {
                 let targets = view.map(targets).unwrap_or_default();
-                if view.is_some_and(has_silent) {
+                if view.is_some_and(has_unreachable) {
                     self.routes.silent.insert(*address);
                 } else {
                     self.routes.silent.remove(address);
@@ -42,8 +43,9 @@
         Arc::new(self.routes.clone())
     }
 
-    /// Says whether the configuration is known to be the newest, and the backend
-    /// servers to be complete; `None` where nothing changed.
+    /// Sets whether the configuration is confirmed as current and whether the
+    /// backend servers are completely known. Returns the routes, or `None` if
+    /// nothing changed.
     pub fn confirm(&mut self, is_confirmed: bool, is_complete: bool) -> Option<Arc<Routes>> {
         let before = (self.routes.is_confirmed, self.routes.is_complete);
         if before == (is_confirmed, is_complete) {
@@ -54,18 +56,18 @@
         Some(Arc::new(self.routes.clone()))
     }
 
-    /// Whether callers can be served.
+    /// Returns whether callers can be served: a configuration is known.
     pub fn is_ready(&self) -> bool {
         self.routes.table.version > 0
     }
 
-    fn document(&mut self, view: Option<&View>) {
+    fn update_table(&mut self, view: Option<&View>) {
         let Some(record) = view.and_then(|view| view.config.as_ref()) else {
             return;
         };
         match document::decode(&record.body) {
             Ok(table) => self.routes.table = Arc::new(table),
-            Err(error) => log::error!("a configuration cannot be read: {error}"),
+            Err(error) => log::error!("cannot decode a gossiped configuration: {error}"),
         }
     }
 }
@@ -79,8 +81,9 @@
         .collect()
 }
 
-/// Whether a backend server is held to be down that has not said that it left.
-fn has_silent(view: &View) -> bool {
+/// Returns whether a backend server is marked down without having announced that
+/// it left. It may only be unreachable.
+fn has_unreachable(view: &View) -> bool {
     let mut members = view.targets.values();
     members.any(|member| member.health == Health::Down && member.target.state != State::Left)
 }
--- a/roles/app/src/gateway/traffic.rs
+++ b/roles/app/src/gateway/traffic.rs
@@ -1,4 +1,4 @@
-//! Carries packets between callers and agents.
+//! Forwards packets between callers and agents.
 use std::io;
 use std::net::UdpSocket;
 use std::sync::Arc;
@@ -18,46 +18,46 @@
 use wire::Frame;
 use wire::Transit;
 
-use crate::carried::event::flow as name;
+use crate::carried::event::flow_name;
 use crate::carried::link::Link;
 use crate::carried::reader;
 use crate::event as log;
 use crate::gateway::control;
 use crate::metric;
-use crate::metric::Board;
-use crate::metric::carried::record;
+use crate::metric::Instruments;
+use crate::metric::forwarding::record;
 
-/// What the threads of a gateway share.
+/// State shared by the threads of a gateway.
 pub struct Traffic {
-    /// The decisions.
+    /// The core, which decides and does no I/O.
     pub core: Mutex<Entry>,
-    /// What packets and frames are sent with.
+    /// Sockets, log and metrics.
     pub link: Link,
-    /// Where control messages go; they are dropped while it is full.
+    /// Queue of inputs to the control thread; inputs are dropped while it is full.
     pub control: Sender<control::Input>,
 }
 
-/// Starts the reading threads.
+/// Starts the threads that read callers' packets and frames.
 ///
 /// # Errors
 ///
-/// The operating system's error where no thread can be started.
+/// Returns the operating system's error if a thread cannot be started.
 pub fn start(traffic: &Arc<Traffic>, callers: UdpSocket) -> io::Result<()> {
     let shared = Arc::clone(traffic);
-    reader::spawn_packets("callers", callers, move |packet| shared.packet(packet))?;
+    reader::spawn_packets("callers", callers, move |packet| shared.on_packet(packet))?;
     let shared = Arc::clone(traffic);
     reader::spawn_frames(
         "frames",
         &traffic.link.port,
         move |received| match received {
-            Some(received) => shared.frame(received),
+            Some(received) => shared.on_frame(received),
             None => shared.handle(Event::Tick),
         },
     )
 }
 
 impl Traffic {
-    /// Gives the core an event, and does what it asks.
+    /// Passes an event to the core, and executes the resulting actions.
     pub fn handle(&self, event: Event) {
         let mut actions = Vec::new();
         self.core
@@ -69,19 +69,23 @@
         }
     }
 
-    /// Copies what was counted to a board.
+    /// Copies the counters and gauges to the instruments.
     ///
     /// # Errors
     ///
-    /// [`metric::Error::Unknown`] where a metric is not in the table.
-    pub fn publish(&self, board: &mut Board, calls: &Calls) -> Result<(), metric::Error> {
-        self.link.publish(board, calls)?;
+    /// Returns [`metric::Error::Unknown`] if a metric is not in the table.
+    pub fn publish(
+        &self,
+        instruments: &mut Instruments,
+        calls: &Calls,
+    ) -> Result<(), metric::Error> {
+        self.link.publish(instruments, calls)?;
         let core = self.core.lock().unwrap_or_else(PoisonError::into_inner);
-        board.set_size("carried.flows", core.len())?;
-        board.set("carried.version", "", core.version())
+        instruments.set_size("carried.flows", core.len())?;
+        instruments.set("carried.version", "", core.version())
     }
 
-    fn packet(&self, packet: &[u8]) {
+    fn on_packet(&self, packet: &[u8]) {
         self.link.count("carried.packets", "from_caller");
         match packet::decode(packet) {
             Ok(segment) => self.handle(Event::Packet {
@@ -92,7 +96,7 @@
         }
     }
 
-    fn frame(&self, received: Received) {
+    fn on_frame(&self, received: Received) {
         match received.frame {
             Frame::Transit(Transit::Held(held)) => self.handle(Event::Held(held)),
             Frame::Transit(Transit::Absent(absent)) => self.handle(Event::Absent(absent)),
@@ -112,14 +116,14 @@
     fn perform(&self, action: Action) {
         let link = &self.link;
         match action {
-            Action::Send { to, transit } => link.frame(to, transit),
+            Action::Send { to, transit } => link.send_frame(to, transit),
             Action::Reset {
                 flow,
                 sequence,
                 reason,
             } => {
-                let detail = "decided here".to_owned();
-                link.reset(&flow, sequence, refused(reason), detail);
+                let detail = "decided by this gateway".to_owned();
+                link.reset_flow(&flow, sequence, refusal_label(reason), detail);
             }
             Action::Opened {
                 flow,
@@ -129,7 +133,7 @@
             } => {
                 link.count("carried.flows.opened", "");
                 self.link.log(&log::Event::FlowOpened {
-                    flow: name(&flow),
+                    flow: flow_name(&flow),
                     first,
                     version,
                     count: hops.saturating_sub(1),
@@ -144,7 +148,7 @@
             } => {
                 link.count("carried.searches", "");
                 self.link.log(&log::Event::FlowSought {
-                    flow: name(&flow),
+                    flow: flow_name(&flow),
                     searcher,
                     known,
                     may_try: terms.may_try,
@@ -155,7 +159,7 @@
                 link.count("carried.searches.ended", "found");
                 record(&link.report.search_time, took);
                 self.link.log(&log::Event::FlowFound {
-                    flow: name(&flow),
+                    flow: flow_name(&flow),
                     holder,
                     took_us: took.as_micros(),
                 });
@@ -163,16 +167,16 @@
             Action::Vanished { flow, rounds } => {
                 link.count("carried.searches.ended", "lost");
                 self.link.log(&log::Event::FlowLost {
-                    flow: name(&flow),
+                    flow: flow_name(&flow),
                     rounds,
                 });
             }
-            Action::Dropped(reason) => self.link.drop_packet(dropped(reason)),
+            Action::Dropped(reason) => self.link.drop_packet(drop_label(reason)),
         }
     }
 }
 
-const fn refused(reason: Refusal) -> &'static str {
+const fn refusal_label(reason: Refusal) -> &'static str {
     match reason {
         Refusal::NoRoute => "no_route",
         Refusal::NoServer => "no_server",
@@ -180,7 +184,7 @@
     }
 }
 
-const fn dropped(reason: Drop) -> &'static str {
+const fn drop_label(reason: Drop) -> &'static str {
     match reason {
         Drop::Direction => "direction",
         Drop::Unconfirmed => "unconfirmed",
--- a/roles/app/src/logger.rs
+++ b/roles/app/src/logger.rs
@@ -1,9 +1,9 @@
-//! Sets up the log: readable lines for people, or JSON lines.
+//! Sets up the log, in a readable, JSON or compact JSON format.
 //!
-//! Log lines go to the standard error, which leaves the standard output to the
-//! results of `operate` and `call`. Compact lines go to the standard output, by a
-//! thread of their own, so that nobody waits for whoever reads them. Libraries
-//! write warnings and errors only.
+//! Log lines go to the standard error, because the standard output carries the
+//! results of `operate` and `call`. Compact lines go to the standard output
+//! through a separate thread, so that a slow reader does not block the process.
+//! Libraries log warnings and errors only.
 mod compact;
 mod queue;
 
@@ -33,18 +33,18 @@
 
 const APPENDER: &str = "log";
 
-/// The queue of compact lines, where there is one.
+/// Queue of compact lines, if that format is used.
 static QUEUE: OnceLock<Queue> = OnceLock::new();
 
-/// Time, level, number of the event, text.
+/// Pattern of readable lines: time, level, number of the event, text.
 const PATTERN: &str = "{d(%Y-%m-%dT%H:%M:%S%.3fZ)(utc)} {l:5} {K(event)(-)} {m}{n}";
 
-/// Why the log could not be set up.
+/// Reason why the log could not be set up.
 #[derive(Debug, Display, Error)]
 pub enum Error {
-    /// the log is set up already; set it up once in each process
-    Twice(#[from] log::SetLoggerError),
-    /// the log's configuration is wrong; report it as a fault
+    /// the log is already set up in this process ({0}); set it up only once
+    AlreadyStarted(#[from] log::SetLoggerError),
+    /// the log's configuration is invalid ({0}); report this as a bug
     Config(#[from] ConfigErrors),
 }
 
@@ -52,23 +52,23 @@
 ///
 /// # Errors
 ///
-/// [`Error::Twice`] where a log is set up already.
+/// Returns [`Error::AlreadyStarted`] if a log is set up already.
 pub fn start(settings: Log) -> Result<Handle, Error> {
     Ok(log4rs::init_config(config(settings)?)?)
 }
 
-/// Waits until the lines so far are written, for a short time at most.
+/// Waits until all queued lines are written, up to the flush timeout of the queue.
 pub fn flush() {
     if let Some(queue) = QUEUE.get() {
         queue.flush();
     }
 }
 
-/// The configuration of the log.
+/// Returns the configuration of the log.
 ///
 /// # Errors
 ///
-/// [`Error::Config`] where its names clash.
+/// Returns [`Error::Config`] if names in the configuration clash.
 pub fn config(settings: Log) -> Result<Config, Error> {
     let encoder = encoder(settings.format);
     let appender: Box<dyn Append> = match settings.format {
@@ -87,7 +87,7 @@
     Ok(config)
 }
 
-/// The form of the lines.
+/// Returns the encoder of a log format.
 #[must_use]
 pub fn encoder(format: Format) -> Box<dyn Encode> {
     match format {
--- a/roles/app/src/logger/compact.rs
+++ b/roles/app/src/logger/compact.rs
@@ -1,4 +1,4 @@
-//! Short JSON lines: time, level, number of the event, text.
+//! Compact JSON lines: time, level, number of the event, text.
 use std::time::SystemTime;
 use std::time::UNIX_EPOCH;
 
@@ -8,7 +8,7 @@
 use log4rs::encode::Write;
 use serde::Serialize;
 
-/// Encodes short JSON lines.
+/// Encoder of compact JSON lines.
 #[derive(Debug)]
 pub struct Compact;
 
@@ -17,7 +17,7 @@
     /// Milliseconds since the Unix epoch, by the host's clock.
     time_ms: u128,
     level: &'a str,
-    /// Number in the catalogue of events; 0 for a line that has none.
+    /// Number in the catalogue of events; 0 for a line without one.
     event: u64,
     text: String,
 }
--- a/roles/app/src/metric.rs
+++ b/roles/app/src/metric.rs
@@ -1,12 +1,12 @@
-//! Metrics, kept by `opentelemetry` and read within the process.
+//! Metrics, held in `opentelemetry` instruments and read within the process.
 //!
-//! The cores and the traffic threads count in numbers of their own, so that a
-//! packet costs no lock. They are copied to a [`Board`] when the metrics are
-//! read.
+//! The cores and the traffic threads count in their own fields, so that counting a
+//! packet takes no lock. These values are copied to [`Instruments`] when the
+//! metrics are read.
 pub mod agent;
-mod board;
-pub mod carried;
 pub mod entry;
+pub mod forwarding;
+mod instruments;
 mod reader;
 mod table;
 mod text;
@@ -27,7 +27,7 @@
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use thiserror::Error;
 
-pub use board::Board;
+pub use instruments::Instruments;
 pub use reader::Sample;
 pub use table::Kind;
 pub use table::METRICS;
@@ -40,28 +40,28 @@
 
 const SCOPE: &str = "greengagelug";
 
-/// How often the instruments are read without being asked.
+/// Interval at which the instruments are read without a request.
 const READ_INTERVAL: Duration = Duration::from_mins(1);
 
-/// Upper bounds of the buckets of histograms, in microseconds: three a decade.
+/// Upper bounds of histogram buckets in microseconds, three per decade.
 const BOUNDS_US: &[u32] = &[
     100, 200, 500, 1_000, 2_000, 5_000, 10_000, 20_000, 50_000, 100_000, 200_000, 500_000,
     1_000_000, 2_000_000, 5_000_000,
 ];
 
-/// Attribute that tells refusals, retries and drops apart.
+/// Attribute that distinguishes refusals, retries and drops by reason.
 pub const REASON: &str = "reason";
 
-/// Why the metrics could not be read.
+/// Reason why a metric could not be registered or the metrics could not be read.
 #[derive(Debug, Display, Error)]
 pub enum Error {
-    /// the metrics could not be collected ({0}); report it as a fault
+    /// the metrics could not be collected ({0}); report this as a bug
     Collect(#[from] OTelSdkError),
-    /// there is no metric `{0}`; add it to the table of metrics
+    /// there is no metric `{0}` of this kind; add it to the table of metrics
     Unknown(String),
 }
 
-/// The metrics of one process.
+/// Meter of one process, with its latest reading.
 pub struct Metrics {
     provider: SdkMeterProvider,
     meter: Meter,
@@ -90,12 +90,12 @@
         }
     }
 
-    /// Joins a number that is kept elsewhere to a metric of the table; `reason`
-    /// is empty where the metric has none.
+    /// Registers a callback that reads the value of a counter or gauge of the
+    /// table; `reason` is empty if the metric has none.
     ///
     /// # Errors
     ///
-    /// [`Error::Unknown`] where the table has no such metric.
+    /// Returns [`Error::Unknown`] if the table has no such counter or gauge.
     pub fn observe(
         &self,
         name: &str,
@@ -131,12 +131,12 @@
         Ok(())
     }
 
-    /// Returns a number that is joined to a metric of the table, for what no
-    /// other part keeps in a number of its own.
+    /// Registers a counter or gauge of the table and returns the cell that its
+    /// value is read from.
     ///
     /// # Errors
     ///
-    /// [`Error::Unknown`] where the table has no such metric.
+    /// Returns [`Error::Unknown`] if the table has no such counter or gauge.
     pub fn cell(&self, name: &str, reason: impl Into<String>) -> Result<Arc<AtomicU64>, Error> {
         let cell = Arc::new(AtomicU64::new(0));
         let read = Arc::clone(&cell);
@@ -148,7 +148,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Unknown`] where the table has no such metric.
+    /// Returns [`Error::Unknown`] if the table has no such histogram.
     pub fn histogram(&self, name: &str) -> Result<Histogram<u64>, Error> {
         let metric = METRICS.iter().find(|metric| metric.name == name);
         let metric = metric.filter(|metric| metric.kind == Kind::Histogram);
@@ -162,18 +162,18 @@
             .build())
     }
 
-    /// Reads all instruments, ordered by name and reason.
+    /// Returns the values of all instruments, ordered by name and reason.
     ///
     /// # Errors
     ///
-    /// [`Error::Collect`].
+    /// Returns [`Error::Collect`] if the instruments cannot be read.
     pub fn read(&self) -> Result<Vec<Sample>, Error> {
         self.provider.force_flush()?;
         Ok(self.latest.samples())
     }
 }
 
-/// Logs a reading as an event.
+/// Logs the values of the metrics as an event.
 fn log(read: Result<Vec<Sample>, Error>) {
     match read {
         Ok(samples) => Event::Metrics {
@@ -184,14 +184,14 @@
     }
 }
 
-/// Writes samples in one line: `name{reason}=value`.
+/// Formats samples as one line of `name{reason}=value`.
 #[must_use]
 pub fn line(samples: &[Sample]) -> String {
     let samples: Vec<String> = samples.iter().map(ToString::to_string).collect();
     samples.join(" ")
 }
 
-/// The page docs/METRICS.md.
+/// Returns the content of docs/METRICS.md.
 #[must_use]
 pub fn page() -> String {
     let mut page = String::from(include_str!("metric/page.md"));
--- a/roles/app/src/metric/agent.rs
+++ b/roles/app/src/metric/agent.rs
@@ -1,4 +1,4 @@
-//! The metrics of an agent.
+//! Metrics of an agent.
 use std::time::Duration;
 
 use agent::Status;
@@ -6,41 +6,42 @@
 use async_channel::Sender;
 use async_io::Timer;
 
-use super::Board;
 use super::Error;
+use super::Instruments;
 use crate::agent::Input;
 
-/// Copies what an agent counted to the board.
+/// Copies the counters and sizes of an agent to the instruments.
 ///
 /// # Errors
 ///
-/// [`Error::Unknown`] where a counter is not in the table of metrics.
-pub fn publish(board: &mut Board, status: &Status) -> Result<(), Error> {
-    board.set_size("flows", status.flows)?;
-    board.set_size("flows.bytes", status.flow_bytes)?;
-    board.set_size("flows.parked", status.parked)?;
-    board.set_size("pins", status.pins)?;
-    board.set_size("pins.bytes", status.pin_bytes)?;
-    board.set_size("records", status.records)?;
-    board.set_size("records.bytes", status.record_bytes)?;
-    board.set_size("requests", status.tasks)?;
+/// Returns [`Error::Unknown`] if a metric is not in the table.
+pub fn publish(instruments: &mut Instruments, status: &Status) -> Result<(), Error> {
+    instruments.set_size("flows", status.flows)?;
+    instruments.set_size("flows.bytes", status.flow_bytes)?;
+    instruments.set_size("flows.parked", status.parked)?;
+    instruments.set_size("pins", status.pins)?;
+    instruments.set_size("pins.bytes", status.pin_bytes)?;
+    instruments.set_size("records", status.records)?;
+    instruments.set_size("records.bytes", status.record_bytes)?;
+    instruments.set_size("requests", status.tasks)?;
     let wait = status.expected_wait.as_millis();
-    board.set("requests.wait", "", u64::try_from(wait).unwrap_or(u64::MAX))?;
-    board.set("weight", "", status.weight.into())?;
+    instruments.set("requests.wait", "", u64::try_from(wait).unwrap_or(u64::MAX))?;
+    instruments.set("weight", "", status.weight.into())?;
     for refusals in status.counters.refusals() {
         let reason = refusals.reason.as_str_name().to_lowercase();
-        board.set("requests.refused", &reason, refusals.count)?;
+        instruments.set("requests.refused", &reason, refusals.count)?;
     }
     for counted in status.counters.iter() {
-        let place = place(counted.counter);
-        board.set(place.metric, place.reason, counted.count)?;
+        let series = series(counted.counter);
+        instruments.set(series.metric, series.reason, counted.count)?;
     }
     Ok(())
 }
 
-/// Logs the metrics at an interval, until the agent has stopped.
+/// Logs the metrics at an interval until the agent has stopped; never if the
+/// interval is zero.
 pub async fn report(inputs: Sender<Input>, interval: Duration) {
-    let mut board = Board::default();
+    let mut instruments = Instruments::default();
     while !interval.is_zero() {
         Timer::after(interval).await;
         let (reply, status) = async_channel::bounded(1);
@@ -48,18 +49,18 @@
         let Ok(status) = status.recv().await else {
             return;
         };
-        let read = publish(&mut board, &status).and_then(|()| board.read());
+        let read = publish(&mut instruments, &status).and_then(|()| instruments.read());
         super::log(read);
     }
 }
 
-/// Where a counter is shown.
-struct Place {
+/// Metric and reason under which a counter is published.
+struct Series {
     metric: &'static str,
     reason: &'static str,
 }
 
-const fn place(counter: Counter) -> Place {
+const fn series(counter: Counter) -> Series {
     let (metric, reason) = match counter {
         Counter::Opened => ("flows.opened", ""),
         Counter::Closed => ("flows.ended", "closed"),
@@ -89,5 +90,5 @@
         Counter::StalePin => ("pins.refused", "stale"),
         Counter::Inherited => ("flows.inherited", ""),
     };
-    Place { metric, reason }
+    Series { metric, reason }
 }
--- a/roles/app/src/metric/entry.rs
+++ b/roles/app/src/metric/entry.rs
@@ -1,4 +1,4 @@
-//! The metrics of an entry.
+//! Metrics of an entry.
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
@@ -7,45 +7,50 @@
 use member::Registry;
 use net::port::Named;
 
-use super::Board;
 use super::Error;
+use super::Instruments;
 use crate::entry::control::Input;
 use crate::entry::traffic::Traffic;
 
-/// Copies what an entry counted to the board.
+/// Copies the counters and sizes of an entry to the instruments.
 ///
 /// # Errors
 ///
-/// [`Error::Unknown`] where a counter is not in the table of metrics.
-pub fn publish(board: &mut Board, registry: &Registry, traffic: &Traffic) -> Result<(), Error> {
+/// Returns [`Error::Unknown`] if a metric is not in the table.
+pub fn publish(
+    instruments: &mut Instruments,
+    registry: &Registry,
+    traffic: &Traffic,
+) -> Result<(), Error> {
     for named in traffic.counters.all() {
-        set(board, &named, "packets.refused")?;
+        set(instruments, &named, "packets.refused")?;
     }
     for named in traffic.port.counters().all() {
-        set(board, &named, "port.refused")?;
+        set(instruments, &named, "port.refused")?;
     }
     let status = registry.status();
-    board.set("control.sent", "", status.sent)?;
-    board.set("control.sent_bytes", "", status.sent_bytes)?;
-    board.set("control.received", "", status.received)?;
-    board.set("control.received_bytes", "", status.received_bytes)?;
-    board.set("control.suspicions", "", status.suspicions)?;
-    board.set("control.self_doubts", "", status.self_doubts)?;
+    instruments.set("control.sent", "", status.sent)?;
+    instruments.set("control.sent_bytes", "", status.sent_bytes)?;
+    instruments.set("control.received", "", status.received)?;
+    instruments.set("control.received_bytes", "", status.received_bytes)?;
+    instruments.set("control.suspicions", "", status.suspicions)?;
+    instruments.set("control.self_doubts", "", status.self_doubts)?;
     for (reason, count) in &status.refusals {
         let reason = format!("{reason:?}").to_lowercase();
-        board.set("control.refused", &reason, *count)?;
+        instruments.set("control.refused", &reason, *count)?;
     }
-    board.set_size("services", status.services)?;
-    board.set_size("targets", status.targets)?;
-    board.set_size("targets.silent", status.silent)?;
-    board.set_size("entries", status.entries)?;
-    board.set_size("zones.lost", status.lost_zones)?;
+    instruments.set_size("services", status.services)?;
+    instruments.set_size("targets", status.targets)?;
+    instruments.set_size("targets.silent", status.silent)?;
+    instruments.set_size("entries", status.entries)?;
+    instruments.set_size("zones.lost", status.lost_zones)?;
     let configs = registry.services().filter_map(|view| view.config.as_ref());
     let revision = configs.map(|config| config.revision).max();
-    board.set("revision", "", revision.unwrap_or_default())
+    instruments.set("revision", "", revision.unwrap_or_default())
 }
 
-/// Logs the metrics at an interval, until the entry has stopped.
+/// Logs the metrics at an interval until the entry has stopped; never if the
+/// interval is zero.
 pub async fn report(control: Sender<Input>, interval: Duration) {
     while !interval.is_zero() {
         Timer::after(interval).await;
@@ -58,11 +63,12 @@
     }
 }
 
-/// Sets a counter whose name may end in a reason: `port.refused.bad_tag`.
-fn set(board: &mut Board, named: &Named<'_>, refusals: &str) -> Result<(), Error> {
+/// Sets the metric of a counter. If its name ends in a reason, as in
+/// `port.refused.bad_tag`, the metric is `refusals` with that reason.
+fn set(instruments: &mut Instruments, named: &Named<'_>, refusals: &str) -> Result<(), Error> {
     let value = named.value.load(Ordering::Relaxed);
     match named.name.split_once("refused.") {
-        Some((_, reason)) => board.set(refusals, reason, value),
-        None => board.set(named.name, "", value),
+        Some((_, reason)) => instruments.set(refusals, reason, value),
+        None => instruments.set(named.name, "", value),
     }
 }
--- a/roles/app/src/metric/reader.rs
+++ b/roles/app/src/metric/reader.rs
@@ -1,4 +1,4 @@
-//! Keeps what the instruments said when they were last read.
+//! Exporter that keeps the latest reading of the instruments in memory.
 use std::fmt;
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -18,20 +18,20 @@
 
 use super::REASON;
 
-/// Last part of the name of a histogram's buckets.
+/// Suffix of the name of a histogram's buckets.
 pub(super) const BUCKET: &str = "bucket";
 
-/// Upper bound of the last bucket.
+/// Upper bound of the last histogram bucket.
 const INFINITY: &str = "+Inf";
 
-/// The value of a metric at one time.
+/// Value of a metric at one time.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Sample {
     /// Name of the metric.
     pub name: String,
-    /// Reason, or empty.
+    /// Reason, or the upper bound of a bucket; empty if there is none.
     pub reason: String,
-    /// The value.
+    /// Value in the unit of the metric; a number of values for buckets.
     pub value: u64,
 }
 
@@ -44,7 +44,7 @@
     }
 }
 
-/// The samples of the last reading.
+/// Samples of the latest reading.
 #[derive(Debug, Default)]
 pub(super) struct Latest(Mutex<Vec<Sample>>);
 
@@ -61,7 +61,7 @@
     }
 }
 
-/// Takes the readings of the instruments.
+/// Exporter that stores each reading.
 #[derive(Debug)]
 pub(super) struct Exporter(pub(super) Arc<Latest>);
 
@@ -102,18 +102,19 @@
             .data_points()
             .flat_map(|point| buckets(metric.name(), point))
             .collect(),
-        // No other kinds are in the table.
+        // The table has no other kinds.
         _ => Vec::new(),
     }
 }
 
-/// The cumulative counts of a histogram, by upper bound, with their sum.
+/// Returns the cumulative bucket counts of a histogram by upper bound, with its
+/// sum and count.
 fn buckets(name: &str, point: &HistogramDataPoint<u64>) -> Vec<Sample> {
     let mut sum = 0;
     let bounds = point.bounds().map(|bound| format!("{bound}"));
     let bounds = bounds.chain([INFINITY.to_owned()]);
     let counts = point.bucket_counts().zip(bounds);
-    let named = |part: &str, reason: String, value| Sample {
+    let part_sample = |part: &str, reason: String, value| Sample {
         name: format!("{name}.{part}"),
         reason,
         value,
@@ -121,11 +122,11 @@
     let mut samples: Vec<Sample> = counts
         .map(|(count, bound)| {
             sum += count;
-            named(BUCKET, bound, sum)
+            part_sample(BUCKET, bound, sum)
         })
         .collect();
-    samples.push(named("sum", String::new(), point.sum()));
-    samples.push(named("count", String::new(), point.count()));
+    samples.push(part_sample("sum", String::new(), point.sum()));
+    samples.push(part_sample("count", String::new(), point.count()));
     samples
 }
 
--- a/roles/app/src/metric/table.rs
+++ b/roles/app/src/metric/table.rs
@@ -1,26 +1,26 @@
-//! The table of all metrics, from which docs/METRICS.md is made.
+//! The table of all metrics, from which docs/METRICS.md is generated.
 
-/// How a metric behaves.
+/// Kind of a metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// Only rises while the process runs.
+    /// Value that never decreases while the process runs.
     Counter,
-    /// Rises and falls.
+    /// Value that may increase and decrease.
     Gauge,
-    /// Counts values in buckets.
+    /// Distribution of values, counted in buckets.
     Histogram,
 }
 
-/// One metric of the table.
+/// Definition of a metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Metric {
     /// Name of the metric.
     pub name: &'static str,
-    /// How it behaves.
+    /// Kind of the metric.
     pub kind: Kind,
-    /// Unit, in the notation of UCUM.
+    /// Unit in UCUM notation.
     pub unit: &'static str,
-    /// What it counts.
+    /// Meaning, as shown to operators.
     pub help: &'static str,
 }
 
@@ -57,74 +57,74 @@
 /// All metrics.
 #[rustfmt::skip]
 pub const METRICS: &[Metric] = &[
-    // Both daemons.
-    counter("port.received", "{datagram}", "datagrams received by UDP"),
-    counter("port.received_bytes", "By", "their size"),
-    counter("port.sent", "{datagram}", "datagrams sent by UDP"),
-    counter("port.sent_bytes", "By", "their size"),
-    counter("port.refused", "{datagram}", "datagrams that were not accepted, by reason"),
-    counter("port.send_failed", "{datagram}", "datagrams that the kernel did not take"),
+    // Entries and agents.
+    counter("port.received", "{datagram}", "UDP datagrams received"),
+    counter("port.received_bytes", "By", "size of the UDP datagrams received"),
+    counter("port.sent", "{datagram}", "UDP datagrams sent"),
+    counter("port.sent_bytes", "By", "size of the UDP datagrams sent"),
+    counter("port.refused", "{datagram}", "received datagrams that were rejected, by reason"),
+    counter("port.send_failed", "{datagram}", "datagrams that the kernel did not accept for sending"),
     counter("packets.refused", "{packet}", "packets and frames that were refused or ignored, by reason"),
     // Entries.
-    counter("packets.relayed", "{packet}", "callers' packets relayed to agents"),
+    counter("packets.relayed", "{packet}", "packets of callers relayed to agents"),
     counter("packets.replied", "{packet}", "packets returned to callers"),
     counter("control.sent", "{message}", "messages of the membership protocol sent"),
-    counter("control.sent_bytes", "By", "their size, with headers"),
+    counter("control.sent_bytes", "By", "size of the membership messages sent, with headers"),
     counter("control.received", "{message}", "messages of the membership protocol received"),
-    counter("control.received_bytes", "By", "their size, with headers"),
-    counter("control.refused", "{message}", "messages of the membership protocol not taken, by reason"),
-    counter("control.suspicions", "{suspicion}", "suspicions that this entry stated"),
-    counter("control.self_doubts", "1", "times that this entry doubted itself"),
+    counter("control.received_bytes", "By", "size of the membership messages received, with headers"),
+    counter("control.refused", "{message}", "messages of the membership protocol rejected or not acted on, by reason"),
+    counter("control.suspicions", "{suspicion}", "suspicions that this entry stated about other processes"),
+    counter("control.self_doubts", "1", "times that this entry suspected itself, because its timer was late or it lost most of the processes that it watches"),
     gauge("services", "{service}", "services that this entry knows"),
     gauge("targets", "{target}", "backend servers that this entry knows"),
-    gauge("targets.silent", "{target}", "of these, held down or doubted"),
+    gauge("targets.silent", "{target}", "backend servers that are suspected or marked down"),
     gauge("entries", "{entry}", "entries that this entry knows, itself included"),
-    gauge("zones.lost", "{zone}", "availability zones held to be lost"),
-    gauge("revision", "1", "largest revision of the configuration in force here"),
+    gauge("zones.lost", "{zone}", "availability zones that count as lost"),
+    gauge("revision", "1", "largest revision of a service configuration in force here"),
     // Agents.
     gauge("flows", "{flow}", "flows held"),
     gauge("flows.bytes", "By", "memory of the flow table"),
-    gauge("flows.parked", "{flow}", "flows kept for the successors of other agents"),
+    gauge("flows.parked", "{flow}", "flows stored for the successors of other agents"),
     counter("flows.opened", "{flow}", "flows opened"),
     counter("flows.ended", "{flow}", "flows ended, by reason"),
     counter("flows.inherited", "{flow}", "flows inherited from a predecessor, or adopted"),
-    counter("opens.passed", "{packet}", "opens passed on to another agent"),
-    counter("packets.handed_along", "{packet}", "packets handed to another agent"),
-    gauge("pins", "{flow}", "flows held elsewhere that have their home here"),
+    counter("opens.passed", "{packet}", "opening packets forwarded to another agent"),
+    counter("packets.handed_along", "{packet}", "misrouted packets forwarded to another agent"),
+    gauge("pins", "{flow}", "flows held elsewhere whose home is this agent"),
     gauge("pins.bytes", "By", "memory of the pins"),
-    counter("pins.refused", "{flow}", "pins that were not kept, by reason"),
+    counter("pins.refused", "{flow}", "pins that were not stored, by reason"),
     gauge("records", "{request}", "request records"),
     gauge("records.bytes", "By", "memory of the records and their answers"),
-    gauge("requests", "{request}", "requests queued, running or passed"),
-    gauge("requests.wait", "ms", "expected wait of a request that comes now"),
+    gauge("requests", "{request}", "requests that are queued, running or passed on"),
+    gauge("requests.wait", "ms", "expected wait of a request that arrives now"),
     counter("requests.admitted", "{request}", "requests admitted"),
-    counter("requests.repeated", "{request}", "repeats that got the recorded answer, or wait for it"),
+    counter("requests.repeated", "{request}", "retransmitted requests that got the recorded answer or wait for it"),
     counter("requests.answered", "{request}", "requests answered"),
-    counter("requests.refused", "{request}", "requests and opens refused, by reason"),
-    counter("requests.retried", "{request}", "requests tried again or passed on, by reason"),
-    counter("retries.refused", "{request}", "tries that were not made, by reason"),
-    counter("offers.taken", "{request}", "requests of other agents that were taken"),
-    counter("offers.refused", "{request}", "requests of other agents that were refused"),
+    counter("requests.refused", "{request}", "requests and opening packets refused, by reason"),
+    counter("requests.retried", "{request}", "requests retried or passed on, by reason"),
+    counter("retries.refused", "{request}", "retries that were not made, by reason"),
+    counter("offers.taken", "{request}", "requests offered by other agents that were accepted"),
+    counter("offers.refused", "{request}", "requests offered by other agents that were refused"),
     // Gateways and sidecars.
     counter("carried.flows.opened", "{flow}", "flows that a gateway sent to an agent"),
-    counter("carried.flows.taken", "{flow}", "flows that a sidecar gave its backend server"),
-    counter("carried.flows.passed", "{flow}", "opening packets that a sidecar passed to another"),
-    counter("carried.flows.reset", "{flow}", "flows that were refused or ended, by reason"),
+    counter("carried.flows.taken", "{flow}", "flows that a sidecar accepted for its backend server"),
+    counter("carried.flows.passed", "{flow}", "opening packets that a sidecar forwarded to another agent"),
+    counter("carried.flows.reset", "{flow}", "flows refused or ended by a reset to the caller, by reason"),
     counter("carried.requests.failed", "{request}", "requests that a backend server reset or did not answer in time"),
     counter("carried.searches", "{flow}", "searches for the holder of a flow"),
     counter("carried.searches.ended", "{flow}", "searches that ended, by outcome"),
-    counter("carried.tries", "{packet}", "packets of unknown flows tried at the backend server"),
-    counter("carried.returned", "{packet}", "packets that the backend server handed back"),
-    counter("carried.packets", "{packet}", "packets carried, by direction"),
+    counter("carried.tries", "{packet}", "packets of unknown flows delivered to the backend server as probes"),
+    counter("carried.returned", "{packet}", "packets that the backend server returned"),
+    counter("carried.packets", "{packet}", "packets forwarded, by direction"),
     counter("carried.dropped", "{packet}", "packets dropped, by reason"),
-    counter("carried.servers.ended", "{server}", "backend servers that ended beside a sidecar"),
+    counter("carried.servers.ended", "{server}", "backend servers of a sidecar that ended"),
     gauge("carried.flows", "{flow}", "flows that are remembered or held"),
     gauge("carried.version", "1", "version of the configuration in force"),
     gauge("carried.running", "{request}", "requests that run or wait at the backend server"),
-    gauge("store.calls", "{call}", "calls of the store, by kind"),
-    histogram("carried.open.time", "us", "from an opening packet to the word of its holder"),
-    histogram("carried.search.time", "us", "from a search to the word of the holder"),
-    histogram("carried.request.time", "us", "from a request to the first packet of its answer"),
+    gauge("store.calls", "{call}", "calls to the store, by kind"),
+    histogram("carried.open.time", "us", "time from an opening packet to the holder's confirmation"),
+    histogram("carried.search.time", "us", "time from a search to the holder's answer"),
+    histogram("carried.request.time", "us", "time from a request to the first packet of its answer"),
     // Agents.
     gauge("weight", "{request}/s", "learned capacity, as announced"),
 ];
--- a/roles/app/src/metric/text.rs
+++ b/roles/app/src/metric/text.rs
@@ -1,4 +1,4 @@
-//! Writes metrics in the text format that common scrapers read.
+//! Prometheus text format of the metrics.
 use std::fmt::Write;
 
 use super::METRICS;
@@ -6,22 +6,22 @@
 use super::reader::BUCKET;
 use super::table::Kind;
 
-/// Prefix of all names.
+/// Prefix of all exported names.
 const PREFIX: &str = "greengagelug_";
 
-/// Writes samples in the text format of Prometheus.
+/// Formats samples in the Prometheus text format.
 #[must_use]
 pub fn text(samples: &[Sample]) -> String {
     let mut text = String::new();
     for metric in METRICS {
-        let parts = samples
+        let matching = samples
             .iter()
             .filter(|sample| belongs(sample, metric.name, metric.kind));
-        let mut parts = parts.peekable();
-        if parts.peek().is_none() {
+        let mut matching = matching.peekable();
+        if matching.peek().is_none() {
             continue;
         }
-        let name = mangle(metric.name);
+        let name = exported_name(metric.name);
         let kind = match metric.kind {
             Kind::Counter => "counter",
             Kind::Gauge => "gauge",
@@ -30,11 +30,11 @@
         // Writing to a String cannot fail.
         let _ = writeln!(text, "# HELP {name} {}; {}", metric.help, metric.unit);
         let _ = writeln!(text, "# TYPE {name} {kind}");
-        for sample in parts {
+        for sample in matching {
             let _ = writeln!(
                 text,
                 "{}{} {}",
-                mangle(&sample.name),
+                exported_name(&sample.name),
                 label(sample),
                 sample.value
             );
@@ -53,7 +53,7 @@
     }
 }
 
-fn mangle(name: &str) -> String {
+fn exported_name(name: &str) -> String {
     format!("{PREFIX}{}", name.replace('.', "_"))
 }
 
--- a/roles/app/src/sidecar.rs
+++ b/roles/app/src/sidecar.rs
@@ -1,9 +1,9 @@
-//! The process of `greengagelug sidecar`: an agent whose flows are carried
-//! unread.
+//! The process of `greengagelug sidecar`: an agent that forwards flows without
+//! reading their content.
 //!
-//! One thread reads the packets of the backend server, one the frames of other
-//! processes; both act on one core. The main thread runs the membership protocol
-//! and takes the backend server's announcements.
+//! One thread reads the packets of the backend server and one the frames of other
+//! processes; both share one core. The main thread runs the membership protocol
+//! and accepts the backend server's announcements.
 mod announcements;
 mod control;
 mod seeds;
@@ -34,7 +34,7 @@
 use crate::carried::ready;
 use crate::carried::report::Report;
 use crate::metric;
-use crate::metric::Board;
+use crate::metric::Instruments;
 use crate::settings;
 use crate::settings::table::Role;
 use crate::sidecar::control::Control;
@@ -43,61 +43,63 @@
 use crate::signal;
 use crate::signal::Signal;
 
-/// Control messages that wait for the control thread.
+/// Capacity of the queue of inputs to the control thread.
 const CONTROL_QUEUE: usize = 1024;
 
-/// Time for which entries send new flows elsewhere before a stop.
-const NOTICE: Duration = Duration::from_millis(300);
+/// Time between announcing a stop and draining, in which entries begin to send new
+/// flows elsewhere.
+const STOP_NOTICE: Duration = Duration::from_millis(300);
 
-/// Longest wait for requests under way before a stop.
-const FINISH: Duration = Duration::from_millis(1_500);
+/// Longest wait for running requests before a stop.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Time between two looks whether requests are under way.
-const FINISH_CHECK: Duration = Duration::from_millis(20);
+/// Interval at which a stopping sidecar checks whether requests are still running.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Share of the time after which an address may serve another service, within
-/// which a silent backend server counts as gone.
-const SILENCE_SHARE: f64 = 0.9;
+/// Upper bound of the announcement timeout, as a fraction of the time after which
+/// the backend server's address may be reused for another service.
+const SILENCE_REUSE_SHARE: f64 = 0.9;
 
-/// How much longer than stated the time between two announcements may be.
-const LONGEST_HEARTBEAT: f64 = 1.25;
+/// Longest time between two announcements, as a multiple of the heartbeat
+/// interval in the settings.
+const MAX_HEARTBEAT_FACTOR: f64 = 1.25;
 
-/// Announcements in a row that may be late before a backend server counts as
-/// silent.
-const SILENT_HEARTBEATS: f64 = 2.5;
+/// Number of heartbeat intervals without an announcement after which a backend
+/// server gets no new flows.
+const SILENCE_HEARTBEATS: f64 = 2.5;
 
 /// Runs the sidecar until it has stopped.
 ///
 /// # Errors
 ///
-/// The operating system's error where an address cannot be bound, or the
-/// settings file's.
+/// Returns the operating system's error if an address cannot be bound, or the
+/// error of reading the settings file.
 pub fn run(settings: &settings::Sidecar) -> io::Result<()> {
     let host = platform::Settings::read(&settings.0.boot).map_err(io::Error::other)?;
     smol::block_on(start(settings, host))
 }
 
 async fn start(settings: &settings::Sidecar, host: platform::Settings) -> io::Result<()> {
-    // A signal may come before the process is ready to act on it.
-    let signals = signal::watch();
+    // A signal may arrive before the process is ready to handle it.
+    let signals = signal::subscribe();
     let origin = Instant::now();
     let executor = Arc::new(Executor::new());
     let seal = Arc::new(settings.0.keys.seal());
     let bind = settings.0.bind.unwrap_or(host.frames());
-    let port = Port::bind_blocking(bind, seal, reader::WAIT)?;
+    let port = Port::bind_blocking(bind, seal, reader::POLL_TIMEOUT)?;
     let (Some(servers), Some(backend)) = (host.listen.servers, host.backend) else {
-        let text = "the settings name no backend server; run this role beside one";
+        let text = "the settings file lacks `listen.servers` or `backend`; run a sidecar only on a host with a backend server";
         return Err(io::Error::other(text));
     };
-    let socket = net::port::blocking(servers, reader::WAIT)?;
+    let socket = net::port::blocking(servers, reader::POLL_TIMEOUT)?;
     let (sender, inputs) = async_channel::bounded(CONTROL_QUEUE);
     let own = Hop {
         target: host.target().unwrap_or_default(),
         address: host.frames(),
     };
     let core = Agent::new(core(&host), own, !host.is_first_start, origin.elapsed());
-    let board = Board::default();
-    let report = Report::new(&board).map_err(io::Error::other)?;
+    let instruments = Instruments::default();
+    let report = Report::new(&instruments).map_err(io::Error::other)?;
     let traffic = Arc::new(Traffic {
         core: Mutex::new(core),
         link: Link {
@@ -120,11 +122,11 @@
     let store = platform::Client::new(http.clone());
     let metrics = SocketAddr::new(host.address, settings.0.metrics_port);
     let shared = Arc::clone(&traffic);
-    let read = move |board: &mut Board| shared.publish(board, &http.counts());
-    metric::carried::serve(metrics, &executor, read, board).await?;
-    lifecycle::started(Role::Sidecar, &host);
-    let finding = seeds::find(store, host.clone(), sender.clone());
-    executor.spawn(finding).detach();
+    let read = move |instruments: &mut Instruments| shared.publish(instruments, &http.counts());
+    metric::forwarding::serve(metrics, &executor, read, instruments).await?;
+    lifecycle::log_start(Role::Sidecar, &host);
+    let discovery = seeds::discover(store, host.clone(), sender.clone());
+    executor.spawn(discovery).detach();
     let control = Control {
         seeds: host.seed_frames(),
         announcer: None,
@@ -135,31 +137,31 @@
         inputs,
         backend: None,
     };
-    let stopped = stopped(signals, sender, traffic);
+    let stopping = wait_for_stop(signals, sender, traffic);
     let control = Box::pin(control.run(&host));
-    executor.run(control.or(stopped)).await;
+    executor.run(control.or(stopping)).await;
     Ok(())
 }
 
 fn core(host: &platform::Settings) -> Settings {
-    let heard = host.heartbeat_ms.mul_f64(SILENT_HEARTBEATS);
+    let silence = host.heartbeat_ms.mul_f64(SILENCE_HEARTBEATS);
     Settings {
-        assumed: heard,
-        heartbeat: host.heartbeat_ms.mul_f64(LONGEST_HEARTBEAT),
-        silence: heard.min(host.reuse_s.mul_f64(SILENCE_SHARE)),
+        assumed: silence,
+        heartbeat: host.heartbeat_ms.mul_f64(MAX_HEARTBEAT_FACTOR),
+        silence: silence.min(host.reuse_s.mul_f64(SILENCE_REUSE_SHARE)),
         oldest_flow: host.oldest_flow_s,
         ..Settings::default()
     }
 }
 
-/// Waits for SIGTERM, lets entries send new flows elsewhere, and then lets the
-/// requests under way end.
-async fn stopped(signals: Receiver<Signal>, control: Sender<Input>, traffic: Arc<Traffic>) {
-    lifecycle::stop_requested(Role::Sidecar, signals).await;
+/// Waits for a stop signal, gives entries time to send new flows elsewhere, and
+/// then waits for running requests to finish.
+async fn wait_for_stop(signals: Receiver<Signal>, control: Sender<Input>, traffic: Arc<Traffic>) {
+    lifecycle::wait_for_stop(Role::Sidecar, signals).await;
     let _ = control.send(Input::Stop).await;
-    Timer::after(NOTICE).await;
-    let asked = Instant::now();
-    while traffic.is_busy() && asked.elapsed() < FINISH {
-        Timer::after(FINISH_CHECK).await;
+    Timer::after(STOP_NOTICE).await;
+    let drain_start = Instant::now();
+    while traffic.is_busy() && drain_start.elapsed() < DRAIN_TIMEOUT {
+        Timer::after(DRAIN_POLL_INTERVAL).await;
     }
 }
--- a/roles/app/src/sidecar/announcements.rs
+++ b/roles/app/src/sidecar/announcements.rs
@@ -1,4 +1,4 @@
-//! Takes the announcements of the backend server beside the sidecar.
+//! Accepts the announcements of the sidecar's backend server.
 use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,24 +14,24 @@
 use crate::event::Event;
 use crate::sidecar::control::Input;
 
-/// Serves the address for announcements.
+/// Serves the address for announcements, which are sent to the control thread.
 ///
 /// # Errors
 ///
-/// The operating system's error where the address cannot be bound.
+/// Returns the operating system's error if the address cannot be bound.
 pub async fn serve(
     address: SocketAddr,
     backend: SocketAddr,
     executor: &Arc<Executor<'static>>,
     control: Sender<Input>,
 ) -> io::Result<()> {
-    let answer = move |question: http::Question| {
+    let answer = move |request: http::Question| {
         let control = control.clone();
         async move {
-            let call = announcement::decode(&question.method, &question.path, &question.body);
-            let input = call.and_then(|call| input(call, backend));
+            let call = announcement::decode(&request.method, &request.path, &request.body);
+            let input = call.and_then(|call| input_from(call, backend));
             let Some(input) = input else {
-                let path = question.path;
+                let path = request.path;
                 Event::NotAnAnnouncement { path }.log();
                 return acknowledge(StatusCode::BAD_REQUEST);
             };
@@ -44,8 +44,9 @@
     http::serve(address, executor, answer).await.map(drop)
 }
 
-/// What a call tells of the backend server here; others are not announced here.
-fn input(call: Call, own: SocketAddr) -> Option<Input> {
+/// Returns the input for a call about the backend server at `own`, or `None` if
+/// the call announces another backend server.
+fn input_from(call: Call, own: SocketAddr) -> Option<Input> {
     match call {
         Call::Announce { address, backend } if address == own => Some(Input::Backend(backend)),
         Call::Announce { .. } => None,
--- a/roles/app/src/sidecar/control.rs
+++ b/roles/app/src/sidecar/control.rs
@@ -1,4 +1,4 @@
-//! The control thread of a sidecar: announces the backend server.
+//! The control thread of a sidecar, which announces the backend server to entries.
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -30,52 +30,52 @@
 use crate::event::Event as LogEvent;
 use crate::sidecar::traffic::Traffic;
 
-/// Longest sleep while nothing is due.
+/// Longest sleep when no deadline is pending.
 const IDLE: Duration = Duration::from_millis(250);
 
-/// Weight that is announced for each slot. Entries go by the load that they are
-/// told with each flow.
+/// Announced weight per slot. A constant is enough, because entries choose by the
+/// load that agents report with each flow.
 const WEIGHT_PER_SLOT: u32 = 20;
 
-/// What the control thread is told.
+/// An input to the control thread.
 pub enum Input {
-    /// A message of the membership protocol arrived.
+    /// A message of the membership protocol.
     Message {
         /// UDP address of the sender.
         from: SocketAddr,
         /// The encoded message.
         payload: Bytes,
     },
-    /// The backend server announced itself.
+    /// An announcement of the backend server.
     Backend(Backend),
-    /// A backend server ends.
+    /// The end of a backend server.
     End {
-        /// Its name.
+        /// Name of the backend server.
         name: String,
     },
-    /// Entries that the store lists.
+    /// Addresses of the entries that the store lists.
     Entries(Vec<SocketAddr>),
-    /// The process is to stop.
+    /// A request to stop taking new flows.
     Stop,
 }
 
-/// What the control thread works with.
+/// State of the control thread.
 pub struct Control {
-    /// Entries to announce to.
+    /// Addresses of entries to announce the backend server to.
     pub seeds: Vec<SocketAddr>,
-    /// The membership protocol, once the backend server is known.
+    /// The membership protocol, once the service of the backend server is known.
     pub announcer: Option<Announcer>,
-    /// Origin of the time.
+    /// Origin of the monotonic time of the membership protocol.
     pub origin: Instant,
-    /// What carries the packets.
+    /// State shared with the threads that forward packets.
     pub traffic: Arc<Traffic>,
-    /// Where others reach this process.
+    /// Identity and address of this sidecar on the path of a flow.
     pub own: Hop,
     /// Availability zone of the host.
     pub zone: ZoneId,
-    /// What arrives from other threads and tasks.
+    /// Inputs from other threads and tasks.
     pub inputs: Receiver<Input>,
-    /// What the backend server told last.
+    /// Last announcement of the backend server.
     pub backend: Option<Backend>,
 }
 
@@ -85,20 +85,20 @@
         let mut actions = Vec::new();
         self.announce_early(self.origin.elapsed(), host);
         loop {
-            self.turn(&mut actions).await;
-            // Messages that never cease must not keep a stop from being seen.
+            self.process_next(&mut actions).await;
+            // Lets the stop task run even under a continuous stream of messages.
             yield_now().await;
         }
     }
 
-    async fn turn(&mut self, actions: &mut Vec<Action>) {
-        let input = self.next().await;
+    async fn process_next(&mut self, actions: &mut Vec<Action>) {
+        let input = self.next_input().await;
         let now = self.origin.elapsed();
         match input {
-            Some(Input::Message { from, payload }) => self.message(now, from, &payload, actions),
-            Some(Input::Backend(backend)) => self.backend(now, backend),
-            Some(Input::End { name }) => self.end(&name),
-            Some(Input::Entries(entries)) => self.know(now, entries),
+            Some(Input::Message { from, payload }) => self.receive(now, from, &payload, actions),
+            Some(Input::Backend(backend)) => self.update_backend(now, backend),
+            Some(Input::End { name }) => self.mark_ended(&name),
+            Some(Input::Entries(entries)) => self.add_entries(now, entries),
             Some(Input::Stop) => self.stop(now),
             None => {}
         }
@@ -111,10 +111,10 @@
                 self.traffic.handle(Event::Peers(peers));
             }
         }
-        self.traffic.link.control(actions);
+        self.traffic.link.send_control(actions);
     }
 
-    fn message(
+    fn receive(
         &mut self,
         now: Duration,
         from: SocketAddr,
@@ -124,21 +124,21 @@
         match (Message::decode(payload), &mut self.announcer) {
             (Ok(message), Some(announcer)) => announcer.handle(now, from, message, actions),
             (Ok(_), None) => {}
-            (Err(error), _) => log::debug!("a message of {from} cannot be read: {error}"),
+            (Err(error), _) => log::debug!("cannot decode message from {from}: {error}"),
         }
     }
 
-    /// Takes an announcement of the backend server, unless it is older than the
-    /// last.
-    fn backend(&mut self, now: Duration, backend: Backend) {
-        let held = self.backend.as_ref();
-        if held.is_some_and(|held| backend.is_older_than(held)) {
+    /// Applies an announcement of the backend server, unless it is older than the
+    /// last one.
+    fn update_backend(&mut self, now: Duration, backend: Backend) {
+        let last = self.backend.as_ref();
+        if last.is_some_and(|last| backend.is_older_than(last)) {
             let (server, sequence) = (backend.name, backend.sequence);
             return LogEvent::OldAnnouncement { server, sequence }.log();
         }
-        let is_news =
-            held.is_none_or(|held| (&held.name, held.state) != (&backend.name, backend.state));
-        if is_news {
+        let has_changed =
+            last.is_none_or(|last| (&last.name, last.state) != (&backend.name, backend.state));
+        if has_changed {
             let announced = LogEvent::Announced {
                 server: backend.name.clone(),
                 state: format!("{:?}", backend.state).to_lowercase(),
@@ -153,22 +153,23 @@
             .map(|announcer| announcer.target().id);
         if announced != Some(backend.target) {
             let (service, target, slots) = (backend.service, backend.target, backend.slots);
-            self.announcer = Some(self.announcer_of(now, service, target, slots));
+            self.announcer = Some(self.new_announcer(now, service, target, slots));
         }
         self.backend = Some(backend);
     }
 
-    /// Announces the backend server that the settings name before it announces
-    /// itself: it may hold flows, and entries ask only agents that they know.
+    /// Announces the backend server from the settings, before it has announced
+    /// itself: it may hold flows already, and entries search only the agents that
+    /// they know.
     pub fn announce_early(&mut self, now: Duration, host: &platform::Settings) {
         let Some(service) = host.service.as_ref() else {
             return;
         };
         let service = name::service(service);
-        self.announcer = Some(self.announcer_of(now, service, self.own.target, 1));
+        self.announcer = Some(self.new_announcer(now, service, self.own.target, 1));
     }
 
-    fn announcer_of(
+    fn new_announcer(
         &self,
         now: Duration,
         service: ServiceAddress,
@@ -191,8 +192,8 @@
         Announcer::new(settings, target, self.seeds.clone(), fastrand::u64(..), now)
     }
 
-    /// Announces to further entries where those that are known do not answer.
-    fn know(&mut self, now: Duration, entries: Vec<SocketAddr>) {
+    /// Adds entries that can be announced to if the known ones do not answer.
+    fn add_entries(&mut self, now: Duration, entries: Vec<SocketAddr>) {
         if let Some(announcer) = &mut self.announcer {
             announcer.know(now, &entries);
         }
@@ -203,17 +204,18 @@
         }
     }
 
-    /// Notes that the backend server ends.
-    fn end(&mut self, name: &str) {
-        if let Some(held) = &mut self.backend
-            && held.name == name
+    /// Marks the backend server as ended if it has this name.
+    fn mark_ended(&mut self, name: &str) {
+        if let Some(last) = &mut self.backend
+            && last.name == name
         {
-            held.state = State::Gone;
+            last.state = State::Gone;
             self.traffic.handle(Event::Gone);
         }
     }
 
-    /// Takes no new flows; leaves for good where the backend server has ended.
+    /// Stops taking new flows. Announces the departure of the backend server if it
+    /// has ended.
     fn stop(&mut self, now: Duration) {
         self.traffic.handle(Event::Stop);
         let has_ended = self
@@ -235,7 +237,7 @@
         announcer.announce(now, Change { weight, state });
     }
 
-    async fn next(&self) -> Option<Input> {
+    async fn next_input(&self) -> Option<Input> {
         let now = self.origin.elapsed();
         let due = self.announcer.as_ref().map(Announcer::next_deadline);
         let due = due.unwrap_or(now + IDLE).min(now + IDLE);
@@ -248,7 +250,8 @@
     }
 }
 
-/// The other agents of the service.
+/// Returns the other agents of the service that may hold flows, and whether one of
+/// them is marked down.
 fn peers(announcer: &Announcer) -> Peers {
     let own = announcer.target().id;
     let members = || {
--- a/roles/app/src/sidecar/seeds.rs
+++ b/roles/app/src/sidecar/seeds.rs
@@ -1,4 +1,4 @@
-//! Finds entries to announce to, beside those that the settings name.
+//! Discovers entries to announce to, in addition to the seeds in the settings.
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -9,31 +9,33 @@
 
 use crate::sidecar::control::Input;
 
-/// Pause before the store is asked again. Doubles up to the longest.
-const FIRST_PAUSE: Duration = Duration::from_millis(500);
+/// Initial backoff between two store calls, before jitter; doubles up to
+/// [`MAX_BACKOFF`].
+const MIN_BACKOFF: Duration = Duration::from_millis(500);
 
-/// Longest such pause.
-const LAST_PAUSE: Duration = Duration::from_secs(8);
+/// Longest backoff between two store calls, before jitter.
+const MAX_BACKOFF: Duration = Duration::from_secs(8);
 
-/// Tells the control thread of the entries that the store lists, once it lists
-/// any. The announcements tell of all others.
-pub async fn find(store: impl Store, host: platform::Settings, control: Sender<Input>) {
-    let mut pause = FIRST_PAUSE;
+/// Sends the entries that the store lists to the control thread, and ends once
+/// the store lists one that is not a seed. Further entries are learned through the
+/// membership protocol.
+pub async fn discover(store: impl Store, host: platform::Settings, control: Sender<Input>) {
+    let mut backoff = MIN_BACKOFF;
     loop {
         match store.list_stale(name::ENTRIES).await {
             Ok(listing) => {
                 let keys = listing.items.iter();
                 let entries: Vec<SocketAddr> =
                     keys.filter_map(|item| name::entry(&item.key)).collect();
-                let is_found = entries.iter().any(|one| !host.seed_frames().contains(one));
+                let has_new = entries.iter().any(|one| !host.seed_frames().contains(one));
                 let is_closed = control.send(Input::Entries(entries)).await.is_err();
-                if is_found || is_closed {
+                if has_new || is_closed {
                     return;
                 }
             }
-            Err(fault) => log::warn!("the store lists no entries: {fault}"),
+            Err(fault) => log::warn!("cannot list the entries in the store: {fault}"),
         }
-        Timer::after(pause.mul_f64(0.5 + fastrand::f64())).await;
-        pause = (pause * 2).min(LAST_PAUSE);
+        Timer::after(backoff.mul_f64(0.5 + fastrand::f64())).await;
+        backoff = (backoff * 2).min(MAX_BACKOFF);
     }
 }
--- a/roles/app/src/sidecar/traffic.rs
+++ b/roles/app/src/sidecar/traffic.rs
@@ -1,4 +1,4 @@
-//! Carries packets between entries and the backend server.
+//! Forwards packets between entries and the backend server.
 use std::io;
 use std::net::SocketAddr;
 use std::net::UdpSocket;
@@ -20,48 +20,48 @@
 use wire::Frame;
 use wire::Transit;
 
-use crate::carried::event::flow as name;
+use crate::carried::event::flow_name;
 use crate::carried::link::Link;
 use crate::carried::reader;
 use crate::event as log;
 use crate::metric;
-use crate::metric::Board;
-use crate::metric::carried::record;
+use crate::metric::Instruments;
+use crate::metric::forwarding::record;
 use crate::sidecar::control;
 
-/// What the threads of a sidecar share.
+/// State shared by the threads of a sidecar.
 pub struct Traffic {
-    /// The decisions.
+    /// The core, which decides and does no I/O.
     pub core: Mutex<Agent>,
-    /// What packets and frames are sent with.
+    /// Sockets, log and metrics.
     pub link: Link,
     /// UDP address of the backend server.
     pub backend: SocketAddr,
-    /// Where control messages go; they are dropped while it is full.
+    /// Queue of inputs to the control thread; inputs are dropped while it is full.
     pub control: Sender<control::Input>,
 }
 
-/// Starts the reading threads.
+/// Starts the threads that read the backend server's packets and frames.
 ///
 /// # Errors
 ///
-/// The operating system's error where no thread can be started.
+/// Returns the operating system's error if a thread cannot be started.
 pub fn start(traffic: &Arc<Traffic>, servers: UdpSocket) -> io::Result<()> {
     let shared = Arc::clone(traffic);
-    reader::spawn_packets("servers", servers, move |packet| shared.server(packet))?;
+    reader::spawn_packets("servers", servers, move |packet| shared.on_packet(packet))?;
     let shared = Arc::clone(traffic);
     reader::spawn_frames(
         "frames",
         &traffic.link.port,
         move |received| match received {
-            Some(received) => shared.frame(received),
+            Some(received) => shared.on_frame(received),
             None => shared.handle(Event::Tick),
         },
     )
 }
 
 impl Traffic {
-    /// Gives the core an event, and does what it asks.
+    /// Passes an event to the core, and executes the resulting actions.
     pub fn handle(&self, event: Event) {
         let mut actions = Vec::new();
         self.lock().handle(self.link.now(), event, &mut actions);
@@ -70,33 +70,37 @@
         }
     }
 
-    /// Whether requests are under way.
+    /// Returns whether requests are running or waiting.
     pub fn is_busy(&self) -> bool {
         self.lock().is_busy()
     }
 
-    /// Whether the backend server takes new flows.
+    /// Returns whether the backend server takes new flows.
     pub fn is_open(&self) -> bool {
         self.lock().is_open(self.link.now())
     }
 
-    /// Copies what was counted to a board.
+    /// Copies the counters and gauges to the instruments.
     ///
     /// # Errors
     ///
-    /// [`metric::Error::Unknown`] where a metric is not in the table.
-    pub fn publish(&self, board: &mut Board, calls: &Calls) -> Result<(), metric::Error> {
-        self.link.publish(board, calls)?;
+    /// Returns [`metric::Error::Unknown`] if a metric is not in the table.
+    pub fn publish(
+        &self,
+        instruments: &mut Instruments,
+        calls: &Calls,
+    ) -> Result<(), metric::Error> {
+        self.link.publish(instruments, calls)?;
         let core = self.lock();
-        board.set_size("carried.flows", core.len())?;
-        board.set("carried.running", "", core.running().into())
+        instruments.set_size("carried.flows", core.len())?;
+        instruments.set("carried.running", "", core.running().into())
     }
 
     fn lock(&self) -> MutexGuard<'_, Agent> {
         self.core.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn server(&self, packet: &mut [u8]) {
+    fn on_packet(&self, packet: &mut [u8]) {
         self.link.count("carried.packets", "from_server");
         match packet::decode(packet) {
             Ok(segment) => {
@@ -108,7 +112,7 @@
         }
     }
 
-    fn frame(&self, received: Received) {
+    fn on_frame(&self, received: Received) {
         let transit = match received.frame {
             Frame::Transit(transit) => transit,
             Frame::Control(payload) => {
@@ -121,7 +125,7 @@
             }
             _ => return self.link.drop_packet("unexpected"),
         };
-        match event(transit) {
+        match event_from(transit) {
             Ok(Some(event)) => self.handle(event),
             Ok(None) => self.link.drop_packet("unexpected"),
             Err(error) => self.link.drop_packet(error.name()),
@@ -133,29 +137,29 @@
         match action {
             Action::Deliver(packet) => {
                 link.count("carried.packets", "to_server");
-                link.packet(self.backend, &packet);
+                link.send_packet(self.backend, &packet);
             }
             Action::ToCaller { caller, packet } => {
                 link.count("carried.packets", "to_caller");
-                link.to_caller(caller, &packet);
+                link.send_to_caller(caller, &packet);
             }
-            Action::Send { to, transit } => link.frame(to, transit),
+            Action::Send { to, transit } => link.send_frame(to, transit),
             Action::Reset {
                 flow,
                 sequence,
                 reason,
                 bids,
             } => {
-                let detail = format!("bids {bids:?} ms");
-                link.reset(&flow, sequence, refused(reason), detail);
+                let detail = format!("bids of the agents asked: {bids:?} ms");
+                link.reset_flow(&flow, sequence, refusal_label(reason), detail);
             }
             Action::Answered { took } => record(&link.report.request_time, took),
-            decision => self.decided(&decision),
+            decision => self.report(&decision),
         }
     }
 
-    /// Counts and logs a decision that has been carried out.
-    fn decided(&self, decision: &Action) {
+    /// Counts and logs a decision of the core.
+    fn report(&self, decision: &Action) {
         let link = &self.link;
         match decision {
             Action::Taken {
@@ -167,7 +171,7 @@
             } => {
                 link.count("carried.flows.taken", "");
                 self.link.log(&log::Event::FlowTaken {
-                    flow: name(flow),
+                    flow: flow_name(flow),
                     wait_us: bid.wait.as_micros(),
                     held_us: bid.held.as_micros(),
                     risk_us: bid.risk.as_micros(),
@@ -188,7 +192,7 @@
                     Err(closed) => format!("{closed:?}").to_lowercase(),
                 };
                 self.link.log(&log::Event::FlowPassed {
-                    flow: name(flow),
+                    flow: flow_name(flow),
                     bid,
                     to: *to,
                     settled: *is_settled,
@@ -196,24 +200,24 @@
             }
             Action::Failed { flow } => {
                 link.count("carried.requests.failed", "");
-                let flow = name(flow);
+                let flow = flow_name(flow);
                 self.link.log(&log::Event::RequestFailed { flow });
             }
             Action::Probed { flow } => {
                 link.count("carried.tries", "");
-                let flow = name(flow);
+                let flow = flow_name(flow);
                 self.link.log(&log::Event::FlowTried { flow });
             }
             Action::Returned { flow, was_held } => {
                 link.count("carried.returned", "");
-                let flow = name(flow);
+                let flow = flow_name(flow);
                 let was_held = *was_held;
                 self.link.log(&log::Event::FlowReturned { flow, was_held });
             }
             Action::Unheld { flow, agents, took } => {
                 link.count("carried.searches.ended", "nobody");
                 self.link.log(&log::Event::FlowUnheld {
-                    flow: name(flow),
+                    flow: flow_name(flow),
                     agents: *agents,
                     took_us: took.as_micros(),
                 });
@@ -226,7 +230,7 @@
             } => {
                 link.count("carried.searches.ended", "undecided");
                 self.link.log(&log::Event::FlowUndecided {
-                    flow: name(flow),
+                    flow: flow_name(flow),
                     denied: *denied,
                     agents: *agents,
                     is_complete: *is_complete,
@@ -250,7 +254,7 @@
     }
 }
 
-const fn refused(reason: Refusal) -> &'static str {
+const fn refusal_label(reason: Refusal) -> &'static str {
     match reason {
         Refusal::NoSlot => "no_slot",
         Refusal::NotAccepted => "not_accepted",
@@ -258,9 +262,13 @@
     }
 }
 
-/// The event that a frame is to the core, or `None` where a sidecar takes none
-/// of its kind.
-fn event(transit: Transit) -> Result<Option<Event>, packet::Error> {
+/// Returns the core's event for a frame, or `None` if a sidecar does not handle
+/// this kind of frame.
+///
+/// # Errors
+///
+/// Returns the error of decoding the packet in the frame.
+fn event_from(transit: Transit) -> Result<Option<Event>, packet::Error> {
     Ok(match transit {
         Transit::Open(open) => {
             let segment = packet::decode(&open.packet)?;
--- a/roles/app/src/signal.rs
+++ b/roles/app/src/signal.rs
@@ -7,18 +7,19 @@
 use signal_hook::consts::SIGTERM;
 use signal_hook::iterator::Signals;
 
-/// What a signal asks for.
+/// Request that a signal stands for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
     /// SIGTERM or SIGINT: stop and leave for good.
     Stop,
-    /// SIGHUP: make room for a successor on the same host.
+    /// SIGHUP: hand over to a successor on the same host.
     Replace,
 }
 
-/// Returns the signals that this process receives from now on.
+/// Returns a channel of the signals that this process receives from now on. The
+/// channel is closed at once if the handlers cannot be installed.
 #[must_use]
-pub fn watch() -> Receiver<Signal> {
+pub fn subscribe() -> Receiver<Signal> {
     let (sender, receiver) = async_channel::unbounded();
     let Ok(mut signals) = Signals::new([SIGTERM, SIGINT, SIGHUP]) else {
         return receiver;
--- a/roles/app/src/watch.rs
+++ b/roles/app/src/watch.rs
@@ -1,4 +1,4 @@
-//! Compares successive views of the services and tells what changed.
+//! Detects changes between successive views of services, for the log.
 use std::collections::HashMap;
 
 use member::Health;
@@ -11,9 +11,9 @@
 
 use crate::event::Event;
 
-/// What was last seen of all services.
+/// Last seen revision of each service and phase of each target.
 #[derive(Clone, Debug, Default)]
-pub struct Watch {
+pub struct Tracker {
     revisions: HashMap<ServiceAddress, Revision>,
     targets: HashMap<TargetId, Phase>,
 }
@@ -26,34 +26,39 @@
     Left,
 }
 
-impl Watch {
-    /// Takes a view and returns what changed since the last one of its service.
-    pub fn view(&mut self, view: &View) -> Vec<Event> {
+impl Tracker {
+    /// Records a view and returns events for the changes since the last view of the
+    /// same service.
+    pub fn update(&mut self, view: &View) -> Vec<Event> {
         let revision = view.config.as_ref().map(|config| config.revision);
         let mut events: Vec<Event> = revision
-            .and_then(|revision| self.revision(view.address, revision))
+            .and_then(|revision| self.update_revision(view.address, revision))
             .into_iter()
             .collect();
         events.extend(
             view.targets
                 .values()
-                .filter_map(|member| self.member(member)),
+                .filter_map(|member| self.update_member(member)),
         );
         events
     }
 
-    /// Takes the revision of a service and returns what changed.
-    pub fn revision(&mut self, service: ServiceAddress, revision: Revision) -> Option<Event> {
+    /// Records the revision of a service and returns an event if it changed.
+    pub fn update_revision(
+        &mut self,
+        service: ServiceAddress,
+        revision: Revision,
+    ) -> Option<Event> {
         let before = self.revisions.insert(service, revision);
         (before != Some(revision)).then_some(Event::InForce { service, revision })
     }
 
-    /// Takes a target and returns what changed.
-    pub fn member(&mut self, member: &Member) -> Option<Event> {
+    /// Records a target and returns an event if its phase changed.
+    pub fn update_member(&mut self, member: &Member) -> Option<Event> {
         let phase = phase(member);
         let target = member.target.id;
         let before = self.targets.insert(target, phase);
-        (before != Some(phase)).then(|| event(member.target.service, target, phase))
+        (before != Some(phase)).then(|| event_for(member.target.service, target, phase))
     }
 }
 
@@ -66,7 +71,7 @@
     }
 }
 
-const fn event(service: ServiceAddress, target: TargetId, phase: Phase) -> Event {
+const fn event_for(service: ServiceAddress, target: TargetId, phase: Phase) -> Event {
     match phase {
         Phase::Up => Event::TargetUp { service, target },
         Phase::Draining => Event::TargetDraining { service, target },
--- a/roles/app/tests/event.rs
+++ b/roles/app/tests/event.rs
@@ -1,4 +1,4 @@
-//! The catalogue of events.
+//! Tests of the catalogue of events and of the log formats.
 use std::fs;
 use std::path::Path;
 
@@ -17,7 +17,7 @@
     }
 }
 
-/// Encodes a record that carries `event`, as the log does.
+/// Encodes a record that carries `event` in the same way as the log.
 fn encode(format: Format, event: &Event) -> String {
     let mut writer = SimpleWriter(Vec::new());
     let number = event.number();
@@ -37,33 +37,34 @@
 }
 
 #[test]
-fn page_matches_the_code() {
+fn events_page_matches_the_catalogue() {
     let page = include_str!("../../../docs/EVENTS.md");
     assert!(
         page == event::page(),
-        "write it again with `greengagelug help events > docs/EVENTS.md`"
+        "regenerate it with `greengagelug help events > docs/EVENTS.md`"
     );
 }
 
 #[test]
-fn numbers_rise() {
+fn numbers_are_unique_and_ascending() {
     assert!(CATALOGUE.is_sorted_by(|a, b| a.number < b.number));
 }
 
 #[test]
-fn warnings_have_a_remedy() {
+fn only_informational_events_have_no_remedy() {
     for entry in CATALOGUE {
-        let idle = entry.remedy == "nothing";
-        assert_eq!(idle, entry.level == Level::Info, "{}", entry.name);
+        let has_no_remedy = entry.remedy == "nothing";
+        assert_eq!(has_no_remedy, entry.level == Level::Info, "{}", entry.name);
     }
 }
 
-/// Every event is written somewhere in the code.
+/// Guards against events that stay in the catalogue after the code that logs them
+/// is gone.
 #[test]
-fn events_are_used() {
+fn every_event_is_logged_somewhere_in_the_sources() {
     let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
     let mut text = String::new();
-    read(&source, &mut text);
+    append_sources(&source, &mut text);
     for entry in CATALOGUE {
         assert!(
             text.contains(&format!("Event::{} {{", entry.name)),
@@ -73,11 +74,11 @@
     }
 }
 
-fn read(directory: &Path, text: &mut String) {
+fn append_sources(directory: &Path, text: &mut String) {
     for entry in fs::read_dir(directory).expect("the sources can be listed") {
         let path = entry.expect("the sources can be listed").path();
         if path.is_dir() {
-            read(&path, text);
+            append_sources(&path, text);
         } else {
             *text += &fs::read_to_string(&path).expect("the sources can be read");
         }
@@ -85,20 +86,20 @@
 }
 
 #[test]
-fn text_has_its_fields() {
+fn text_contains_the_fields() {
     assert_eq!(stopped().to_string(), "entry has stopped");
     assert_eq!(stopped().number(), 1002);
     assert_eq!(stopped().level(), Level::Info);
 }
 
 #[test]
-fn readable_line_has_the_number() {
+fn readable_line_contains_the_event_number() {
     let line = encode(Format::Readable, &stopped());
     assert!(line.ends_with(" INFO  1002 entry has stopped\n"), "{line}");
 }
 
 #[test]
-fn json_line_has_the_number() {
+fn json_line_contains_the_event_number() {
     let line = encode(Format::Json, &stopped());
     let value: serde_json::Value = serde_json::from_str(&line).expect("the line is JSON");
     assert_eq!(value["attributes"]["event"], "1002");
--- a/roles/app/tests/journal.rs
+++ b/roles/app/tests/journal.rs
@@ -1,17 +1,17 @@
-//! The bounded log of decisions. In a file of its own, since a process has one
-//! logger.
+//! Test of the rate limit of the log. It has its own file because a process can
+//! install only one logger.
 use std::sync::atomic::AtomicUsize;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use app::carried::event::Journal;
+use app::carried::event::Limiter;
 use app::event::Event;
 use log::LevelFilter;
 use log::Log;
 use log::Metadata;
 use log::Record;
 
-/// Counts the lines.
+/// Logger that counts the lines it receives.
 struct Counter(AtomicUsize);
 
 static LINES: Counter = Counter(AtomicUsize::new(0));
@@ -28,17 +28,19 @@
     fn flush(&self) {}
 }
 
-fn lines(journal: &Journal, seconds: u64, a_second: u64, event: &Event) -> usize {
+/// Logs an event `a_second` times a second and returns the number of lines that
+/// reached the logger.
+fn lines(limiter: &Limiter, seconds: u64, a_second: u64, event: &Event) -> usize {
     let before = LINES.0.load(Ordering::Relaxed);
     for number in 0..seconds * a_second {
         let now = Duration::from_micros(number * 1_000_000 / a_second);
-        journal.log(now, event);
+        limiter.log(now, event);
     }
     LINES.0.load(Ordering::Relaxed) - before
 }
 
 #[test]
-fn each_kind_of_event_has_a_bounded_rate() {
+fn each_kind_of_event_is_rate_limited_and_warnings_get_a_higher_rate() {
     log::set_logger(&LINES).unwrap();
     log::set_max_level(LevelFilter::Trace);
     let dropped = Event::PacketDropped {
@@ -48,10 +50,10 @@
         rounds: 3,
         flow: "100.64.0.7:40001>198.18.0.1:443".into(),
     };
-    let few = lines(&Journal::default(), 10, 5, &dropped);
+    let few = lines(&Limiter::default(), 10, 5, &dropped);
     assert_eq!(few, 50);
-    let many = lines(&Journal::default(), 10, 5_000, &dropped);
+    let many = lines(&Limiter::default(), 10, 5_000, &dropped);
     assert!((200..=270).contains(&many), "{many}");
-    let warnings = lines(&Journal::default(), 10, 5_000, &lost);
+    let warnings = lines(&Limiter::default(), 10, 5_000, &lost);
     assert!(warnings > 2 * many, "{warnings} warnings, {many} others");
 }
--- a/roles/app/tests/metric.rs
+++ b/roles/app/tests/metric.rs
@@ -1,11 +1,11 @@
-//! The metrics of a process.
+//! Tests of the metrics: table, reading and text formats.
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
 use app::metric;
-use app::metric::Board;
 use app::metric::Error;
+use app::metric::Instruments;
 use app::metric::METRICS;
 use app::metric::Metrics;
 use app::metric::Sample;
@@ -21,16 +21,16 @@
 }
 
 #[test]
-fn page_matches_the_code() {
+fn metrics_page_matches_the_table() {
     let page = include_str!("../../../docs/METRICS.md");
     assert!(
         page == metric::page(),
-        "write it again with `greengagelug help metrics > docs/METRICS.md`"
+        "regenerate it with `greengagelug help metrics > docs/METRICS.md`"
     );
 }
 
 #[test]
-fn names_are_unique() {
+fn metric_names_are_unique() {
     for metric in METRICS {
         let count = METRICS
             .iter()
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn reads_counters_by_reason_and_gauges() {
+fn reading_returns_current_counters_by_reason_and_gauges() {
     let metrics = Metrics::new();
     let overloaded = metrics
         .cell("requests.refused", "overloaded")
@@ -70,13 +70,13 @@
 }
 
 #[test]
-fn refuses_a_metric_that_is_not_in_the_table() {
+fn registering_a_metric_outside_the_table_fails() {
     let result = Metrics::new().cell("flaws", "");
     assert!(matches!(result, Err(Error::Unknown(name)) if name == "flaws"));
 }
 
 #[test]
-fn status_of_an_agent_is_in_the_table() {
+fn all_metrics_of_an_agent_are_in_the_table() {
     let address = SocketAddr::from(([127, 0, 0, 1], 7000));
     let target = Target {
         id: 1,
@@ -91,27 +91,27 @@
         state: State::Ready,
     };
     let core = agent::Agent::new(agent::Settings::default(), target, 1, Duration::ZERO);
-    let mut board = Board::default();
-    metric::agent::publish(&mut board, &core.status()).expect("all are in the table");
-    let samples = board.read().expect("can be read");
+    let mut instruments = Instruments::default();
+    metric::agent::publish(&mut instruments, &core.status()).expect("all are in the table");
+    let samples = instruments.read().expect("can be read");
     assert!(samples.contains(&sample("flows", "", 0)), "{samples:?}");
     assert!(metric::line(&samples).contains("flows=0 "));
 }
 
 #[test]
-fn reason_is_shown_in_braces() {
+fn line_shows_the_reason_in_braces() {
     let samples = [sample("port.refused", "bad_tag", 3), sample("flows", "", 1)];
     assert_eq!(metric::line(&samples), "port.refused{bad_tag}=3 flows=1");
 }
 
 #[test]
-fn a_histogram_is_written_with_its_buckets() {
-    let board = Board::default();
-    let histogram = board.histogram("carried.open.time").unwrap();
+fn prometheus_text_contains_buckets_sum_and_count_of_a_histogram() {
+    let instruments = Instruments::default();
+    let histogram = instruments.histogram("carried.open.time").unwrap();
     for time in [150, 150, 3_000] {
         histogram.record(time, &[]);
     }
-    let text = metric::text(&board.read().unwrap());
+    let text = metric::text(&instruments.read().unwrap());
     for line in [
         "# TYPE greengagelug_carried_open_time histogram",
         "greengagelug_carried_open_time_bucket{le=\"100\"} 0",
@@ -128,16 +128,18 @@
 }
 
 #[test]
-fn counters_are_written_with_their_reason() {
-    let mut board = Board::default();
-    board.set("carried.flows.reset", "no_slot", 4).unwrap();
-    let text = metric::text(&board.read().unwrap());
+fn prometheus_text_labels_counters_with_their_reason() {
+    let mut instruments = Instruments::default();
+    instruments
+        .set("carried.flows.reset", "no_slot", 4)
+        .unwrap();
+    let text = metric::text(&instruments.read().unwrap());
     let line = "greengagelug_carried_flows_reset{reason=\"no_slot\"} 4";
     assert!(text.contains(line), "{text}");
 }
 
 #[test]
-fn a_counter_is_no_histogram() {
-    let result = Board::default().histogram("carried.dropped");
+fn creating_a_histogram_for_a_counter_fails() {
+    let result = Instruments::default().histogram("carried.dropped");
     assert!(matches!(result, Err(Error::Unknown(_))));
 }
--- a/roles/app/tests/peer.rs
+++ b/roles/app/tests/peer.rs
@@ -1,4 +1,4 @@
-//! Calls between agents, over real sockets.
+//! Tests of calls between agents over TCP on the loopback interface.
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -28,7 +28,8 @@
     incarnation: 2,
 };
 
-/// Serves calls with a key; the calls arrive at the receiver.
+/// Starts a server of calls with a key. Returns its address and the receiver of the
+/// calls.
 async fn serve(seal: Seal) -> (SocketAddr, Receiver<Input>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("binds");
     let address = listener.local_addr().expect("is bound");
@@ -37,7 +38,7 @@
     (address, inputs)
 }
 
-/// Calls a peer whose core has exited.
+/// Calls a peer whose core has exited, and returns the answer.
 fn call_after_exit(call: &Call) -> Result<Answer, Failure> {
     smol::block_on(async {
         let (address, inputs) = serve(Keys::default().seal()).await;
@@ -48,7 +49,7 @@
 }
 
 #[test]
-fn an_offer_that_no_core_takes_did_not_run() {
+fn an_offer_after_the_core_exited_is_answered_as_not_run() {
     let service = SocketAddr::from(([127, 0, 0, 9], 5000));
     let offer = Offer {
         id: offer::Id {
@@ -70,7 +71,7 @@
 }
 
 #[test]
-fn a_claim_that_no_core_takes_finds_nothing() {
+fn a_claim_after_the_core_exited_is_answered_as_unreachable() {
     let claim = Claim {
         target: 1,
         incarnation: 3,
@@ -84,7 +85,7 @@
 }
 
 #[test]
-fn a_call_under_another_key_is_not_taken() {
+fn a_call_sealed_with_another_key_is_rejected() {
     let other = Key {
         id: 0,
         secret: [1; KEY_LEN],
--- a/roles/app/tests/watch.rs
+++ b/roles/app/tests/watch.rs
@@ -1,8 +1,8 @@
-//! What is logged of changes.
+//! Tests of the events for changed services and targets.
 use std::net::SocketAddr;
 
 use app::event::Event;
-use app::watch::Watch;
+use app::watch::Tracker;
 use member::Health;
 use member::Member;
 use wire::Target;
@@ -32,8 +32,8 @@
 }
 
 #[test]
-fn tells_each_state_once() {
-    let mut watch = Watch::default();
+fn each_state_of_a_target_is_reported_once() {
+    let mut tracker = Tracker::default();
     let (service, target) = (service(), TARGET);
     for (state, event) in [
         (State::Ready, Event::TargetUp { service, target }),
@@ -41,14 +41,14 @@
         (State::Left, Event::TargetLeft { service, target }),
     ] {
         let member = member(state, Health::Up);
-        assert_eq!(watch.member(&member), Some(event));
-        assert_eq!(watch.member(&member), None);
+        assert_eq!(tracker.update_member(&member), Some(event));
+        assert_eq!(tracker.update_member(&member), None);
     }
 }
 
 #[test]
-fn tells_that_a_target_is_down_and_up_again() {
-    let mut watch = Watch::default();
+fn a_target_marked_down_and_up_again_is_reported_and_a_suspected_one_is_not() {
+    let mut tracker = Tracker::default();
     let (service, target) = (service(), TARGET);
     for (health, event) in [
         (Health::Up, Some(Event::TargetUp { service, target })),
@@ -56,17 +56,17 @@
         (Health::Down, Some(Event::TargetDown { service, target })),
         (Health::Up, Some(Event::TargetUp { service, target })),
     ] {
-        assert_eq!(watch.member(&member(State::Ready, health)), event);
+        assert_eq!(tracker.update_member(&member(State::Ready, health)), event);
     }
 }
 
 #[test]
-fn tells_each_revision_once() {
-    let mut watch = Watch::default();
+fn each_revision_of_a_service_is_reported_once() {
+    let mut tracker = Tracker::default();
     let service = service();
     for revision in [3, 4] {
         let event = Event::InForce { service, revision };
-        assert_eq!(watch.revision(service, revision), Some(event));
-        assert_eq!(watch.revision(service, revision), None);
+        assert_eq!(tracker.update_revision(service, revision), Some(event));
+        assert_eq!(tracker.update_revision(service, revision), None);
     }
 }
