--- a/roles/app/src/agent/control.rs
+++ b/roles/app/src/agent/control.rs
@@ -128,6 +128,7 @@
         self.announcer.is_current() || self.origin.elapsed() >= FIRST_VIEW_TIMEOUT
     }
 
+    /// Waits for an input. Returns `None` once a deadline is due instead.
     async fn next_input(&self, now: Duration) -> Option<Input> {
         let due = self.announcer.next_deadline().min(now + IDLE);
         let tick = async {
--- a/roles/app/src/agent/driver.rs
+++ b/roles/app/src/agent/driver.rs
@@ -183,6 +183,8 @@
         });
     }
 
+    /// Calls a peer in the background with the default timeout, and sends the event
+    /// that `to_event` makes of the result to the core.
     fn call(
         &self,
         to: SocketAddr,
@@ -212,6 +214,8 @@
     }
 }
 
+/// Returns the core's view of a run's result, which tells whether the request may
+/// have been executed.
 fn completion(result: Result<bytes::Bytes, backend::Error>) -> Completion {
     match result {
         Ok(answer) => Completion::Completed(answer),
--- a/roles/app/src/carried/event.rs
+++ b/roles/app/src/carried/event.rs
@@ -60,6 +60,7 @@
 }
 
 impl State {
+    /// Takes a token for an event. Returns false if its bucket is empty.
     fn allows(&mut self, now: Duration, event: &Event) -> bool {
         let factor = match event.level() {
             Level::Error | Level::Warn => WARNING_FACTOR,
@@ -80,6 +81,7 @@
         allows
     }
 
+    /// Returns the number of suppressed lines and resets it, if a summary is due.
     fn take_dropped(&mut self, now: Duration) -> Option<u64> {
         if self.dropped == 0 || now < self.next_summary {
             return None;
--- a/roles/app/src/carried/link.rs
+++ b/roles/app/src/carried/link.rs
@@ -18,7 +18,7 @@
 use crate::event::Event;
 use crate::metric::Error;
 use crate::metric::Instruments;
-use crate::metric::forwarding::publish_calls;
+use crate::metric::forwarder::publish_calls;
 
 /// Sockets, log and metrics shared by the threads of a gateway or sidecar.
 pub struct Link {
--- a/roles/app/src/carried/report.rs
+++ b/roles/app/src/carried/report.rs
@@ -4,7 +4,7 @@
 use crate::carried::event::Limiter;
 use crate::metric::Error;
 use crate::metric::Instruments;
-use crate::metric::forwarding::Counts;
+use crate::metric::forwarder::Counts;
 
 /// Log, counters and latency histograms of the decisions.
 pub struct Report {
--- a/roles/app/src/entry.rs
+++ b/roles/app/src/entry.rs
@@ -140,10 +140,10 @@
 
 /// Waits for a stop signal, tells the store reader and the other entries that
 /// this one leaves, and then gives packets in flight time to arrive.
-async fn wait_for_stop(control: Sender<Input>, reading: Sender<Event>, limit: Duration) {
+async fn wait_for_stop(control: Sender<Input>, reader: Sender<Event>, limit: Duration) {
     let signals = signal::subscribe();
     let _ = signals.recv().await;
-    let _ = reading.send(Event::Stop).await;
+    let _ = reader.send(Event::Stop).await;
     let _ = control.send(Input::Leave).await;
     Timer::after(LINGER.min(limit)).await;
 }
--- a/roles/app/src/entry/control.rs
+++ b/roles/app/src/entry/control.rs
@@ -53,7 +53,7 @@
     Status(Sender<StatusReply>),
     /// A request for the metrics.
     Metrics(Sender<Vec<Sample>>),
-    /// The address of a caller's packet, of which no service is known.
+    /// Service address of a caller's packet that this entry does not know.
     UnknownService(ServiceAddress),
     /// A request to announce that this entry leaves.
     Leave,
@@ -96,6 +96,8 @@
         }
     }
 
+    /// Waits for an input or a deadline, handles it, and sends and publishes what
+    /// follows from it.
     async fn process_next(&mut self, actions: &mut Vec<Action>) {
         let input = self.next_input().await;
         let now = self.origin.elapsed();
@@ -170,6 +172,7 @@
         }
     }
 
+    /// Waits for an input. Returns `None` once a deadline is due instead.
     async fn next_input(&self) -> Option<Input> {
         let now = self.origin.elapsed();
         let due = self.registry.next_deadline().min(now + IDLE);
@@ -181,6 +184,7 @@
         input.or(tick).await
     }
 
+    /// Adds a service configuration to the directory.
     fn update_config(&mut self, now: Duration, update: &Update) {
         let Ok(body) = update.service.to_bytes() else {
             return;
--- a/roles/app/src/entry/discovery.rs
+++ b/roles/app/src/entry/discovery.rs
@@ -44,11 +44,11 @@
 #[derive(Debug, Default)]
 pub struct Discovery {
     settings: Settings,
-    searches: BTreeMap<ServiceAddress, Search>,
+    queries: BTreeMap<ServiceAddress, Query>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Search {
+struct Query {
     started: Duration,
     is_absent: bool,
 }
@@ -59,47 +59,46 @@
     pub fn new(settings: Settings) -> Self {
         Self {
             settings,
-            searches: BTreeMap::new(),
+            queries: BTreeMap::new(),
         }
     }
 
     /// Starts a query. Returns false if the service has one already or the limit
     /// is reached.
     pub fn start(&mut self, now: Duration, service: ServiceAddress) -> bool {
-        if self.searches.contains_key(&service) || self.searches.len() >= self.settings.max_services
-        {
+        if self.queries.contains_key(&service) || self.queries.len() >= self.settings.max_services {
             return false;
         }
-        let search = Search {
+        let query = Query {
             started: now,
             is_absent: false,
         };
-        self.searches.insert(service, search);
+        self.queries.insert(service, query);
         true
     }
 
     /// Returns whether the time for peers to answer has passed.
     #[must_use]
     pub fn has_timed_out(&self, service: ServiceAddress) -> bool {
-        self.searches
+        self.queries
             .get(&service)
-            .is_some_and(|search| search.is_absent)
+            .is_some_and(|query| query.is_absent)
     }
 
     /// Removes the query for a service that was found.
     pub fn finish(&mut self, service: ServiceAddress) {
-        self.searches.remove(&service);
+        self.queries.remove(&service);
     }
 
     /// Returns the queries that timed out or expired since the last call.
     pub fn take_due(&mut self, now: Duration) -> Vec<Outcome> {
         let settings = self.settings;
         let mut outcomes = Vec::new();
-        self.searches.retain(|service, search| {
-            let age = now.saturating_sub(search.started);
-            match search.is_absent {
+        self.queries.retain(|service, query| {
+            let age = now.saturating_sub(query.started);
+            match query.is_absent {
                 false if age >= settings.answer_timeout => {
-                    search.is_absent = true;
+                    query.is_absent = true;
                     outcomes.push(Outcome::Absent(*service));
                     true
                 }
--- a/roles/app/src/entry/edge.rs
+++ b/roles/app/src/entry/edge.rs
@@ -26,7 +26,7 @@
 /// Path on which an entry exchanges datagrams with callers.
 pub enum Edge {
     /// A fabric that encapsulates datagrams in frames.
-    Wrapped {
+    Encapsulated {
         /// UDP address of the fabric, to which packets for callers are sent.
         fabric: SocketAddr,
     },
@@ -46,7 +46,7 @@
     #[must_use]
     pub fn new(fabric: Option<SocketAddr>) -> Self {
         match fabric {
-            Some(fabric) => Self::Wrapped { fabric },
+            Some(fabric) => Self::Encapsulated { fabric },
             None => Self::Bound(Bound::default()),
         }
     }
--- a/roles/app/src/entry/traffic.rs
+++ b/roles/app/src/entry/traffic.rs
@@ -129,7 +129,7 @@
         match received.frame {
             Frame::Sprayed(sprayed) => self.relay(sprayed, entry),
             Frame::Reply(reply) => self.reply(reply),
-            Frame::Control(payload) => self.control(received.from, payload),
+            Frame::Control(payload) => self.enqueue_control(received.from, payload),
             Frame::Relay(_) | Frame::Pin(_) | Frame::Unpin(_) | Frame::Transit(_) => {
                 count(&self.counters.unexpected_frame);
             }
@@ -160,7 +160,7 @@
 
     fn reply(&self, reply: Reply) {
         match &self.edge {
-            Edge::Wrapped { fabric } => {
+            Edge::Encapsulated { fabric } => {
                 let sprayed = Sprayed {
                     caller: reply.caller,
                     service: reply.service,
@@ -174,7 +174,7 @@
         count(&self.counters.replied);
     }
 
-    fn control(&self, from: SocketAddr, payload: Bytes) {
+    fn enqueue_control(&self, from: SocketAddr, payload: Bytes) {
         if self
             .control
             .try_send(Input::Message { from, payload })
--- a/roles/app/src/gateway.rs
+++ b/roles/app/src/gateway.rs
@@ -110,7 +110,7 @@
     let metrics = SocketAddr::new(host.address, settings.0.metrics_port);
     let shared = Arc::clone(&traffic);
     let read = move |instruments: &mut Instruments| shared.publish(instruments, &http.counts());
-    metric::forwarding::serve(metrics, &executor, read, instruments).await?;
+    metric::forwarder::serve(metrics, &executor, read, instruments).await?;
     lifecycle::log_start(Role::Gateway, &host);
     let is_confirmed = Arc::new(AtomicBool::new(false));
     let follower = follow::run(store.clone(), sender.clone(), Arc::clone(&is_confirmed));
--- a/roles/app/src/gateway/control.rs
+++ b/roles/app/src/gateway/control.rs
@@ -82,6 +82,8 @@
         }
     }
 
+    /// Waits for an input or a deadline, handles it, and sends and publishes what
+    /// follows from it.
     async fn process_next(&mut self, actions: &mut Vec<Action>) {
         let input = self.next_input().await;
         let now = self.origin.elapsed();
@@ -167,6 +169,7 @@
         self.registry.join(now, &all);
     }
 
+    /// Waits for an input. Returns `None` once a deadline is due instead.
     async fn next_input(&self) -> Option<Input> {
         let now = self.origin.elapsed();
         let due = self.registry.next_deadline().min(now + IDLE);
@@ -178,6 +181,7 @@
         input.or(tick).await
     }
 
+    /// Adds a configuration read from the store to the directory.
     fn update_document(&mut self, now: Duration, bytes: Vec<u8>) {
         let version = match document::decode(&bytes) {
             Ok(table) => table.version,
--- a/roles/app/src/gateway/traffic.rs
+++ b/roles/app/src/gateway/traffic.rs
@@ -25,7 +25,7 @@
 use crate::gateway::control;
 use crate::metric;
 use crate::metric::Instruments;
-use crate::metric::forwarding::record;
+use crate::metric::forwarder::record;
 
 /// State shared by the threads of a gateway.
 pub struct Traffic {
--- a/roles/app/src/metric.rs
+++ b/roles/app/src/metric.rs
@@ -5,7 +5,7 @@
 //! metrics are read.
 pub mod agent;
 pub mod entry;
-pub mod forwarding;
+pub mod forwarder;
 mod instruments;
 mod reader;
 mod table;
--- a/roles/app/src/sidecar.rs
+++ b/roles/app/src/sidecar.rs
@@ -123,7 +123,7 @@
     let metrics = SocketAddr::new(host.address, settings.0.metrics_port);
     let shared = Arc::clone(&traffic);
     let read = move |instruments: &mut Instruments| shared.publish(instruments, &http.counts());
-    metric::forwarding::serve(metrics, &executor, read, instruments).await?;
+    metric::forwarder::serve(metrics, &executor, read, instruments).await?;
     lifecycle::log_start(Role::Sidecar, &host);
     let discovery = seeds::discover(store, host.clone(), sender.clone());
     executor.spawn(discovery).detach();
@@ -143,6 +143,7 @@
     Ok(())
 }
 
+/// Returns the settings of the core that follow from the platform's settings.
 fn core(host: &platform::Settings) -> Settings {
     let silence = host.heartbeat_ms.mul_f64(SILENCE_HEARTBEATS);
     Settings {
--- a/roles/app/src/sidecar/control.rs
+++ b/roles/app/src/sidecar/control.rs
@@ -91,6 +91,8 @@
         }
     }
 
+    /// Waits for an input or a deadline, handles it, and sends and publishes what
+    /// follows from it.
     async fn process_next(&mut self, actions: &mut Vec<Action>) {
         let input = self.next_input().await;
         let now = self.origin.elapsed();
@@ -237,6 +239,7 @@
         announcer.announce(now, Change { weight, state });
     }
 
+    /// Waits for an input. Returns `None` once a deadline is due instead.
     async fn next_input(&self) -> Option<Input> {
         let now = self.origin.elapsed();
         let due = self.announcer.as_ref().map(Announcer::next_deadline);
--- a/roles/app/src/sidecar/traffic.rs
+++ b/roles/app/src/sidecar/traffic.rs
@@ -26,7 +26,7 @@
 use crate::event as log;
 use crate::metric;
 use crate::metric::Instruments;
-use crate::metric::forwarding::record;
+use crate::metric::forwarder::record;
 use crate::sidecar::control;
 
 /// State shared by the threads of a sidecar.
