--- a/roles/app/src/entry/control.rs
+++ b/roles/app/src/entry/control.rs
@@ -147,6 +147,8 @@
         }
     }
 
+    /// Returns whether the service has a configuration that is deleted or cannot be
+    /// decoded.
     fn is_deleted(&self, address: &ServiceAddress) -> bool {
         self.registry
             .service(address)
--- a/roles/app/src/event.rs
+++ b/roles/app/src/event.rs
@@ -117,9 +117,9 @@
     2004 Error ConfigUnreadable { error: String }
         "cannot decode a configuration: {error}", "check the configuration that was last written to the store";
     2005 Warn StoreLost { fault: String }
-        "the store does not answer: {fault}", "check the platform's key-value service; existing flows continue";
+        "the store is unavailable: {fault}", "check the platform's key-value service; existing flows continue";
     2006 Info StoreRegained { }
-        "the store answers again", "nothing";
+        "the store is available again", "nothing";
     2007 Info Listed { key: String }
         "this process is registered in the store under {key}", "nothing";
     3001 Info TargetUp { service: ServiceAddress, target: TargetId }
--- a/roles/app/src/gateway/control.rs
+++ b/roles/app/src/gateway/control.rs
@@ -181,7 +181,8 @@
         input.or(tick).await
     }
 
-    /// Adds a configuration read from the store to the directory.
+    /// Adds a configuration read from the store to the directory, or logs that it
+    /// cannot be decoded.
     fn update_document(&mut self, now: Duration, bytes: Vec<u8>) {
         let version = match document::decode(&bytes) {
             Ok(table) => table.version,
--- a/roles/app/src/logger.rs
+++ b/roles/app/src/logger.rs
@@ -42,7 +42,7 @@
 /// Reason why the log could not be set up.
 #[derive(Debug, Display, Error)]
 pub enum Error {
-    /// the log is already set up in this process ({0}); set it up only once
+    /// the log is already set up; set it up only once in each process
     AlreadyStarted(#[from] log::SetLoggerError),
     /// the log's configuration is invalid ({0}); report this as a bug
     Config(#[from] ConfigErrors),
--- a/roles/app/src/sidecar.rs
+++ b/roles/app/src/sidecar.rs
@@ -65,7 +65,8 @@
 const MAX_HEARTBEAT_FACTOR: f64 = 1.25;
 
 /// Number of heartbeat intervals without an announcement after which a backend
-/// server gets no new flows.
+/// server gets no new flows. Also the time after the start for which a backend
+/// server that may have run before is assumed to be ready.
 const SILENCE_HEARTBEATS: f64 = 2.5;
 
 /// Runs the sidecar until it has stopped.
--- a/roles/app/tests/peer.rs
+++ b/roles/app/tests/peer.rs
@@ -48,6 +48,9 @@
     })
 }
 
+/// A request offered after the core exited has certainly not run. The answer must
+/// say so: without an answer the outcome is unknown, and a request that is not
+/// idempotent cannot be retried.
 #[test]
 fn an_offer_after_the_core_exited_is_answered_as_not_run() {
     let service = SocketAddr::from(([127, 0, 0, 9], 5000));
@@ -70,6 +73,8 @@
     );
 }
 
+/// A peer whose core has exited cannot return parked state and must say so, so
+/// that the claiming agent does not wait for it.
 #[test]
 fn a_claim_after_the_core_exited_is_answered_as_unreachable() {
     let claim = Claim {
@@ -84,6 +89,7 @@
     );
 }
 
+/// Guards against processes without the installation's key reaching the core.
 #[test]
 fn a_call_sealed_with_another_key_is_rejected() {
     let other = Key {
