--- a/roles/app/src/call.rs
+++ b/roles/app/src/call.rs
@@ -1,8 +1,9 @@
-//! A caller of services, and the load tool built on it.
+//! A client of services, and the load tool built on it.
 //!
-//! [`Caller`] is sans-IO: it holds flows open, repeats what is lost, gathers
-//! answers and decides when an operation is over. The load tool around it
-//! paces the operations and owns the socket.
+//! [`Caller`] is sans-IO: it keeps flows open, retransmits packets that got no
+//! reply, assembles answers from their chunks and decides when an operation has
+//! ended. The load tool ([`load`]) starts operations at a fixed rate and owns
+//! the socket.
 //!
 //! ```
 //! use std::time::Duration;
@@ -18,10 +19,10 @@
 //! assert!(matches!(caller.next_action(), Some(Action::Send(_))));
 //! assert_eq!(caller.next_action(), None);
 //! assert_eq!(caller.pending(), 1);
-//! // Without a reply the open is repeated.
-//! let due = caller.next_deadline().expect("a repeat is due");
+//! // Without a reply the open is retransmitted.
+//! let due = caller.next_deadline().expect("a retransmission is due");
 //! caller.tick(due);
-//! assert_eq!(caller.next_action(), Some(Action::Repeated));
+//! assert_eq!(caller.next_action(), Some(Action::Retransmitted));
 //! ```
 mod answer;
 mod backoff;
@@ -50,7 +51,11 @@
 pub use operation::Operation;
 pub use report::Report;
 
-/// Runs the load tool and prints its report.
+/// Runs the load tool, prints its report and writes the files that the settings
+/// name.
+///
+/// Returns [`exit::BROKEN`] if the report has violations, see
+/// [`Report::has_violations`].
 #[must_use]
 pub fn main(settings: &settings::Call) -> ExitCode {
     let report = match smol::block_on(load::run(settings.clone())) {
@@ -65,7 +70,7 @@
         eprintln!("greengagelug call: {error}; check --output and --plot");
         return ExitCode::from(exit::FAILED);
     }
-    if report.is_broken() {
+    if report.has_violations() {
         return ExitCode::from(exit::BROKEN);
     }
     ExitCode::SUCCESS
--- a/roles/app/src/call/answer.rs
+++ b/roles/app/src/call/answer.rs
@@ -1,35 +1,38 @@
-//! Gathers the chunks of one answer.
+//! Reassembly of one answer from its chunks.
 use bytes::Bytes;
 use wire::caller::Chunk;
 
 /// Largest number of chunks that an answer may have.
 pub const MAX_CHUNKS: u32 = 16_384;
 
-/// Largest number of chunks that one fetch may name.
-const MAX_FETCH: usize = 64;
+/// Largest number of chunks that one fetch requests.
+const MAX_FETCH_CHUNKS: usize = 64;
 
-/// The chunks of one answer that have arrived.
+/// The chunks of one answer received so far.
 #[derive(Clone, Debug, Default)]
 pub struct Answer {
     chunks: Vec<Option<Bytes>>,
     arrived: usize,
 }
 
-/// What a chunk did to an answer.
+/// Result of adding a chunk to an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// It was added; others are missing.
+    /// The chunk was added; others are still missing.
     Partial,
-    /// It was the last one missing.
+    /// The chunk was added and completes the answer.
     Complete,
-    /// It had arrived before.
+    /// The same chunk was received before.
     Duplicate,
-    /// It contradicts the chunks before it.
+    /// The chunk is malformed or contradicts earlier chunks.
     Invalid,
 }
 
 impl Answer {
     /// Adds a chunk.
+    ///
+    /// The first chunk fixes the number of chunks; a later one with another
+    /// count, or with another payload under the same index, is invalid.
     pub fn add(&mut self, chunk: Chunk) -> Progress {
         if chunk.count == 0 || chunk.count > MAX_CHUNKS || chunk.index >= chunk.count {
             return Progress::Invalid;
@@ -51,20 +54,25 @@
         }
     }
 
-    /// Whether any chunk has arrived.
+    /// Returns whether any chunk has been received.
     #[must_use]
-    pub const fn started(&self) -> bool {
+    pub const fn has_chunks(&self) -> bool {
         self.arrived > 0
     }
 
-    /// Indexes of missing chunks, as many as one fetch may name.
+    /// Returns the indexes of the first missing chunks, at most as many as one
+    /// fetch may request.
     #[must_use]
     pub fn missing(&self) -> Vec<u32> {
         let absent = (0..).zip(&self.chunks).filter(|(_, chunk)| chunk.is_none());
-        absent.map(|(index, _)| index).take(MAX_FETCH).collect()
+        absent
+            .map(|(index, _)| index)
+            .take(MAX_FETCH_CHUNKS)
+            .collect()
     }
 
-    /// The whole answer, as far as it has arrived.
+    /// Returns the received chunks in order, concatenated; this is the whole
+    /// answer once [`Progress::Complete`] was returned.
     #[must_use]
     pub fn into_bytes(self) -> Vec<u8> {
         self.chunks.into_iter().flatten().flatten().collect()
--- a/roles/app/src/call/backoff.rs
+++ b/roles/app/src/call/backoff.rs
@@ -1,12 +1,12 @@
-//! Jittered exponential backoff between repeats.
+//! Jittered exponential backoff for retransmissions and retries.
 use std::time::Duration;
 
-/// Jittered exponential backoff.
+/// Exponential backoff with jitter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Backoff {
-    /// Longest delay before the first repeat.
+    /// Upper bound of the first delay.
     pub first: Duration,
-    /// Longest delay before any repeat.
+    /// Upper bound of every delay.
     pub limit: Duration,
 }
 
@@ -20,8 +20,10 @@
 }
 
 impl Backoff {
-    /// Delay after transmission `attempt` (from 0): doubled each time up to the
-    /// limit, of which a random half is taken off.
+    /// Returns the delay after transmission number `attempt`, counted from 0.
+    ///
+    /// The upper bound doubles with each transmission up to the limit; the delay
+    /// is chosen at random between half of the upper bound and all of it.
     pub fn delay(&self, attempt: u32, random: &mut fastrand::Rng) -> Duration {
         let factor = 1_u32.checked_shl(attempt).unwrap_or(u32::MAX);
         let longest = self.first.saturating_mul(factor).min(self.limit);
--- a/roles/app/src/call/caller.rs
+++ b/roles/app/src/call/caller.rs
@@ -1,4 +1,4 @@
-//! The state machine of a caller.
+//! State machine of a caller.
 use std::collections::BTreeSet;
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -20,23 +20,24 @@
 
 mod request;
 
-/// Behaviour of a caller.
+/// Settings of a caller.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Name that the service's backend servers echo; empty to accept any.
     pub service: String,
-    /// How long an operation may take.
+    /// Longest time that an operation may take, retries included.
     pub deadline: Duration,
-    /// Smallest size of a payload in bytes.
+    /// Smallest size of a request's payload in bytes.
     pub payload: usize,
-    /// Largest number of requests that one operation sends under new ids.
-    pub tries: u32,
-    /// Repeats of what got no reply.
+    /// Largest number of requests that one operation sends, each under a new
+    /// id.
+    pub max_requests: u32,
+    /// Delays between retransmissions, and before retries after a refusal.
     pub backoff: Backoff,
-    /// Time without a new chunk after which missing ones are fetched.
-    pub fetch: Duration,
-    /// Transmissions of a close before it is given up.
-    pub closes: u32,
+    /// Time after the last new chunk at which missing chunks are fetched.
+    pub fetch_delay: Duration,
+    /// Largest number of transmissions of a close.
+    pub max_closes: u32,
     /// Seed of all random choices.
     pub seed: u64,
 }
@@ -47,45 +48,48 @@
             service: String::new(),
             deadline: Duration::from_secs(5),
             payload: 64,
-            tries: 5,
+            max_requests: 5,
             backoff: Backoff::default(),
-            fetch: Duration::from_millis(50),
-            closes: 5,
+            fetch_delay: Duration::from_millis(50),
+            max_closes: 5,
             seed: 0,
         }
     }
 }
 
-/// What a caller does or reports.
+/// A datagram that the caller sends, or an event that it reports.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Sends a datagram to the service address.
     Send(Bytes),
-    /// An operation is over.
+    /// An operation has ended.
     Ended(OperationId, Ending),
-    /// A request was refused; `name` is that in its payload.
+    /// A request was refused; the operation may still be retried.
     Refused {
-        /// The name in the request's payload.
+        /// Name of the request, as in its payload.
         name: String,
-        /// Why.
+        /// Reason of the refusal.
         reason: Reason,
-        /// Whether it may have run.
+        /// Whether the service may have run the request.
         outcome: Outcome,
     },
     /// A flow was opened.
     Opened,
-    /// The open of a flow was refused; it is tried again.
+    /// The open of a flow was refused; it is retried.
     OpenRefused(Reason),
-    /// An open flow was lost; another is opened in its place.
+    /// An open flow was lost; a new one is opened in its place.
     Broken(Reason),
-    /// A flow has ended as the caller asked.
+    /// A close of a flow was confirmed.
     Closed,
-    /// Something was sent again, or missing chunks were asked for.
-    Repeated,
-    /// A packet was ignored: unreadable, or of nothing that is in flight.
+    /// A packet was retransmitted, or missing chunks were fetched.
+    Retransmitted,
+    /// A received packet was ignored: it cannot be decoded, belongs to no flow
+    /// or request in flight, or is a duplicate.
     Ignored,
 }
 
+/// Scheduled timer of a flow. Timers are not removed when the time that they
+/// stand for changes; an outdated one is ignored when it fires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Timer {
     at: Duration,
@@ -93,18 +97,22 @@
     wake: Wake,
 }
 
+/// Purpose of a timer: the open or close of the flow, its deferred operations, or
+/// a request in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Wake {
     Flow,
-    Held,
+    Deferred,
     Request(RequestId),
 }
 
-/// The state machine of a caller; see the module [`crate::call`].
+/// Sans-IO state machine of a caller; see the module [`crate::call`].
+///
+/// All times are durations since a common start that the user chooses.
 pub struct Caller {
     settings: Settings,
     random: fastrand::Rng,
-    current: Vec<FlowKey>,
+    flow_keys: Vec<FlowKey>,
     flows: HashMap<FlowKey, Flow>,
     timers: BTreeSet<Timer>,
     actions: VecDeque<Action>,
@@ -119,7 +127,7 @@
         Self {
             random: fastrand::Rng::with_seed(settings.seed),
             settings,
-            current: Vec::new(),
+            flow_keys: Vec::new(),
             flows: HashMap::new(),
             timers: BTreeSet::new(),
             actions: VecDeque::new(),
@@ -130,77 +138,77 @@
 
     /// Opens one more flow and returns its index.
     pub fn open(&mut self, now: Duration) -> usize {
-        let index = self.current.len();
+        let index = self.flow_keys.len();
         let key = self.add_flow(index);
-        self.current.push(key);
+        self.flow_keys.push(key);
         self.send_open(now, key);
         index
     }
 
-    /// Number of flows, open or not.
+    /// Returns the number of flows, open or not.
     #[must_use]
     pub const fn flows(&self) -> usize {
-        self.current.len()
+        self.flow_keys.len()
     }
 
-    /// Number of flows that are open.
+    /// Returns the number of open flows.
     #[must_use]
     pub fn open_flows(&self) -> usize {
         self.flows.values().filter(|flow| flow.is_open()).count()
     }
 
-    /// Number of operations without an ending.
+    /// Returns the number of operations that have not ended.
     #[must_use]
     pub fn pending(&self) -> usize {
-        let pending = |flow: &Flow| flow.held.len() + flow.tries.len();
+        let pending = |flow: &Flow| flow.deferred.len() + flow.exchanges.len();
         self.flows.values().map(pending).sum()
     }
 
-    /// Asks for the end of all flows that are open.
+    /// Closes all open flows.
     pub fn close(&mut self, now: Duration) {
-        for key in self.current.clone() {
+        for key in self.flow_keys.clone() {
             let Some(flow) = self.flows.get_mut(&key) else {
                 continue;
             };
             if let State::Open(token) = &flow.state {
                 flow.state = State::Closing(token.clone());
-                flow.attempt = 0;
+                flow.transmissions = 0;
                 self.send_close(now, key);
             }
         }
     }
 
-    /// Number of flows whose close is not confirmed.
+    /// Returns the number of flows whose close is not confirmed.
     #[must_use]
     pub fn closing(&self) -> usize {
         let closing = |flow: &&Flow| matches!(flow.state, State::Closing(_));
         self.flows.values().filter(closing).count()
     }
 
-    /// Takes the next action, if any.
+    /// Removes and returns the next action, if any.
     pub fn next_action(&mut self) -> Option<Action> {
         self.actions.pop_front()
     }
 
-    /// When [`Caller::tick`] is next due.
+    /// Returns the time of the next timer, at which [`Caller::tick`] is due.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Duration> {
         self.timers.first().map(|timer| timer.at)
     }
 
-    /// Does what is due at `now`.
+    /// Handles all timers that are due at `now`.
     pub fn tick(&mut self, now: Duration) {
         while let Some(timer) = self.timers.first().copied().filter(|timer| timer.at <= now) {
             self.timers.pop_first();
             match timer.wake {
-                Wake::Flow => self.wake_flow(now, timer),
-                Wake::Held => self.release(now, timer.flow),
-                Wake::Request(request) => self.wake_request(now, timer, request),
+                Wake::Flow => self.handle_flow_timer(now, timer),
+                Wake::Deferred => self.send_due(now, timer.flow),
+                Wake::Request(request) => self.handle_request_timer(now, timer, request),
             }
         }
     }
 
-    /// Takes a datagram from the service address.
+    /// Handles a datagram received from the service address.
     pub fn receive(&mut self, now: Duration, datagram: Bytes) {
         let Ok(packet) = Packet::from_bytes(datagram) else {
             self.actions.push_back(Action::Ignored);
@@ -230,15 +238,16 @@
         let Some(flow) = self.flows.get_mut(&key) else {
             return;
         };
-        // The first holder that answers is kept.
+        // Several agents may accept the open; the first that replies stays the
+        // holder.
         if flow.state != State::Opening {
             self.actions.push_back(Action::Ignored);
             return;
         }
         flow.state = State::Open(token);
-        flow.refused = None;
+        flow.last_refusal = None;
         self.actions.push_back(Action::Opened);
-        self.release(now, key);
+        self.send_due(now, key);
     }
 
     fn open_refused(&mut self, now: Duration, key: FlowKey, refusal: &wire::caller::Refusal) {
@@ -249,11 +258,15 @@
             self.actions.push_back(Action::Ignored);
             return;
         }
-        flow.refused = Some(refusal.reason());
-        let pause = Duration::from_millis(refusal.retry_after_ms.into());
-        let pause = pause.max(self.settings.backoff.delay(flow.attempt, &mut self.random));
-        flow.repeat = now + pause;
-        let at = flow.repeat;
+        flow.last_refusal = Some(refusal.reason());
+        let delay = Duration::from_millis(refusal.retry_after_ms.into());
+        let delay = delay.max(
+            self.settings
+                .backoff
+                .delay(flow.transmissions, &mut self.random),
+        );
+        flow.retransmit_at = now + delay;
+        let at = flow.retransmit_at;
         self.actions
             .push_back(Action::OpenRefused(refusal.reason()));
         self.set_timer(at, key, Wake::Flow);
@@ -265,13 +278,14 @@
                 self.flows.remove(&key);
                 self.actions.push_back(Action::Closed);
             }
-            Some(State::Open(_)) => self.break_flow(now, key, Reason::FlowUnknown),
+            Some(State::Open(_)) => self.replace_flow(now, key, Reason::FlowUnknown),
             _ => self.actions.push_back(Action::Ignored),
         }
     }
 
-    /// Gives a flow up and opens another in its place.
-    fn break_flow(&mut self, now: Duration, key: FlowKey, reason: Reason) {
+    /// Marks a flow as broken and opens a new one under the same index, which
+    /// takes over the deferred operations.
+    fn replace_flow(&mut self, now: Duration, key: FlowKey, reason: Reason) {
         let Some(flow) = self.flows.get_mut(&key) else {
             return;
         };
@@ -280,29 +294,29 @@
         };
         flow.state = State::Broken(token.clone());
         let index = flow.index;
-        let held = std::mem::take(&mut flow.held);
-        let spent = flow.is_spent();
-        if spent {
+        let deferred = std::mem::take(&mut flow.deferred);
+        let finished = flow.is_finished();
+        if finished {
             self.flows.remove(&key);
         }
         self.actions.push_back(Action::Broken(reason));
-        let fresh = self.add_flow(index);
-        self.current[index] = fresh;
-        if let Some(flow) = self.flows.get_mut(&fresh) {
-            flow.held = held;
+        let new_key = self.add_flow(index);
+        self.flow_keys[index] = new_key;
+        if let Some(flow) = self.flows.get_mut(&new_key) {
+            flow.deferred = deferred;
         }
-        self.send_open(now, fresh);
-        self.release(now, fresh);
+        self.send_open(now, new_key);
+        self.send_due(now, new_key);
     }
 
-    fn wake_flow(&mut self, now: Duration, timer: Timer) {
+    fn handle_flow_timer(&mut self, now: Duration, timer: Timer) {
         let Some(flow) = self.flows.get(&timer.flow) else {
             return;
         };
         match flow.state {
-            _ if flow.repeat != timer.at => {}
+            _ if flow.retransmit_at != timer.at => {}
             State::Opening => self.send_open(now, timer.flow),
-            State::Closing(_) if flow.attempt >= self.settings.closes => {
+            State::Closing(_) if flow.transmissions >= self.settings.max_closes => {
                 self.flows.remove(&timer.flow);
             }
             State::Closing(_) => self.send_close(now, timer.flow),
@@ -314,7 +328,7 @@
         let Some(flow) = self.flows.get(&key) else {
             return;
         };
-        let attempt = flow.attempt;
+        let attempt = flow.transmissions;
         let body = Body::Open(wire::caller::Open { attempt });
         self.send_for_flow(now, key, body);
     }
@@ -331,17 +345,21 @@
         let Some(flow) = self.flows.get_mut(&key) else {
             return;
         };
-        let repeated = flow.attempt > 0;
-        flow.repeat = now + self.settings.backoff.delay(flow.attempt, &mut self.random);
-        flow.attempt += 1;
-        let at = flow.repeat;
-        self.send(key, body, repeated);
+        let is_retransmission = flow.transmissions > 0;
+        flow.retransmit_at = now
+            + self
+                .settings
+                .backoff
+                .delay(flow.transmissions, &mut self.random);
+        flow.transmissions += 1;
+        let at = flow.retransmit_at;
+        self.send(key, body, is_retransmission);
         self.set_timer(at, key, Wake::Flow);
     }
 
-    fn send(&mut self, key: FlowKey, body: Body, repeated: bool) {
-        if repeated {
-            self.actions.push_back(Action::Repeated);
+    fn send(&mut self, key: FlowKey, body: Body, is_retransmission: bool) {
+        if is_retransmission {
+            self.actions.push_back(Action::Retransmitted);
         }
         let bytes = Packet::new(key, body).to_bytes();
         self.actions.push_back(Action::Send(bytes));
--- a/roles/app/src/call/caller/request.rs
+++ b/roles/app/src/call/caller/request.rs
@@ -1,4 +1,4 @@
-//! The requests of a caller.
+//! Operations and requests of a caller.
 use std::time::Duration;
 
 use wire::FlowKey;
@@ -18,16 +18,16 @@
 use super::Wake;
 use crate::call::Answer;
 use crate::call::answer::Progress;
-use crate::call::flow::Held;
+use crate::call::flow::Deferred;
 use crate::call::operation::Ending;
+use crate::call::operation::Exchange;
 use crate::call::operation::Operation;
 use crate::call::operation::OperationId;
-use crate::call::operation::Try;
 use crate::call::payload;
 
 impl Caller {
-    /// Starts an operation on the flow with this index; it is sent once the
-    /// flow is open.
+    /// Starts an operation on the flow with this index and returns its
+    /// identifier. The request is sent once the flow is open.
     pub fn start(&mut self, now: Duration, flow: usize, idempotent: bool) -> OperationId {
         let id = self.next_operation;
         self.next_operation += 1;
@@ -37,137 +37,142 @@
             idempotent,
             started: now,
             deadline: now + self.settings.deadline,
-            tries: 0,
-            refused: None,
+            requests: 0,
+            last_refusal: None,
         };
-        self.hold(now, operation, now);
+        self.defer(now, operation, now);
         id
     }
 
-    /// Keeps an operation until `resume`, on the current flow of its index.
-    fn hold(&mut self, now: Duration, operation: Operation, resume: Duration) {
-        let key = self.current[operation.flow];
+    /// Defers an operation until `not_before` on the flow that now has its
+    /// index.
+    fn defer(&mut self, now: Duration, operation: Operation, not_before: Duration) {
+        let key = self.flow_keys[operation.flow];
         let Some(flow) = self.flows.get_mut(&key) else {
-            return self.end_held(&operation, None);
+            return self.end_deferred(&operation, None);
         };
-        flow.held.push(Held { operation, resume });
-        self.release(now, key);
+        flow.deferred.push(Deferred {
+            operation,
+            not_before,
+        });
+        self.send_due(now, key);
     }
 
-    /// Sends the held operations that may be sent, ends those that are too
-    /// late, and sets the timer for the others.
-    pub(super) fn release(&mut self, now: Duration, key: FlowKey) {
+    /// Sends the deferred operations that are due, ends those past their
+    /// deadline, and sets a timer for the others.
+    pub(super) fn send_due(&mut self, now: Duration, key: FlowKey) {
         let Some(flow) = self.flows.get_mut(&key) else {
             return;
         };
         let open = flow.is_open();
-        let refused = flow.refused;
+        let open_refusal = flow.last_refusal;
         let mut next = None::<Duration>;
-        for held in std::mem::take(&mut flow.held) {
-            let deadline = held.operation.deadline;
-            let due = if open { held.resume } else { deadline };
+        for deferred in std::mem::take(&mut flow.deferred) {
+            let deadline = deferred.operation.deadline;
+            let due = if open { deferred.not_before } else { deadline };
             if now >= deadline {
-                self.end_held(&held.operation, refused);
+                self.end_deferred(&deferred.operation, open_refusal);
             } else if due <= now {
-                self.send_try(now, key, held.operation);
+                self.send_request(now, key, deferred.operation);
             } else {
                 let due = due.min(deadline);
                 next = Some(next.map_or(due, |next| next.min(due)));
-                self.put_back(key, held);
+                self.defer_again(key, deferred);
             }
         }
         if let Some(at) = next {
-            self.set_timer(at, key, Wake::Held);
+            self.set_timer(at, key, Wake::Deferred);
         }
     }
 
-    fn put_back(&mut self, key: FlowKey, held: Held) {
+    fn defer_again(&mut self, key: FlowKey, deferred: Deferred) {
         if let Some(flow) = self.flows.get_mut(&key) {
-            flow.held.push(held);
+            flow.deferred.push(deferred);
         }
     }
 
-    fn end_held(&mut self, operation: &Operation, flow_refused: Option<Reason>) {
-        let reason = operation.refused.or(flow_refused);
+    fn end_deferred(&mut self, operation: &Operation, open_refusal: Option<Reason>) {
+        let reason = operation.last_refusal.or(open_refusal);
         let ending = reason.map_or(Ending::Lost, Ending::Refused);
         self.actions.push_back(Action::Ended(operation.id, ending));
     }
 
-    fn send_try(&mut self, now: Duration, key: FlowKey, mut operation: Operation) {
+    fn send_request(&mut self, now: Duration, key: FlowKey, mut operation: Operation) {
         let request = self.next_request;
         self.next_request += 1;
-        operation.tries += 1;
+        operation.requests += 1;
         let name = payload::name(key, request);
         let payload = payload::build(&name, self.settings.payload);
-        let attempt = Try {
+        let exchange = Exchange {
             operation,
             payload: payload.into(),
-            attempt: 0,
+            transmissions: 0,
             answer: Answer::default(),
-            repeat: now,
+            retransmit_at: now,
         };
         if let Some(flow) = self.flows.get_mut(&key) {
-            flow.tries.insert(request, attempt);
+            flow.exchanges.insert(request, exchange);
         }
         self.transmit(now, key, request);
     }
 
-    /// Sends a request, or asks for the chunks that are missing of its answer.
+    /// Sends a request, or a fetch of the missing chunks if a part of its answer
+    /// has arrived, and sets the timer of the next transmission.
     fn transmit(&mut self, now: Duration, key: FlowKey, request: RequestId) {
         let Some(flow) = self.flows.get_mut(&key) else {
             return;
         };
         let holder = flow.token();
-        let Some(current) = flow.tries.get_mut(&request) else {
+        let Some(exchange) = flow.exchanges.get_mut(&request) else {
             return;
         };
-        let left = current.operation.deadline.saturating_sub(now);
-        let body = if current.answer.started() {
+        let remaining = exchange.operation.deadline.saturating_sub(now);
+        let body = if exchange.answer.has_chunks() {
             Body::Fetch(Fetch {
                 request,
-                chunks: current.answer.missing(),
+                chunks: exchange.answer.missing(),
                 holder,
             })
         } else {
             Body::Request(Request {
                 request,
                 holder,
-                idempotent: current.operation.idempotent,
-                deadline_ms: u32::try_from(left.as_millis()).unwrap_or(u32::MAX),
-                attempt: current.attempt,
-                payload: current.payload.clone(),
+                idempotent: exchange.operation.idempotent,
+                deadline_ms: u32::try_from(remaining.as_millis()).unwrap_or(u32::MAX),
+                attempt: exchange.transmissions,
+                payload: exchange.payload.clone(),
             })
         };
-        let repeated = current.attempt > 0 || current.answer.started();
+        let is_retransmission = exchange.transmissions > 0 || exchange.answer.has_chunks();
         let delay = self
             .settings
             .backoff
-            .delay(current.attempt, &mut self.random);
-        current.attempt += 1;
-        current.repeat = (now + delay).min(current.operation.deadline);
-        let at = current.repeat;
-        self.send(key, body, repeated);
+            .delay(exchange.transmissions, &mut self.random);
+        exchange.transmissions += 1;
+        exchange.retransmit_at = (now + delay).min(exchange.operation.deadline);
+        let at = exchange.retransmit_at;
+        self.send(key, body, is_retransmission);
         self.set_timer(at, key, Wake::Request(request));
     }
 
-    pub(super) fn wake_request(&mut self, now: Duration, timer: Timer, request: RequestId) {
+    pub(super) fn handle_request_timer(&mut self, now: Duration, timer: Timer, request: RequestId) {
         let flow = self.flows.get(&timer.flow);
-        let Some(current) = flow.and_then(|flow| flow.tries.get(&request)) else {
+        let Some(exchange) = flow.and_then(|flow| flow.exchanges.get(&request)) else {
             return;
         };
-        match current.operation.deadline {
-            _ if current.repeat != timer.at => {}
+        match exchange.operation.deadline {
+            _ if exchange.retransmit_at != timer.at => {}
             deadline if deadline > now => self.transmit(now, timer.flow, request),
-            _ => self.give_up(timer.flow, request),
+            _ => self.cancel(timer.flow, request),
         }
     }
 
-    fn give_up(&mut self, key: FlowKey, request: RequestId) {
+    fn cancel(&mut self, key: FlowKey, request: RequestId) {
         let Some(holder) = self.flows.get(&key).map(super::Flow::token) else {
             return;
         };
         self.send(key, Body::Cancel(Cancel { request, holder }), false);
-        if let Some(ended) = self.take(key, request) {
+        if let Some(ended) = self.remove_exchange(key, request) {
             self.actions
                 .push_back(Action::Ended(ended.operation.id, Ending::Lost));
         }
@@ -176,41 +181,42 @@
     pub(super) fn chunk(&mut self, now: Duration, key: FlowKey, chunk: Chunk) {
         let request = chunk.request;
         let flow = self.flows.get_mut(&key);
-        let Some(current) = flow.and_then(|flow| flow.tries.get_mut(&request)) else {
+        let Some(exchange) = flow.and_then(|flow| flow.exchanges.get_mut(&request)) else {
             self.actions.push_back(Action::Ignored);
             return;
         };
-        match current.answer.add(chunk) {
+        match exchange.answer.add(chunk) {
             Progress::Complete => self.answered(now, key, request),
             Progress::Duplicate => self.actions.push_back(Action::Ignored),
             Progress::Partial => {
-                current.repeat = (now + self.settings.fetch).min(current.operation.deadline);
-                let at = current.repeat;
+                exchange.retransmit_at =
+                    (now + self.settings.fetch_delay).min(exchange.operation.deadline);
+                let at = exchange.retransmit_at;
                 self.set_timer(at, key, Wake::Request(request));
             }
-            Progress::Invalid => self.end(key, request, Ending::Mismatch),
+            Progress::Invalid => self.end_exchange(key, request, Ending::Mismatch),
         }
     }
 
     fn answered(&mut self, now: Duration, key: FlowKey, request: RequestId) {
-        let Some(current) = self.take(key, request) else {
+        let Some(exchange) = self.remove_exchange(key, request) else {
             return;
         };
-        let answer = current.answer.into_bytes();
-        let ending = match payload::check(&answer, &self.settings.service, &current.payload) {
+        let answer = exchange.answer.into_bytes();
+        let ending = match payload::check(&answer, &self.settings.service, &exchange.payload) {
             Ok(()) => Ending::Answered {
-                latency: now.saturating_sub(current.operation.started),
+                latency: now.saturating_sub(exchange.operation.started),
             },
             Err(payload::Error::WrongService) => Ending::WrongService,
             Err(payload::Error::Mismatch) => Ending::Mismatch,
         };
         self.actions
-            .push_back(Action::Ended(current.operation.id, ending));
+            .push_back(Action::Ended(exchange.operation.id, ending));
     }
 
     pub(super) fn request_refused(&mut self, now: Duration, key: FlowKey, refusal: &Refusal) {
         let (reason, outcome) = (refusal.reason(), refusal.outcome());
-        let Some(current) = self.take(key, refusal.request) else {
+        let Some(exchange) = self.remove_exchange(key, refusal.request) else {
             self.actions.push_back(Action::Ignored);
             return;
         };
@@ -220,20 +226,21 @@
             outcome,
         });
         if matches!(reason, Reason::FlowUnknown | Reason::WrongHolder) {
-            self.break_flow(now, key, reason);
+            self.replace_flow(now, key, reason);
         }
-        let mut operation = current.operation;
-        let pause = Duration::from_millis(refusal.retry_after_ms.into());
-        let pause = pause.max(
+        let mut operation = exchange.operation;
+        let delay = Duration::from_millis(refusal.retry_after_ms.into());
+        let delay = delay.max(
             self.settings
                 .backoff
-                .delay(operation.tries, &mut self.random),
+                .delay(operation.requests, &mut self.random),
         );
-        let safe = outcome == Outcome::NotRun || operation.idempotent;
-        let room = now + pause < operation.deadline && operation.tries < self.settings.tries;
-        if safe && room && is_retryable(reason) {
-            operation.refused = Some(reason);
-            return self.hold(now, operation, now + pause);
+        let may_rerun = outcome == Outcome::NotRun || operation.idempotent;
+        let in_limits =
+            now + delay < operation.deadline && operation.requests < self.settings.max_requests;
+        if may_rerun && in_limits && is_retryable(reason) {
+            operation.last_refusal = Some(reason);
+            return self.defer(now, operation, now + delay);
         }
         let ending = match outcome {
             Outcome::NotRun => Ending::Refused(reason),
@@ -242,26 +249,27 @@
         self.actions.push_back(Action::Ended(operation.id, ending));
     }
 
-    fn end(&mut self, key: FlowKey, request: RequestId, ending: Ending) {
-        if let Some(ended) = self.take(key, request) {
+    fn end_exchange(&mut self, key: FlowKey, request: RequestId, ending: Ending) {
+        if let Some(ended) = self.remove_exchange(key, request) {
             self.actions
                 .push_back(Action::Ended(ended.operation.id, ending));
         }
     }
 
-    /// Takes a request out of flight, and its flow away if it was the last one
-    /// of a broken flow.
-    fn take(&mut self, key: FlowKey, request: RequestId) -> Option<Try> {
+    /// Removes a request from those in flight, and its flow if that is broken
+    /// and has no other request in flight.
+    fn remove_exchange(&mut self, key: FlowKey, request: RequestId) -> Option<Exchange> {
         let flow = self.flows.get_mut(&key)?;
-        let taken = flow.tries.remove(&request);
-        if flow.is_spent() {
+        let removed = flow.exchanges.remove(&request);
+        if flow.is_finished() {
             self.flows.remove(&key);
         }
-        taken
+        removed
     }
 }
 
-/// Whether the same operation can succeed later.
+/// Returns whether a later request for the same operation may succeed after a
+/// refusal with this reason.
 const fn is_retryable(reason: Reason) -> bool {
     match reason {
         Reason::Overloaded
--- a/roles/app/src/call/flow.rs
+++ b/roles/app/src/call/flow.rs
@@ -1,4 +1,4 @@
-//! One flow of a caller.
+//! State of one flow of a caller.
 use std::collections::HashMap;
 use std::time::Duration;
 
@@ -6,66 +6,69 @@
 use wire::RequestId;
 use wire::caller::Reason;
 
+use super::operation::Exchange;
 use super::operation::Operation;
-use super::operation::Try;
 
-/// Where a flow is in its life.
+/// Lifecycle state of a flow. The token names the flow's holder, the agent that
+/// has its state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum State {
-    /// No holder is known yet.
+    /// The open was sent; the holder is not known yet.
     Opening,
-    /// The token names the holder.
+    /// A holder confirmed the flow; requests can be sent.
     Open(Bytes),
-    /// No holder has the flow any more; its requests wait for their endings.
+    /// No holder has the flow any more; only the requests in flight remain.
     Broken(Bytes),
-    /// The caller wants the flow to end.
+    /// The close was sent and is not confirmed yet.
     Closing(Bytes),
 }
 
-/// An operation that waits for its flow, or to come back after a refusal.
+/// An operation that waits for its flow to open, or for the delay after a
+/// refusal.
 #[derive(Clone, Debug)]
-pub struct Held {
-    /// What is to be done.
+pub struct Deferred {
+    /// The waiting operation.
     pub operation: Operation,
-    /// When it may be sent.
-    pub resume: Duration,
+    /// Earliest time at which it may be sent.
+    pub not_before: Duration,
 }
 
-/// One flow of a caller.
+/// A flow of a caller.
 #[derive(Clone, Debug)]
 pub struct Flow {
-    /// Which of the caller's flows this is.
+    /// Index of the flow among the caller's flows; a flow that replaces another
+    /// takes over its index.
     pub index: usize,
-    /// Where it is in its life.
+    /// Lifecycle state.
     pub state: State,
-    /// Transmissions of the open or the close.
-    pub attempt: u32,
-    /// When the open or the close is repeated.
-    pub repeat: Duration,
-    /// The last refusal of the open.
-    pub refused: Option<Reason>,
-    /// Operations that are not in flight.
-    pub held: Vec<Held>,
+    /// Number of transmissions of the open or, later, of the close.
+    pub transmissions: u32,
+    /// Time at which the open or the close is retransmitted.
+    pub retransmit_at: Duration,
+    /// Reason of the last refusal of the open, if any.
+    pub last_refusal: Option<Reason>,
+    /// Operations that wait to be sent.
+    pub deferred: Vec<Deferred>,
     /// Requests in flight.
-    pub tries: HashMap<RequestId, Try>,
+    pub exchanges: HashMap<RequestId, Exchange>,
 }
 
 impl Flow {
-    /// Creates a flow that is to be opened.
+    /// Creates a flow that has not been opened.
     #[must_use]
     pub fn new(index: usize) -> Self {
         Self {
             index,
             state: State::Opening,
-            attempt: 0,
-            repeat: Duration::ZERO,
-            refused: None,
-            held: Vec::new(),
-            tries: HashMap::new(),
+            transmissions: 0,
+            retransmit_at: Duration::ZERO,
+            last_refusal: None,
+            deferred: Vec::new(),
+            exchanges: HashMap::new(),
         }
     }
 
-    /// The token to send, empty while there is none.
+    /// Returns the token of the holder, empty while none is known.
     #[must_use]
     pub fn token(&self) -> Bytes {
         match &self.state {
@@ -74,15 +77,15 @@
         }
     }
 
-    /// Whether requests can be sent on it.
+    /// Returns whether requests can be sent on the flow.
     #[must_use]
     pub const fn is_open(&self) -> bool {
         matches!(self.state, State::Open(_))
     }
 
-    /// Whether nothing is left to wait for on a broken flow.
+    /// Returns whether the flow is broken and has no request in flight.
     #[must_use]
-    pub fn is_spent(&self) -> bool {
-        matches!(self.state, State::Broken(_)) && self.tries.is_empty()
+    pub fn is_finished(&self) -> bool {
+        matches!(self.state, State::Broken(_)) && self.exchanges.is_empty()
     }
 }
--- a/roles/app/src/call/load.rs
+++ b/roles/app/src/call/load.rs
@@ -1,4 +1,5 @@
-//! The load tool: paces operations over many flows and owns the socket.
+//! The load tool: starts operations at a fixed rate over many flows and owns
+//! the socket.
 use std::io;
 use std::io::ErrorKind;
 use std::net::UdpSocket;
@@ -24,7 +25,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 const PERCENT: u8 = 100;
 
-/// A load run.
+/// State of a load run.
 pub struct Load {
     settings: Call,
     caller: Caller,
@@ -32,15 +33,16 @@
     socket: Async<UdpSocket>,
     random: fastrand::Rng,
     start: Instant,
-    progress: Duration,
+    next_progress: Duration,
 }
 
-/// Runs the load and returns the report.
+/// Opens the flows, sends requests for the set duration, waits until every
+/// operation has ended, closes the flows and returns the report.
 ///
 /// # Errors
 ///
-/// Those of the socket, and [`ErrorKind::TimedOut`] where no flow could be
-/// opened.
+/// Returns the errors of the socket, and [`ErrorKind::TimedOut`] if no flow
+/// could be opened.
 pub async fn run(settings: Call) -> io::Result<Report> {
     let mut load = Load::new(settings)?;
     load.open().await?;
@@ -75,7 +77,7 @@
             socket,
             random: fastrand::Rng::with_seed(seed.wrapping_add(1)),
             start: Instant::now(),
-            progress: PROGRESS_INTERVAL,
+            next_progress: PROGRESS_INTERVAL,
             settings,
         })
     }
@@ -84,12 +86,12 @@
         for _ in 0..self.settings.flows {
             let now = self.now();
             self.caller.open(now);
-            self.until(now + OPEN_INTERVAL).await?;
+            self.run_until(now + OPEN_INTERVAL).await?;
         }
         let end = self.now() + OPEN_TIMEOUT;
         while self.caller.open_flows() < self.caller.flows() && self.now() < end {
             let now = self.now();
-            self.until(now + POLL_INTERVAL).await?;
+            self.run_until(now + POLL_INTERVAL).await?;
         }
         match self.caller.open_flows() {
             0 => Err(io::Error::new(
@@ -105,7 +107,7 @@
         let mut next = self.now();
         let end = next + self.settings.duration;
         while next < end {
-            self.until(next).await?;
+            self.run_until(next).await?;
             let flow = self.random.usize(0..self.caller.flows());
             let idempotent = self.random.u8(0..PERCENT) < self.settings.idempotent;
             self.caller.start(next, flow, idempotent);
@@ -118,13 +120,13 @@
     async fn finish(&mut self) -> io::Result<()> {
         while self.caller.pending() > 0 {
             let now = self.now();
-            self.until(now + POLL_INTERVAL).await?;
+            self.run_until(now + POLL_INTERVAL).await?;
         }
         let now = self.now();
         self.caller.close(now);
         while self.caller.closing() > 0 && self.now() < now + CLOSE_TIMEOUT {
             let now = self.now();
-            self.until(now + POLL_INTERVAL).await?;
+            self.run_until(now + POLL_INTERVAL).await?;
         }
         Ok(())
     }
@@ -133,11 +135,12 @@
         self.start.elapsed()
     }
 
-    /// Serves the socket and the caller's timers until `end`.
-    async fn until(&mut self, end: Duration) -> io::Result<()> {
+    /// Handles received datagrams, the caller's timers and its actions until
+    /// `end`.
+    async fn run_until(&mut self, end: Duration) -> io::Result<()> {
         loop {
             self.caller.tick(self.now());
-            self.act().await;
+            self.run_actions().await;
             self.show_progress();
             let now = self.now();
             if now >= end {
@@ -168,17 +171,18 @@
                     self.caller.receive(self.start.elapsed(), datagram);
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(()),
-                // The fabric is not there for the moment.
+                // An ICMP port-unreachable message from an earlier send: nothing
+                // listens at the address at the moment. The caller retransmits.
                 Err(error) if error.kind() == ErrorKind::ConnectionRefused => return Ok(()),
                 Err(error) => return Err(error),
             }
         }
     }
 
-    async fn act(&mut self) {
+    async fn run_actions(&mut self) {
         while let Some(action) = self.caller.next_action() {
             if let Action::Send(datagram) = &action {
-                // A datagram may be lost: it is repeated.
+                // A failed send counts as a lost datagram: it is retransmitted.
                 let _ = self.socket.send(datagram).await;
             }
             self.report.add(self.start.elapsed(), &action);
@@ -187,10 +191,10 @@
 
     fn show_progress(&mut self) {
         let now = self.now();
-        if now < self.progress {
+        if now < self.next_progress {
             return;
         }
-        self.progress = now + PROGRESS_INTERVAL;
+        self.next_progress = now + PROGRESS_INTERVAL;
         eprintln!(
             "{:>4} s: {} flows open, {} sent, {} answered, {} pending",
             now.as_secs(),
--- a/roles/app/src/call/operation.rs
+++ b/roles/app/src/call/operation.rs
@@ -1,4 +1,4 @@
-//! What a caller wants done, over all its tries.
+//! Operations of a caller and the requests sent for them.
 use std::time::Duration;
 
 use bytes::Bytes;
@@ -6,60 +6,63 @@
 
 use super::Answer;
 
-/// Names an operation of one caller.
+/// Identifier of an operation, unique within one caller.
 pub type OperationId = u64;
 
-/// What a caller wants done: one request, sent again under a new id where it
-/// was refused as not run.
+/// One call of a service.
+///
+/// It is sent as a request, and again under a new request id if a refusal allows
+/// a retry.
 #[derive(Clone, Debug)]
 pub struct Operation {
-    /// Names the operation.
+    /// Identifier of the operation.
     pub id: OperationId,
-    /// Index of the flow that it runs on.
+    /// Index of the flow that carries it.
     pub flow: usize,
-    /// Whether it may run twice.
+    /// Whether the service may run it more than once.
     pub idempotent: bool,
-    /// When it was asked for.
+    /// Time at which the operation was started.
     pub started: Duration,
-    /// When the caller gives up.
+    /// Time at which the operation ends without an answer.
     pub deadline: Duration,
-    /// Requests sent for it, each under an id of its own.
-    pub tries: u32,
-    /// The last refusal, if any.
-    pub refused: Option<Reason>,
+    /// Number of requests sent for it, each under an id of its own.
+    pub requests: u32,
+    /// Reason of the last refusal that led to a retry, if any.
+    pub last_refusal: Option<Reason>,
 }
 
-/// A request in flight.
+/// A request in flight: one request id, its retransmissions and its answer.
 #[derive(Clone, Debug)]
-pub struct Try {
-    /// What it is for.
+pub struct Exchange {
+    /// Operation that the request belongs to.
     pub operation: Operation,
-    /// What the backend server gets.
+    /// Payload for the backend server.
     pub payload: Bytes,
-    /// Transmissions so far.
-    pub attempt: u32,
-    /// What has arrived of the answer.
+    /// Number of transmissions so far, fetches included.
+    pub transmissions: u32,
+    /// Chunks of the answer received so far.
     pub answer: Answer,
-    /// When it is repeated, or missing chunks are fetched.
-    pub repeat: Duration,
+    /// Time at which the request is retransmitted or missing chunks are fetched;
+    /// at most the deadline of the operation.
+    pub retransmit_at: Duration,
 }
 
-/// How an operation ended.
+/// Result of an operation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// The whole answer arrived and is the right one.
+    /// The complete and correct answer arrived.
     Answered {
-        /// Time since the operation was asked for.
+        /// Time from the start of the operation to its answer.
         latency: Duration,
     },
-    /// It did not run.
+    /// Refused; the service did not run it.
     Refused(Reason),
-    /// It may have run.
+    /// Refused; the service may have run it.
     Unknown(Reason),
-    /// Nothing final arrived before the deadline.
+    /// Neither an answer nor a refusal arrived before the deadline.
     Lost,
     /// The answer came from another service.
     WrongService,
-    /// The answer is not the one to this request.
+    /// The answer is malformed or does not belong to this request.
     Mismatch,
 }
--- a/roles/app/src/call/payload.rs
+++ b/roles/app/src/call/payload.rs
@@ -1,29 +1,30 @@
-//! Payloads whose answers can be checked.
+//! Request payloads whose answers can be verified.
 //!
-//! A payload starts with a line that names the request and is filled up with
-//! characters derived from that name. The answer to it is the service's name
-//! and a line break, then the payload, once or more, the last one perhaps cut.
+//! A payload starts with a line that names the request and is padded with
+//! repetitions of that name. The expected answer is the service's name and a
+//! line break, followed by the payload once or several times; the last
+//! repetition may be truncated.
 use displaydoc::Display;
 use thiserror::Error;
 use wire::FlowKey;
 use wire::RequestId;
 
-/// Why an answer is not the one to its request.
+/// Reason why an answer does not belong to its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, Error)]
 pub enum Error {
-    /// the answer is from another service; check which backend servers are announced for the address
+    /// the answer came from another service; check which backend servers are announced for the service address
     WrongService,
-    /// the answer is not the whole answer to this request; report it as a fault
+    /// the answer is truncated or does not belong to this request; report this as a bug
     Mismatch,
 }
 
-/// Names a request across all flows.
+/// Returns the name of a request, unique across all flows.
 #[must_use]
 pub fn name(flow: FlowKey, request: RequestId) -> String {
     format!("{flow:016x}-{request:016x}")
 }
 
-/// Builds the payload of a request, of `size` bytes at least.
+/// Builds the payload of a request, of at least `size` bytes.
 #[must_use]
 pub fn build(name: &str, size: usize) -> Vec<u8> {
     let mut payload = format!("{name}\n").into_bytes();
@@ -33,12 +34,12 @@
     payload
 }
 
-/// Checks that an answer is the whole one to `payload`, from `service` (any
-/// where empty).
+/// Checks that an answer is the complete answer to `payload` and comes from
+/// `service`; an empty name accepts any service.
 ///
 /// # Errors
 ///
-/// Any [`Error`].
+/// Returns an [`Error`] if it is not.
 pub fn check(answer: &[u8], service: &str, payload: &[u8]) -> Result<(), Error> {
     let end = answer.iter().position(|byte| *byte == b'\n');
     let (name, body) = answer.split_at(end.ok_or(Error::Mismatch)?);
@@ -46,9 +47,9 @@
         return Err(Error::WrongService);
     }
     let body = &body[1..];
-    let whole = body.len() >= payload.len();
-    let same = body.iter().eq(payload.iter().cycle().take(body.len()));
-    if whole && same {
+    let is_complete = body.len() >= payload.len();
+    let is_repetition = body.iter().eq(payload.iter().cycle().take(body.len()));
+    if is_complete && is_repetition {
         Ok(())
     } else {
         Err(Error::Mismatch)
--- a/roles/app/src/call/plot.rs
+++ b/roles/app/src/call/plot.rs
@@ -1,4 +1,4 @@
-//! Draws the latency through a run.
+//! Plot of the latency over a run.
 use std::error::Error;
 
 use plotters::prelude::*;
@@ -14,11 +14,11 @@
 const Y_LABEL_SIZE: u32 = 70;
 const LEGEND_WIDTH: i32 = 20;
 
-/// Latencies below this are drawn at the foot, in milliseconds.
-const LEAST_MS: f64 = 1.0;
+/// Lower end of the latency axis in milliseconds; lower values are drawn there.
+const MIN_MS: f64 = 1.0;
 
-/// Latencies above this are drawn at the top, in milliseconds.
-const MOST_MS: f64 = 10_000.0;
+/// Upper end of the latency axis in milliseconds; higher values are drawn there.
+const MAX_MS: f64 = 10_000.0;
 
 /// One line of the plot.
 struct Line {
@@ -45,11 +45,11 @@
     },
 ];
 
-/// Draws the latency through a run as SVG.
+/// Draws the latency of each interval of a run into an SVG file.
 ///
 /// # Errors
 ///
-/// Those of the file.
+/// Returns an error if the file cannot be written.
 pub fn save(report: &Report, file: &str) -> Result<(), Box<dyn Error>> {
     let area = SVGBackend::new(file, SIZE).into_drawing_area();
     area.fill(&WHITE)?;
@@ -59,7 +59,7 @@
         .margin(MARGIN)
         .x_label_area_size(X_LABEL_SIZE)
         .y_label_area_size(Y_LABEL_SIZE)
-        .build_cartesian_2d(0.0..end, (LEAST_MS..MOST_MS).log_scale())?;
+        .build_cartesian_2d(0.0..end, (MIN_MS..MAX_MS).log_scale())?;
     chart
         .configure_mesh()
         .x_desc("second")
@@ -73,7 +73,7 @@
             .filter(|interval| interval.answered > 0);
         let points = answered.map(|interval| {
             let latency = milliseconds((line.value_us)(interval));
-            (seconds(interval), latency.clamp(LEAST_MS, MOST_MS))
+            (seconds(interval), latency.clamp(MIN_MS, MAX_MS))
         });
         chart
             .draw_series(LineSeries::new(points, line.colour))?
--- a/roles/app/src/call/report.rs
+++ b/roles/app/src/call/report.rs
@@ -1,4 +1,5 @@
-//! What a caller saw: counts, latencies and broken promises.
+//! Report of a load run: counts, latencies and violations of the load
+//! balancer's guarantees.
 use std::collections::BTreeMap;
 use std::fmt;
 use std::time::Duration;
@@ -18,50 +19,50 @@
 const MEDIAN: f64 = 0.50;
 const TAIL: f64 = 0.99;
 
-/// What a caller saw.
+/// Report of a load run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
     /// Name of the service.
     pub service: String,
     /// Seed of all random choices.
     pub seed: u64,
-    /// Operations that were started.
+    /// Operations started.
     pub sent: u64,
-    /// Operations whose right answer arrived whole.
+    /// Operations that ended with a complete and correct answer.
     pub answered: u64,
-    /// Operations that ended as not run, by reason.
+    /// Operations that ended refused and were not run, by reason.
     pub refused: BTreeMap<String, u64>,
-    /// Operations that may have run, by reason.
+    /// Operations that ended refused and may have been run, by reason.
     pub unknown: BTreeMap<String, u64>,
-    /// Operations without any ending before their deadline.
+    /// Operations without an answer or refusal before their deadline.
     pub lost: u64,
-    /// Answers that came from another service.
+    /// Operations that were answered by another service.
     pub wrong_service: u64,
-    /// Answers that were not those to their requests.
+    /// Operations whose answer was malformed or belonged to another request.
     pub mismatched: u64,
-    /// Flows that were opened.
+    /// Flows opened, replacements of lost flows included.
     pub opened: u64,
-    /// Opens that were refused and tried again, by reason.
+    /// Refusals of opens, each of which was retried, by reason.
     pub opens_refused: BTreeMap<String, u64>,
-    /// Open flows that were lost, by reason.
+    /// Open flows lost, by reason.
     pub broken: BTreeMap<String, u64>,
-    /// Flows closed as asked.
+    /// Flows whose close was confirmed.
     pub closed: u64,
-    /// Requests that were refused, tried again or not, by reason.
+    /// Requests refused, retried or not, by reason.
     pub refusals: BTreeMap<String, u64>,
-    /// Packets that were sent again.
+    /// Retransmissions and fetches of missing chunks.
     pub repeated: u64,
-    /// Packets that were ignored.
+    /// Received packets that were ignored.
     pub ignored: u64,
     /// Median latency of the answered operations in microseconds.
     pub p50_us: u64,
-    /// 99th percentile of the same.
+    /// 99th percentile of the same latencies in microseconds.
     pub p99_us: u64,
-    /// Largest of the same.
+    /// Largest of the same latencies in microseconds.
     pub max_us: u64,
-    /// Names of the requests that were refused as not run.
+    /// Names of the requests refused with the outcome that they were not run.
     pub not_run: Vec<String>,
-    /// What was seen in each interval of the run.
+    /// Results by interval of the run.
     pub series: Vec<Interval>,
     #[serde(skip)]
     running: Series,
@@ -70,7 +71,7 @@
 }
 
 impl Report {
-    /// Creates an empty report on a service.
+    /// Creates an empty report for a service.
     #[must_use]
     pub fn new(service: String, seed: u64) -> Self {
         Self {
@@ -100,7 +101,8 @@
         }
     }
 
-    /// Counts what a caller reports at `now`, since the start of the run.
+    /// Counts an action of the caller at `now`, the time since the start of the
+    /// run.
     pub fn add(&mut self, now: Duration, action: &Action) {
         match action {
             Action::Send(_) => {}
@@ -122,20 +124,21 @@
             Action::OpenRefused(reason) => count(&mut self.opens_refused, *reason),
             Action::Broken(reason) => count(&mut self.broken, *reason),
             Action::Closed => self.closed += 1,
-            Action::Repeated => self.repeated += 1,
+            Action::Retransmitted => self.repeated += 1,
             Action::Ignored => self.ignored += 1,
         }
     }
 
-    /// Ends the run.
+    /// Ends the run and stores its intervals.
     pub fn finish(&mut self) {
         self.series = self.running.finish();
     }
 
-    /// Whether anything happened that is never to happen while only planned
-    /// changes are made.
+    /// Returns whether the load balancer violated a guarantee that holds during
+    /// planned changes: a lost operation or flow, or an answer that came from
+    /// another service or belongs to another request.
     #[must_use]
-    pub fn is_broken(&self) -> bool {
+    pub fn has_violations(&self) -> bool {
         self.wrong_service > 0 || self.mismatched > 0 || self.lost > 0 || !self.broken.is_empty()
     }
 
--- a/roles/app/src/call/series.rs
+++ b/roles/app/src/call/series.rs
@@ -1,4 +1,4 @@
-//! What a caller saw in each interval of a run.
+//! Results of a load run by interval.
 use std::time::Duration;
 
 use serde::Serialize;
@@ -14,27 +14,27 @@
 const TAIL_PERCENT: usize = 99;
 const PERCENT: usize = 100;
 
-/// What a caller saw in one interval.
+/// Results of one interval.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Interval {
-    /// When it began, since the start of the run.
+    /// Start of the interval, as time since the start of the run.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "start_ms")]
     pub start: Duration,
-    /// Operations that were answered in it.
+    /// Operations answered in the interval.
     pub answered: u64,
-    /// Operations that ended in it in another way.
+    /// Operations that ended in the interval without a correct answer.
     pub failed: u64,
-    /// Median latency of those answered, in microseconds.
+    /// Median latency of the answered operations in microseconds.
     pub p50_us: u64,
-    /// 99th percentile of the same.
+    /// 99th percentile of the same latencies in microseconds.
     pub p99_us: u64,
-    /// Largest of the same.
+    /// Largest of the same latencies in microseconds.
     pub max_us: u64,
 }
 
-/// The intervals of a run.
+/// Collects the results of a run by interval.
 #[derive(Clone, Debug, Default)]
 pub struct Series {
     intervals: Vec<Interval>,
@@ -44,10 +44,11 @@
 }
 
 impl Series {
-    /// Adds the ending of an operation.
+    /// Adds an operation that ended at `now`, the time since the start of the
+    /// run. Calls must come in the order of time.
     pub fn add(&mut self, now: Duration, ending: &Ending) {
         while now >= self.start + INTERVAL {
-            self.cut();
+            self.close_interval();
         }
         match ending {
             Ending::Answered { latency } => {
@@ -58,14 +59,14 @@
         }
     }
 
-    /// Ends the series and returns its intervals.
+    /// Closes the current interval and returns all intervals.
     #[must_use]
     pub fn finish(&mut self) -> Vec<Interval> {
-        self.cut();
+        self.close_interval();
         std::mem::take(&mut self.intervals)
     }
 
-    fn cut(&mut self) {
+    fn close_interval(&mut self) {
         let mut latencies = std::mem::take(&mut self.latencies_us);
         latencies.sort_unstable();
         self.intervals.push(Interval {
@@ -80,8 +81,8 @@
     }
 }
 
-/// The smallest value that `percent` of the sorted values do not exceed, or 0
-/// where there is none.
+/// Returns the smallest value that at least `percent` of the sorted values do
+/// not exceed, or 0 if there are no values.
 fn percentile(sorted: &[u64], percent: usize) -> u64 {
     let rank = (sorted.len() * percent).div_ceil(PERCENT);
     let value = rank.checked_sub(1).and_then(|rank| sorted.get(rank));
--- a/roles/app/src/help.rs
+++ b/roles/app/src/help.rs
@@ -1,4 +1,4 @@
-//! `greengagelug help [ROLE|settings|events|metrics]`.
+//! The command `greengagelug help [ROLE|settings|events|metrics]`.
 use std::process::ExitCode;
 
 use crate::event;
@@ -8,20 +8,23 @@
 use crate::settings::table::Role;
 
 const OVERVIEW: &str = "\
-A layer-4 load balancer whose flows survive its own changes.
+A layer-4 load balancer that keeps flows open across restarts and
+configuration changes.
 
 Usage: greengagelug ROLE [FLAGS]
 
 Roles:
-    entry      relays callers' datagrams; runs on entry hosts
-    agent      stands beside a backend server and runs its requests
+    entry      relays callers' datagrams to agents; runs on entry hosts
+    agent      runs next to a backend server and forwards requests to it
     operate    changes and shows the configuration
-    call       calls a service with a bounded load and reports
-    help       prints this text; `help ROLE` that of a role, and
-               `help settings|events|metrics` the page of that name
+    call       sends requests to a service at a fixed rate and reports
+               the results
+    help       prints this text; `help ROLE` describes a role, and
+               `help settings|events|metrics` prints that reference page
 ";
 
-/// Prints the help that is asked for.
+/// Prints the overview, the help of the role that the first argument names, or
+/// a reference page. Returns [`exit::USAGE`] for any other topic.
 #[must_use]
 pub fn main(args: &[String]) -> ExitCode {
     let topic = args.first().map_or("", String::as_str);
@@ -33,7 +36,7 @@
         (None, "events") => print!("{}", event::page()),
         (None, "metrics") => print!("{}", metric::page()),
         (None, _) => {
-            eprintln!("there is no help on `{topic}`; see `greengagelug help`");
+            eprintln!("unknown help topic `{topic}`; run `greengagelug help` for the topics");
             return ExitCode::from(exit::USAGE);
         }
     }
--- a/roles/app/src/lib.rs
+++ b/roles/app/src/lib.rs
@@ -1,4 +1,5 @@
-//! The parts of the `greengagelug` binary: settings, logs, metrics and roles.
+//! Library of the `greengagelug` binary: the roles with their settings, events,
+//! logs and metrics.
 pub mod agent;
 pub mod call;
 pub mod carried;
--- a/roles/app/src/main.rs
+++ b/roles/app/src/main.rs
@@ -1,4 +1,6 @@
-//! `greengagelug entry|agent|gateway|sidecar|operate|call|help`.
+//! The `greengagelug` binary: dispatches to the role that the first argument
+//! names (`entry`, `agent`, `gateway`, `sidecar`, `operate`, `call`) or to
+//! `help`.
 use std::io;
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -35,19 +37,21 @@
         "call" => start(&args, call::main),
         "help" | "--help" | "" => help::main(&args),
         _ => {
-            eprintln!("`{role}` is no role; see `greengagelug help`");
+            eprintln!("unknown role `{role}`; run `greengagelug help` for the list of roles");
             ExitCode::from(exit::USAGE)
         }
     }
 }
 
-/// Reads the settings of a role and runs it.
+/// Reads the settings of a role and runs the role with them, or prints what
+/// `--check` or `--help` asks for. Errors go to the standard error output, one
+/// a line.
 fn start<T: Settings>(args: &[String], run: impl FnOnce(&T) -> ExitCode) -> ExitCode {
     let variable = |name: &str| std::env::var(name).ok();
     match command::read(args, &variable) {
         Ok(Command::Run(settings)) => run(&settings),
         Ok(Command::Check) => {
-            println!("settings are in order");
+            println!("settings are valid");
             ExitCode::SUCCESS
         }
         Ok(Command::Help(help)) => {
@@ -107,7 +111,8 @@
     }
 }
 
-/// Runs a daemon with a log.
+/// Runs a long-lived role: starts its log, logs its start and end, and returns
+/// the exit code.
 fn daemon(
     role: Role,
     listen: Option<SocketAddr>,
@@ -119,7 +124,8 @@
         eprintln!("greengagelug {role}: {error}");
         return ExitCode::from(exit::FAILED);
     }
-    // A carrier tells where it runs once it has read the platform's file.
+    // Gateways and sidecars log their start themselves, once they have read
+    // their address from the platform's settings file.
     if let Some(listen) = listen {
         let role = role.clone();
         Event::Starting { role, listen }.log();
--- a/roles/app/src/operator.rs
+++ b/roles/app/src/operator.rs
@@ -1,5 +1,5 @@
-//! The operators' remote procedure calls: the server that entries run and the
-//! client of the `operate` command.
+//! The operators' gRPC interface: the server in every entry, and the client and
+//! output of the `operate` command.
 pub mod args;
 pub mod client;
 pub mod command;
--- a/roles/app/src/operator/args.rs
+++ b/roles/app/src/operator/args.rs
@@ -1,4 +1,4 @@
-//! The command line of `operate`.
+//! Command line of `operate`: commands, flags and parsing.
 use std::str::FromStr;
 
 use api::operator as schema;
@@ -7,66 +7,70 @@
 use getopts::Options;
 use thiserror::Error;
 
-/// Forms of the command.
+/// Summary of the commands for the help of `operate`.
 pub const USAGE: &str = "\
 Commands of operate:
-  list                               all services, with their revisions
-  get ADDRESS                        one service
-  status                             what is in force where
+  list                               show all services with their revisions
+  get ADDRESS                        show one service
+  status                             show which revisions are in force, the targets
+                                     and the counters
   create ADDRESS --name NAME [FIELDS]
-  update ADDRESS [FIELDS]
-  delete ADDRESS
-  drain ADDRESS target:ID|zone:ID    no new work there
-  undrain ADDRESS target:ID|zone:ID  new work again";
+                                     create a service
+  update ADDRESS [FIELDS]            change fields of a service
+  delete ADDRESS                     delete a service
+  drain ADDRESS target:ID|zone:ID    send no new flows or requests to a target or zone
+  undrain ADDRESS target:ID|zone:ID  end a drain";
 
-/// Why a command line was not accepted.
+/// Error in the command line of `operate`.
 #[derive(Debug, Display, Error)]
 pub enum Error {
     /// {0}; run `operate --help` for the commands
     Unreadable(#[from] getopts::Fail),
     /// unknown command `{0}`; run `operate --help` for the commands
     UnknownCommand(String),
-    /// {0} is missing; give it after the command
+    /// missing argument {0}; give it after the command
     Missing(String),
-    /// --retry needs --operation and --expected; give those that the first attempt printed
-    RetryOfWhat,
-    /// `{value}` is no value for {name}; run `operate --help` for its form
+    /// --retry needs --operation and --expected; give the values that the first attempt printed
+    IncompleteRetry,
+    /// invalid value `{value}` for {name}; run `operate --help` for the accepted values
     Invalid {
-        /// Name of the argument.
+        /// Name of the flag or argument.
         name: String,
-        /// The text given.
+        /// Rejected text.
         value: String,
     },
 }
 
-/// One command.
+/// A parsed command line of `operate`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Command {
-    /// What to do.
+    /// Command with its own arguments.
     pub verb: Verb,
-    /// Address of the service; empty where the command needs none.
+    /// Service address; empty for commands without one.
     pub address: String,
-    /// Revision that the change is based on; the one in the store by default.
+    /// Revision that the change is based on; by default the one that is read from
+    /// the store before the change.
     pub expected: Option<u64>,
-    /// Names the change.
+    /// Identifier of the change, by which a retry recognizes it as applied.
     pub operation: String,
-    /// Check only.
+    /// Whether to check the change and show the differences without writing.
     pub dry_run: bool,
-    /// Whether an earlier attempt may have been applied.
+    /// Whether an earlier attempt with the same operation identifier may have
+    /// been applied.
     pub retry: bool,
 }
 
-/// What to do.
+/// Command of `operate`.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verb {
     /// Show all services.
     List {
-        /// Also deleted ones.
+        /// Whether to include deleted services.
         deleted: bool,
     },
     /// Show one service.
     Get,
-    /// Show what is in force where.
+    /// Show the revisions in force, the targets and the counters of an entry.
     Status,
     /// Create a service.
     Create(Fields),
@@ -74,16 +78,16 @@
     Update(Fields),
     /// Delete a service.
     Delete,
-    /// Drain, or end a drain.
+    /// Drain a target or zone, or end the drain.
     Drain {
-        /// What to drain.
+        /// Target or zone.
         subject: schema::drained::Subject,
-        /// Whether to drain.
+        /// Whether to start the drain; otherwise it is ended.
         on: bool,
     },
 }
 
-/// Fields given on the command line.
+/// Fields of a service given on the command line.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Fields {
     name: Option<String>,
@@ -97,7 +101,7 @@
 }
 
 impl Fields {
-    /// Replaces the fields that were given.
+    /// Returns `service` with the given fields replaced.
     #[must_use]
     pub fn apply(&self, service: schema::Service) -> schema::Service {
         schema::Service {
@@ -121,7 +125,7 @@
 }
 
 impl Command {
-    /// An empty service at the command's address.
+    /// Returns a service with the command's address and no other fields set.
     pub(super) fn new_service(&self) -> schema::Service {
         schema::Service {
             address: self.address.clone(),
@@ -129,7 +133,7 @@
         }
     }
 
-    /// The request of a drain.
+    /// Builds the request that starts or ends a drain.
     pub(super) fn drain(
         &self,
         subject: schema::drained::Subject,
@@ -149,76 +153,86 @@
     }
 }
 
-/// The flags of a command.
+/// Returns the flags of all commands.
 #[must_use]
 pub fn options() -> Options {
     let mut options = Options::new();
     options
-        .optopt("", "name", "name of the service, for people", "NAME")
+        .optopt("", "name", "readable name of the service", "NAME")
         .optopt(
             "",
             "binding",
-            "bound or independent; default bound",
+            "bound (requests run at the flow's backend server only) or \
+             independent (at any backend server of the service); default bound",
             "BINDING",
         )
         .optopt(
             "",
             "hunt",
-            "agents that an open visits, 1 to 3; default 3",
+            "number of agents that the open of a flow is offered to, 1 to 3; default 3",
             "COUNT",
         )
         .optopt(
             "",
             "queue-limit-ms",
-            "longest expected wait; default 500",
+            "longest expected wait in the queue of an agent; default 500",
             "MS",
         )
         .optopt(
             "",
             "idle-timeout-ms",
-            "idle time of a flow; default 3600000",
+            "idle time after which a flow expires; default 3600000",
             "MS",
         )
         .optopt(
             "",
             "default-deadline-ms",
-            "deadline where none is stated; default 2000",
+            "deadline of requests that state none; default 2000",
             "MS",
         )
         .optopt(
             "",
             "largest-deadline-ms",
-            "longest deadline; default 30000",
+            "longest deadline of a request, longer ones are shortened; default 30000",
             "MS",
         )
         .optopt(
             "",
             "largest-answer-bytes",
-            "largest answer; default 1048576",
+            "largest size of an answer; default 1048576",
             "BYTES",
         )
         .optopt(
             "",
             "expected",
-            "revision that the change is based on; default the one read",
+            "revision that the change is based on; default the one in the store",
             "REVISION",
         )
-        .optopt("", "operation", "names the change; default random", "ID")
-        .optflag("", "dry-run", "check and compare only")
+        .optopt(
+            "",
+            "operation",
+            "identifier of the change; default random",
+            "ID",
+        )
+        .optflag(
+            "",
+            "dry-run",
+            "check the change and show the differences without writing",
+        )
         .optflag(
             "",
             "retry",
             "an earlier attempt of this operation may have been applied",
         )
-        .optflag("", "deleted", "list deleted services too");
+        .optflag("", "deleted", "include deleted services in the list");
     options
 }
 
-/// Reads a command.
+/// Parses the command and its arguments.
 ///
 /// # Errors
 ///
-/// Any [`Error`].
+/// Returns an [`Error`] if they are not accepted.
 pub fn parse(args: &[String]) -> Result<Command, Error> {
     let matches = options().parse(args)?;
     let mut free = matches.free.iter().cloned();
@@ -244,7 +258,7 @@
     };
     let first = ["operation", "expected"];
     if matches.opt_present("retry") && !first.iter().all(|name| matches.opt_present(name)) {
-        return Err(Error::RetryOfWhat);
+        return Err(Error::IncompleteRetry);
     }
     Ok(Command {
         verb,
--- a/roles/app/src/operator/client.rs
+++ b/roles/app/src/operator/client.rs
@@ -1,4 +1,4 @@
-//! A client of the operators' server.
+//! gRPC client of the operators' server.
 use std::future::Future;
 use std::io;
 use std::net::SocketAddr;
@@ -20,33 +20,34 @@
 use tonic::body::Body;
 use tonic::codegen::Service;
 
-use super::spawn::Spawn;
+use super::spawn::Spawner;
 
-/// A client on one connection.
-pub type Client = OperatorClient<Link>;
+/// Client on one connection.
+pub type Client = OperatorClient<Connection>;
 
 /// One HTTP/2 connection.
 #[derive(Clone)]
-pub struct Link(SendRequest<Body>);
+pub struct Connection(SendRequest<Body>);
 
 /// Connects to the operators' server of an entry.
 ///
 /// # Errors
 ///
-/// An error of the connection; try another entry.
+/// Returns the error if the connection or its HTTP/2 handshake fails; the caller
+/// can try another entry.
 pub async fn connect(address: SocketAddr, executor: Arc<Executor<'static>>) -> io::Result<Client> {
     let stream = TcpStream::connect(address).await?;
-    let (sender, connection) = http2::handshake(Spawn(executor.clone()), FuturesIo::new(stream))
+    let (sender, connection) = http2::handshake(Spawner(executor.clone()), FuturesIo::new(stream))
         .await
         .map_err(io::Error::other)?;
     executor.spawn(connection).detach();
     let origin: Uri = format!("http://{address}")
         .parse()
         .map_err(io::Error::other)?;
-    Ok(OperatorClient::with_origin(Link(sender), origin))
+    Ok(OperatorClient::with_origin(Connection(sender), origin))
 }
 
-impl Service<Request<Body>> for Link {
+impl Service<Request<Body>> for Connection {
     type Response = Response<Incoming>;
     type Error = hyper::Error;
     type Future = Pin<Box<dyn Future<Output = hyper::Result<Self::Response>> + Send>>;
--- a/roles/app/src/operator/command.rs
+++ b/roles/app/src/operator/command.rs
@@ -1,4 +1,4 @@
-//! The `operate` command.
+//! Execution of the `operate` command.
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,24 +21,24 @@
 use super::print;
 use super::print::Printed;
 
-/// Why a command had no answer.
+/// Error because of which a command was not sent to any entry.
 #[derive(Debug, Display, Error)]
 pub enum Error {
     /// {0}
     Usage(#[from] args::Error),
-    /// no entry was given; name the operator address of one with --entries
+    /// no entry was given; give the operator address of at least one with --entries
     NoEntry,
 }
 
-/// Runs one command of an operator against the first entry that answers.
+/// Runs one operator command at the first entry that answers.
 ///
 /// `args` holds the command and its arguments, as in `get 192.0.2.1:5000`.
-/// `timeout` bounds each try of an entry.
+/// `timeout` bounds the attempt at each entry.
 ///
 /// # Errors
 ///
-/// [`Error::Usage`] where the arguments are wrong, [`Error::NoEntry`] where no
-/// entry is given. All other outcomes are in what is [`Printed`].
+/// Returns [`Error::Usage`] if the arguments are wrong and [`Error::NoEntry`] if
+/// `entries` is empty. All other outcomes are reported in [`Printed`].
 pub async fn run(
     entries: &[SocketAddr],
     timeout: Duration,
@@ -50,7 +50,7 @@
     for entry in entries {
         let expire = async {
             Timer::after(timeout).await;
-            let text = "the entry did not answer in time";
+            let text = "the entry did not answer within --timeout";
             Err(Status::deadline_exceeded(text))
         };
         let attempt = attempt(*entry, &mut command, executor.clone());
@@ -100,8 +100,11 @@
     }
 }
 
-/// Revision that a service was deleted with; 0 where it exists, never existed
-/// or cannot be read, so that its creation is judged by the store alone.
+/// Returns the revision at which a service was deleted, on which its creation is
+/// based.
+///
+/// Returns 0 if the service exists, never existed or cannot be read; the write to
+/// the store then decides whether it can be created.
 async fn deleted_revision(client: &mut Client, command: &Command) -> Result<Revision, Status> {
     let address = command.address.clone();
     let reply = client.get(schema::GetRequest { address }).await?;
@@ -115,7 +118,8 @@
     }
 }
 
-/// Reads the service, then changes it on the revision read.
+/// Reads the service and changes it, based on the expected revision if one is
+/// given and on the revision read otherwise.
 async fn change(client: &mut Client, command: &mut Command) -> Result<Printed, Status> {
     let address = command.address.clone();
     let reply = client.get(schema::GetRequest { address }).await?;
@@ -162,7 +166,8 @@
         dry_run: command.dry_run,
         retry: command.retry,
     };
-    // From here on the change may be applied, whatever the answer.
+    // Once the request is sent, the change may be applied even if no answer
+    // arrives; the attempt at the next entry is then a retry.
     command.retry |= !command.dry_run;
     let reply = client.apply(request).await?;
     Ok(print::change(&reply.into_inner(), command))
--- a/roles/app/src/operator/convert.rs
+++ b/roles/app/src/operator/convert.rs
@@ -1,4 +1,4 @@
-//! Conversions between the operators' schema and the configuration.
+//! Conversions between the operators' protocol messages and the configuration.
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -19,12 +19,12 @@
 use schema::drained::Subject;
 use wire::Revision;
 
-/// Reads an address.
+/// Parses a service address.
 pub(super) fn address(text: &str) -> Result<SocketAddr, Vec<Problem>> {
     text.parse().map_err(|_| vec![Problem::Address])
 }
 
-/// Reads a change.
+/// Converts a request that creates, updates or deletes a service.
 pub(super) fn apply(request: schema::ApplyRequest) -> Result<Request, Vec<Problem>> {
     let (address, edit) = match request.change {
         None => return Err(vec![Problem::NoChange]),
@@ -48,7 +48,7 @@
     })
 }
 
-/// Reads a drain.
+/// Converts a request that starts or ends a drain.
 pub(super) fn drain(request: schema::DrainRequest) -> Result<Request, Vec<Problem>> {
     let subject = subject(request.subject)?;
     let edit = if request.on {
@@ -95,10 +95,10 @@
             0 => default.hunt,
             hunt => hunt.try_into().map_err(|_| vec![Problem::Hunt])?,
         },
-        queue_limit: time(service.queue_limit_ms, default.queue_limit),
-        idle_timeout: time(service.idle_timeout_ms, default.idle_timeout),
-        default_deadline: time(service.default_deadline_ms, default.default_deadline),
-        largest_deadline: time(service.largest_deadline_ms, default.largest_deadline),
+        queue_limit: duration_or(service.queue_limit_ms, default.queue_limit),
+        idle_timeout: duration_or(service.idle_timeout_ms, default.idle_timeout),
+        default_deadline: duration_or(service.default_deadline_ms, default.default_deadline),
+        largest_deadline: duration_or(service.largest_deadline_ms, default.largest_deadline),
         largest_answer_bytes: match service.largest_answer_bytes {
             0 => default.largest_answer_bytes,
             bytes => bytes,
@@ -108,19 +108,19 @@
     })
 }
 
-fn time(ms: u32, default: Duration) -> Duration {
+fn duration_or(ms: u32, default: Duration) -> Duration {
     match ms {
         0 => default,
         ms => Duration::from_millis(ms.into()),
     }
 }
 
-/// Whole milliseconds, at most what the schema can hold.
+/// Returns whole milliseconds, saturated at the range of the protocol field.
 pub(super) fn millis(time: Duration) -> u32 {
     u32::try_from(time.as_millis()).unwrap_or(u32::MAX)
 }
 
-/// Writes a stored service.
+/// Converts a stored service.
 pub(super) fn stored(record: Record, revision: Revision) -> schema::Stored {
     let service = record.service;
     let binding = match service.binding {
@@ -156,14 +156,14 @@
     }
 }
 
-/// Writes problems.
+/// Converts the problems of a rejected request.
 pub(super) fn invalid(problems: &[Problem]) -> schema::Invalid {
     schema::Invalid {
         problems: problems.iter().map(ToString::to_string).collect(),
     }
 }
 
-/// Writes the outcome of a change.
+/// Converts the outcome of a change.
 pub(super) fn outcome(outcome: Outcome) -> schema::ChangeReply {
     let (result, differences) = match outcome {
         Outcome::Accepted {
--- a/roles/app/src/operator/print.rs
+++ b/roles/app/src/operator/print.rs
@@ -1,4 +1,4 @@
-//! What the `operate` command shows.
+//! Output of the `operate` command.
 use std::fmt::Display;
 
 use api::operator as schema;
@@ -8,32 +8,33 @@
 
 use super::args::Command;
 
-/// What a command printed, and how it ended.
+/// Output and result of a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Printed {
     /// Text for the standard output.
     pub text: String,
-    /// How it ended.
+    /// Result, from which the exit code follows.
     pub end: End,
 }
 
-/// How a command ended.
+/// Result of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum End {
-    /// As asked.
+    /// The command was executed.
     Done,
-    /// The request is wrong.
+    /// The request is invalid, or the service does not exist.
     Invalid,
-    /// Another change was first.
+    /// Another change was applied first.
     Conflict,
-    /// The store did not answer, and nothing was applied.
+    /// The store or every entry failed to answer; nothing was applied.
     Unavailable,
-    /// The store did not answer, and the change may have been applied.
+    /// The change was not confirmed and may have been applied, or the reply has no
+    /// known result.
     Unknown,
 }
 
 impl End {
-    /// Exit code of the process.
+    /// Returns the exit code of the process.
     #[must_use]
     pub const fn code(self) -> u8 {
         match self {
@@ -46,21 +47,21 @@
     }
 }
 
-/// The reply to a change.
+/// Formats the reply to a change.
 pub(super) fn change(reply: &schema::ChangeReply, command: &Command) -> Printed {
     let mut printed = match &reply.result {
         Some(Change::Accepted(accepted)) => accepted_line(accepted, &command.operation),
         Some(Change::Checked(checked)) => line(
             End::Done,
             format!(
-                "checked against revision {}; nothing written",
+                "checked against revision {}; nothing written (dry run)",
                 checked.revision
             ),
         ),
         Some(Change::Conflict(conflict)) => line(
             End::Conflict,
             format!(
-                "conflict: revision {} of operation {} was first ({}); read it and try again",
+                "conflict with revision {} of operation {} (this change: {}); read the service and try again",
                 conflict.winner_revision,
                 conflict.winner_operation,
                 effect(conflict.outcome()),
@@ -70,7 +71,7 @@
         Some(Change::Unavailable(unavailable)) => self::unavailable(unavailable, command),
         None => line(
             End::Unknown,
-            "the entry's reply is empty; upgrade the older side",
+            "the entry's reply has no known result; upgrade the older of entry and command",
         ),
     };
     printed
@@ -79,7 +80,7 @@
     printed
 }
 
-/// One service.
+/// Formats one service.
 pub(super) fn get(reply: schema::GetReply) -> Printed {
     match reply.result {
         Some(Found::Stored(stored)) => line(End::Done, service(&stored)),
@@ -88,12 +89,12 @@
         Some(Found::Unavailable(unavailable)) => refused(&unavailable),
         None => line(
             End::Unknown,
-            "the entry's reply is empty; upgrade the older side",
+            "the entry's reply has no known result; upgrade the older of entry and command",
         ),
     }
 }
 
-/// All services.
+/// Formats all services.
 pub(super) fn list(reply: &schema::ListReply) -> Printed {
     if let Some(unavailable) = &reply.unavailable {
         return refused(unavailable);
@@ -102,13 +103,13 @@
     if reply.malformed > 0 {
         let count = reply.malformed;
         lines.push(format!(
-            "{count} records cannot be read; upgrade this entry"
+            "{count} services could not be decoded; upgrade this entry"
         ));
     }
     done(lines)
 }
 
-/// What is in force where.
+/// Formats the status that an entry reports.
 pub(super) fn status(reply: &schema::StatusReply) -> Printed {
     let in_force = reply
         .services
@@ -172,32 +173,33 @@
     )
 }
 
-/// A change that the store did not confirm.
+/// Formats the reply to a change that the store did not confirm.
 pub(super) fn unavailable(unavailable: &schema::Unavailable, command: &Command) -> Printed {
     let mut printed = refused(unavailable);
     if unavailable.outcome() == schema::Outcome::Unknown {
         printed.end = End::Unknown;
-        printed.text += &(repeat(command) + "\n");
+        printed.text += &(retry_hint(command) + "\n");
     }
     printed
 }
 
-/// A command that no entry answered.
+/// Formats the result of a command that no entry answered.
 pub(super) fn no_answer(reason: &str, command: &Command) -> Printed {
     let (end, remedy) = if command.retry {
-        (End::Unknown, repeat(command))
+        (End::Unknown, retry_hint(command))
     } else {
         let remedy = "not applied; check the addresses given with --entries";
         (End::Unavailable, remedy.to_owned())
     };
     line(
         end,
-        format!("no entry answered, the last being {reason}; {remedy}"),
+        format!("no entry answered (last error: {reason}); {remedy}"),
     )
 }
 
-/// How to learn what became of a change.
-pub(super) fn repeat(command: &Command) -> String {
+/// Returns the instruction to repeat a change with which its outcome becomes
+/// known.
+pub(super) fn retry_hint(command: &Command) -> String {
     format!(
         "repeat it with --operation {} --expected {} --retry to learn its outcome",
         command.operation,
--- a/roles/app/src/operator/server.rs
+++ b/roles/app/src/operator/server.rs
@@ -1,4 +1,4 @@
-//! The operators' server, which every entry runs.
+//! gRPC server of every entry for operators.
 use std::future::Future;
 use std::future::ready;
 use std::io;
@@ -32,42 +32,45 @@
 use tonic::codegen::Service;
 
 use super::convert;
-use super::spawn::Spawn;
+use super::spawn::Spawner;
 
-/// Shortest time that a client is told to wait before it reads again.
+/// Shortest delay that clients are asked to keep before a retry; a random part of
+/// up to the same length is added.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Time between pings of an idle connection.
+/// Interval of HTTP/2 keep-alive pings.
 const KEEP_ALIVE: Duration = Duration::from_secs(30);
 
-/// What the server asks of its process.
+/// Access of the server to the state of its own process.
 pub trait Snapshot: Send + Sync + 'static {
-    /// Puts a configuration in force here and spreads it by gossip. Called as
-    /// soon as a change is accepted, since the store may be down before any
-    /// reader has read it. Does nothing by default: the readers spread it.
+    /// Puts a configuration in force in this process and spreads it by gossip.
+    ///
+    /// Called as soon as a change is accepted, because the store may fail before
+    /// a reader has read the change. The default does nothing and leaves the
+    /// spreading to the readers.
     fn accept(&self, _: Update) -> impl Future<Output = ()> + Send {
         ready(())
     }
 
-    /// The state of the system, as this process knows it.
+    /// Returns the state of the system as this process knows it.
     fn status(&self) -> impl Future<Output = schema::StatusReply> + Send;
 }
 
-/// What the server works with.
+/// Store and process that the server works with.
 pub struct Context<S, N> {
-    /// The platform's key-value service.
+    /// Client of the platform's key-value service.
     pub store: S,
-    /// What is in force where.
+    /// State of the server's own process.
     pub snapshot: N,
 }
 
 struct Handler<S, N>(Arc<Context<S, N>>);
 
-/// Serves operators on a listener until accepting fails.
+/// Serves operators on a listener until accepting a connection fails.
 ///
 /// # Errors
 ///
-/// The error of the listener.
+/// Returns the error of the listener.
 pub async fn serve<S: Store, N: Snapshot>(
     listener: TcpListener,
     context: Context<S, N>,
@@ -90,13 +93,13 @@
         let mut server = server.clone();
         async move { server.call(request).await }
     });
-    let ended = http2::Builder::new(Spawn(executor))
+    let ended = http2::Builder::new(Spawner(executor))
         .timer(SmolTimer::new())
         .keep_alive_interval(KEEP_ALIVE)
         .serve_connection(FuturesIo::new(stream), service)
         .await;
     if let Err(error) = ended {
-        log::debug!("operator connection ended: {error}");
+        log::debug!("operator connection closed with an error: {error}");
     }
 }
 
--- a/roles/app/src/operator/spawn.rs
+++ b/roles/app/src/operator/spawn.rs
@@ -1,14 +1,14 @@
-//! Lets `hyper` start its tasks on a `smol` executor.
+//! Adapter that lets `hyper` spawn its tasks on a `smol` executor.
 use std::future::Future;
 use std::sync::Arc;
 
 use smol::Executor;
 
-/// Starts tasks on a shared executor.
+/// Spawns tasks on a shared executor.
 #[derive(Clone, Debug)]
-pub(super) struct Spawn(pub(super) Arc<Executor<'static>>);
+pub(super) struct Spawner(pub(super) Arc<Executor<'static>>);
 
-impl<F> hyper::rt::Executor<F> for Spawn
+impl<F> hyper::rt::Executor<F> for Spawner
 where
     F: Future + Send + 'static,
     F::Output: Send + 'static,
--- a/roles/app/src/settings.rs
+++ b/roles/app/src/settings.rs
@@ -1,9 +1,9 @@
-//! Settings of each role, read from flags and environment variables.
+//! Settings of the roles, read from flags and environment variables.
 pub mod agent;
 pub mod call;
-pub mod carrier;
 pub mod command;
 pub mod entry;
+pub mod forwarder;
 mod list;
 pub mod operate;
 pub mod reader;
@@ -12,11 +12,11 @@
 
 pub use agent::Agent;
 pub use call::Call;
-pub use carrier::Carrier;
-pub use carrier::Gateway;
-pub use carrier::Sidecar;
 pub use command::Command;
 pub use entry::Entry;
+pub use forwarder::Forwarder;
+pub use forwarder::Gateway;
+pub use forwarder::Sidecar;
 pub use operate::Operate;
 pub use reader::Error;
 pub use shared::Format;
--- a/roles/app/src/settings/agent.rs
+++ b/roles/app/src/settings/agent.rs
@@ -16,27 +16,27 @@
 /// Settings of `greengagelug agent`.
 #[derive(Clone)]
 pub struct Agent {
-    /// UDP address for frames; others reach the agent here.
+    /// UDP address for frames, at which other processes reach the agent.
     pub listen: SocketAddr,
-    /// TCP address for calls between processes.
+    /// TCP address for calls between agents.
     pub control: SocketAddr,
-    /// Address that callers of the service send to.
+    /// Service address, to which callers send.
     pub service: ServiceAddress,
-    /// HTTP address of the backend server beside the agent.
+    /// HTTP address of the backend server next to the agent.
     pub backend: SocketAddr,
     /// Availability zone of the host.
     pub zone: ZoneId,
-    /// Requests that the backend server runs at a time.
+    /// Largest number of requests that the backend server runs concurrently.
     pub slots: u16,
-    /// UDP addresses of entries to announce to.
+    /// UDP addresses of entries to which the agent announces itself first.
     pub seeds: Vec<SocketAddr>,
     /// Keys shared by the processes of the installation.
     pub keys: Keys,
-    /// Longest time between SIGTERM and exit.
+    /// Longest time from SIGTERM to exit.
     pub stop: Duration,
-    /// Time between two log lines with all metrics; zero for none.
+    /// Interval of the log lines with all metrics; zero disables them.
     pub metrics: Duration,
-    /// What is logged.
+    /// Format and level of the log.
     pub log: Log,
 }
 
@@ -77,29 +77,29 @@
             metrics: reader.time("metrics-interval"),
             log: command::log(reader),
         };
-        command::distinct(
+        command::check_distinct(
             reader,
-            command::Named {
+            command::Endpoint {
                 flag: "control",
                 address: settings.control,
             },
-            command::Named {
+            command::Endpoint {
                 flag: "backend",
                 address: settings.backend,
             },
         );
-        command::distinct(
+        command::check_distinct(
             reader,
-            command::Named {
+            command::Endpoint {
                 flag: "listen",
                 address: settings.listen,
             },
-            command::Named {
+            command::Endpoint {
                 flag: "service",
                 address: settings.service,
             },
         );
-        command::no_arguments(reader, rest);
+        command::check_no_arguments(reader, rest);
         settings
     }
 }
--- a/roles/app/src/settings/call.rs
+++ b/roles/app/src/settings/call.rs
@@ -13,29 +13,29 @@
 /// Settings of `greengagelug call`.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Address of the service.
+    /// Service address.
     pub service: ServiceAddress,
     /// Name that the service's backend servers echo; empty to accept any.
     pub name: String,
     /// Local UDP address.
     pub bind: SocketAddr,
-    /// Flows that are held open.
+    /// Number of flows kept open.
     pub flows: u32,
-    /// Requests a second over all flows.
+    /// Requests per second over all flows.
     pub rate: u32,
-    /// How long requests are sent.
+    /// Time during which requests are sent.
     pub duration: Duration,
     /// Share of requests that are idempotent, in percent.
     pub idempotent: u8,
-    /// How long each request may take, repeats included.
+    /// Longest time that each operation may take, retries included.
     pub deadline: Duration,
-    /// Size of a request's payload in bytes.
+    /// Smallest size of a request's payload in bytes.
     pub payload: u32,
     /// File that the report is written to as JSON; empty for none.
     pub output: String,
-    /// File that the latency is drawn to as SVG; empty for none.
+    /// File that the latency plot is written to as SVG; empty for none.
     pub plot: String,
-    /// Seed of all random choices; 0 takes one from the system.
+    /// Seed of all random choices; 0 for a random seed.
     pub seed: u64,
 }
 
@@ -78,7 +78,7 @@
             plot: reader.text("plot"),
             seed: reader.number("seed"),
         };
-        command::no_arguments(reader, rest);
+        command::check_no_arguments(reader, rest);
         settings
     }
 }
--- a/roles/app/src/settings/command.rs
+++ b/roles/app/src/settings/command.rs
@@ -1,4 +1,4 @@
-//! The command line of a role: parsing, help and checks.
+//! Command line of a role: parsing, help and checks.
 use std::fmt::Write;
 use std::net::SocketAddr;
 
@@ -14,14 +14,14 @@
 use super::table::Role;
 use super::table::SETTINGS;
 
-/// What the command line asks for.
+/// Action that the command line requests.
 #[derive(Clone, Debug)]
 pub enum Command<T> {
-    /// Run with these settings.
+    /// Run the role with these settings.
     Run(T),
-    /// Say that these settings are in order.
+    /// Report that the settings are valid.
     Check,
-    /// Print this help.
+    /// Print this help text.
     Help(String),
 }
 
@@ -30,15 +30,17 @@
     /// The role.
     const ROLE: Role;
 
-    /// Reads all settings; errors are left in the reader.
+    /// Reads all settings and the arguments `rest` after the flags; errors are
+    /// collected in the reader.
     fn read(reader: &mut Reader<'_>, rest: &[String]) -> Self;
 }
 
-/// Reads the command line of a role.
+/// Parses the command line of a role; `variable` looks up an environment
+/// variable.
 ///
 /// # Errors
 ///
-/// Every error of the settings at once.
+/// Returns all errors of the settings together.
 pub fn read<T: Settings>(
     args: &[String],
     variable: &dyn Fn(&str) -> Option<String>,
@@ -58,7 +60,7 @@
     Ok(Command::Run(settings))
 }
 
-/// The help of a role.
+/// Returns the help text of a role.
 #[must_use]
 pub fn help(role: Role) -> String {
     let brief = format!(
@@ -72,12 +74,12 @@
         Role::Operate => format!("\n{}\n", crate::operator::args::USAGE),
         _ => String::new(),
     };
-    let notes = "Each flag can be given as an environment variable instead: --entries as \
-        GREENGAGELUG_ENTRIES. The flag wins.\n";
+    let notes = "Each flag can also be set by an environment variable, for example --entries by \
+        GREENGAGELUG_ENTRIES. A flag takes precedence over its variable.\n";
     format!("{}{commands}\n{notes}", options(role).usage(&brief))
 }
 
-/// The page docs/SETTINGS.md.
+/// Returns the content of docs/SETTINGS.md.
 #[must_use]
 pub fn page() -> String {
     let mut page = String::from(include_str!("page.md"));
@@ -123,7 +125,11 @@
         };
         options.optopt("", setting.name, &help, &setting.kind.to_string());
     }
-    options.optflag("", "check", "check the settings and exit");
+    options.optflag(
+        "",
+        "check",
+        "check the settings without starting the role and exit",
+    );
     options.optflag("", "help", "print this help and exit");
     options
 }
@@ -131,11 +137,15 @@
 const fn about(role: Role) -> &'static str {
     match role {
         Role::Entry => "Receives callers' datagrams from the fabric and relays them to agents.",
-        Role::Agent => "Stands beside a backend server, announces it and runs its requests.",
-        Role::Gateway => "Receives callers' packets and carries them unread to sidecars.",
-        Role::Sidecar => "Stands beside a backend server and hands it packets unread.",
+        Role::Agent => "Runs next to a backend server, announces it and forwards requests to it.",
+        Role::Gateway => {
+            "Receives callers' packets and forwards them to sidecars without reading their content."
+        }
+        Role::Sidecar => {
+            "Runs next to a backend server and forwards packets to it without reading their content."
+        }
         Role::Operate => "Changes and shows the configuration.",
-        Role::Call => "Calls a service with a bounded load and reports what happened.",
+        Role::Call => "Sends requests to a service at a fixed rate and reports the results.",
     }
 }
 
@@ -167,7 +177,7 @@
     }
 }
 
-/// Reads what is logged, and how.
+/// Reads the format and the level of the log.
 pub fn log(reader: &mut Reader<'_>) -> Log {
     let default = Log::default();
     Log {
@@ -176,7 +186,7 @@
     }
 }
 
-/// Reads the keys and checks that their ids differ.
+/// Reads the keys and checks that their ids are distinct.
 pub fn keys(reader: &mut Reader<'_>) -> Keys {
     let sign = reader.key("sign-key");
     let accept = reader.keys("accept-keys");
@@ -186,34 +196,35 @@
     let mut ids = vec![sign.id];
     for key in &accept {
         if ids.contains(&key.id) {
-            reader.fail(Error::SameKey(key.id));
+            reader.fail(Error::DuplicateKeyId(key.id));
         }
         ids.push(key.id);
     }
     Keys { sign, accept }
 }
 
-/// An address and the flag that gave it.
+/// Address with the flag that sets it.
 #[derive(Clone, Copy, Debug)]
-pub struct Named<'a> {
-    /// Name of the flag.
+pub struct Endpoint<'a> {
+    /// Name of the flag, without its dashes.
     pub flag: &'a str,
-    /// The address.
+    /// Address.
     pub address: SocketAddr,
 }
 
-/// Checks that two addresses of one transport differ.
-pub fn distinct(reader: &mut Reader<'_>, first: Named<'_>, second: Named<'_>) {
+/// Reports an error if two addresses of the same transport protocol are equal.
+/// Port 0, the default of an address that could not be read, is not compared.
+pub fn check_distinct(reader: &mut Reader<'_>, first: Endpoint<'_>, second: Endpoint<'_>) {
     if first.address == second.address && first.address.port() != 0 {
-        reader.fail(Error::SameAddress {
+        reader.fail(Error::DuplicateAddress {
             first: format!("--{}", first.flag),
             second: format!("--{}", second.flag),
         });
     }
 }
 
-/// Checks that no arguments are left over.
-pub fn no_arguments(reader: &mut Reader<'_>, rest: &[String]) {
+/// Reports an error for each argument after the flags.
+pub fn check_no_arguments(reader: &mut Reader<'_>, rest: &[String]) {
     for argument in rest {
         reader.fail(Error::Unexpected(argument.clone()));
     }
--- a/roles/app/src/settings/entry.rs
+++ b/roles/app/src/settings/entry.rs
@@ -15,16 +15,17 @@
 /// Settings of `greengagelug entry`.
 #[derive(Clone)]
 pub struct Entry {
-    /// UDP address for frames and sprayed packets; others reach it here.
+    /// UDP address for frames, at which other processes reach the entry, and for
+    /// the packets that the fabric distributes over the entries.
     pub listen: SocketAddr,
-    /// TCP address of the operators' RPC (gRPC).
+    /// TCP address of the operators' gRPC server.
     pub operator: SocketAddr,
-    /// UDP address of a fabric that wraps callers' datagrams; without one the
-    /// entry binds the service addresses itself.
+    /// UDP address of a fabric that encapsulates callers' datagrams; without one
+    /// the entry binds the service addresses itself.
     pub fabric: Option<SocketAddr>,
     /// Availability zone of the host.
     pub zone: ZoneId,
-    /// UDP addresses of entries to join through.
+    /// UDP addresses of other entries through which this one joins the gossip.
     pub peers: Vec<SocketAddr>,
     /// TCP address of the platform's key-value service.
     pub store: SocketAddr,
@@ -32,11 +33,11 @@
     pub keys: Keys,
     /// Number of threads that relay packets.
     pub threads: u16,
-    /// Longest time between SIGTERM and exit.
+    /// Longest time from SIGTERM to exit.
     pub stop: Duration,
-    /// Time between two log lines with all metrics; zero for none.
+    /// Interval of the log lines with all metrics; zero disables them.
     pub metrics: Duration,
-    /// What is logged.
+    /// Format and level of the log.
     pub log: Log,
 }
 
@@ -67,7 +68,7 @@
         let settings = Self {
             listen: reader.address("listen", default.listen),
             operator: reader.address("operator", default.operator),
-            fabric: reader.optional("fabric"),
+            fabric: reader.optional_address("fabric"),
             zone: reader.number("zone"),
             peers: reader.addresses("peers"),
             store: reader.address("store", default.store),
@@ -78,19 +79,19 @@
             log: command::log(reader),
         };
         if let Some(fabric) = settings.fabric {
-            command::distinct(
+            command::check_distinct(
                 reader,
-                command::Named {
+                command::Endpoint {
                     flag: "listen",
                     address: settings.listen,
                 },
-                command::Named {
+                command::Endpoint {
                     flag: "fabric",
                     address: fabric,
                 },
             );
         }
-        command::no_arguments(reader, rest);
+        command::check_no_arguments(reader, rest);
         settings
     }
 }
--- a/roles/app/src/settings/carrier.rs
+++ b/roles/app/src/settings/forwarder.rs
@@ -9,29 +9,29 @@
 use crate::settings::reader::Reader;
 use crate::settings::table::Role;
 
-/// What both roles have in common.
+/// Settings common to both roles.
 #[derive(Clone)]
-pub struct Carrier {
-    /// The settings file that the platform writes for the process.
+pub struct Forwarder {
+    /// Path of the settings file that the platform writes for the process.
     pub boot: PathBuf,
-    /// UDP address to bind for frames, where others reach the process at
-    /// another one.
+    /// UDP address to bind for frames if other processes reach this one at a
+    /// different address, as behind network address translation.
     pub bind: Option<SocketAddr>,
     /// Keys shared by the processes of the installation.
     pub keys: Keys,
-    /// TCP port on which the metrics are served, on the host's address.
+    /// TCP port of the metrics endpoint, on the host's address.
     pub metrics_port: u16,
-    /// What is logged.
+    /// Format and level of the log.
     pub log: Log,
 }
 
 /// Settings of `greengagelug gateway`.
 #[derive(Clone)]
-pub struct Gateway(pub Carrier);
+pub struct Gateway(pub Forwarder);
 
 /// Settings of `greengagelug sidecar`.
 #[derive(Clone)]
-pub struct Sidecar(pub Carrier);
+pub struct Sidecar(pub Forwarder);
 
 impl Settings for Gateway {
     const ROLE: Role = Role::Gateway;
@@ -49,14 +49,14 @@
     }
 }
 
-fn read(reader: &mut Reader<'_>, rest: &[String]) -> Carrier {
-    let carrier = Carrier {
+fn read(reader: &mut Reader<'_>, rest: &[String]) -> Forwarder {
+    let carrier = Forwarder {
         boot: reader.text("boot").into(),
-        bind: reader.optional("bind"),
+        bind: reader.optional_address("bind"),
         keys: command::keys(reader),
         metrics_port: reader.number("metrics-port"),
         log: command::log(reader),
     };
-    command::no_arguments(reader, rest);
+    command::check_no_arguments(reader, rest);
     carrier
 }
--- a/roles/app/src/settings/list.rs
+++ b/roles/app/src/settings/list.rs
@@ -1,5 +1,5 @@
-//! The table of all settings, from which the help, the checks and the page
-//! docs/SETTINGS.md are made.
+//! Table of all settings; the help, the checks and the page docs/SETTINGS.md are
+//! generated from it.
 use super::table::Kind;
 use super::table::Preset;
 use super::table::Role;
@@ -7,18 +7,18 @@
 use super::table::Unit;
 
 const DAEMONS: &[Role] = &[Role::Entry, Role::Agent];
-const CARRIERS: &[Role] = &[Role::Gateway, Role::Sidecar];
+const FORWARDERS: &[Role] = &[Role::Gateway, Role::Sidecar];
 const ALL_DAEMONS: &[Role] = &[Role::Entry, Role::Agent, Role::Gateway, Role::Sidecar];
 const ENTRY: &[Role] = &[Role::Entry];
 const AGENT: &[Role] = &[Role::Agent];
 const OPERATE: &[Role] = &[Role::Operate];
 const CALL: &[Role] = &[Role::Call];
 
-/// All settings, in the order of the help.
+/// All settings, in the order in which the help lists them.
 pub const SETTINGS: &[Setting] = &[
     Setting {
         name: "boot",
-        roles: CARRIERS,
+        roles: FORWARDERS,
         kind: Kind::Text,
         unit: "",
         default: Preset::Required,
@@ -26,13 +26,13 @@
     },
     Setting {
         name: "bind",
-        roles: CARRIERS,
-        kind: Kind::Optional,
+        roles: FORWARDERS,
+        kind: Kind::OptionalAddress,
         unit: "",
         default: Preset::Text(""),
-        help: "UDP address to bind for frames, where others reach the process \
-               at another one, as behind address translation; empty binds the \
-               address that the settings file names",
+        help: "UDP address to bind for frames if other processes reach this one at \
+               a different address, as behind network address translation; empty \
+               binds the address from the settings file",
     },
     Setting {
         name: "listen",
@@ -40,7 +40,7 @@
         kind: Kind::Address,
         unit: "",
         default: Preset::Required,
-        help: "UDP address for frames; other processes reach this one here",
+        help: "UDP address for frames, at which other processes reach this one",
     },
     Setting {
         name: "control",
@@ -56,16 +56,16 @@
         kind: Kind::Address,
         unit: "",
         default: Preset::Required,
-        help: "TCP address of the operators' RPC",
+        help: "TCP address of the operators' gRPC server",
     },
     Setting {
         name: "fabric",
         roles: ENTRY,
-        kind: Kind::Optional,
+        kind: Kind::OptionalAddress,
         unit: "",
         default: Preset::Text(""),
-        help: "UDP address of a fabric that wraps callers' datagrams; without \
-               one the entry binds the service addresses itself",
+        help: "UDP address of a fabric that encapsulates callers' datagrams; \
+               without one the entry binds the service addresses itself",
     },
     Setting {
         name: "peers",
@@ -73,7 +73,7 @@
         kind: Kind::Addresses(0),
         unit: "",
         default: Preset::Text(""),
-        help: "UDP addresses of entries to join through",
+        help: "UDP addresses of other entries through which this one joins the gossip",
     },
     Setting {
         name: "store",
@@ -89,7 +89,7 @@
         kind: Kind::Number { min: 1, max: 64 },
         unit: "threads",
         default: Preset::Text("1"),
-        help: "threads that relay packets",
+        help: "number of threads that relay packets",
     },
     Setting {
         name: "service",
@@ -97,7 +97,7 @@
         kind: Kind::Address,
         unit: "",
         default: Preset::Required,
-        help: "address that callers of the service send to",
+        help: "service address, to which callers send",
     },
     Setting {
         name: "backend",
@@ -105,7 +105,7 @@
         kind: Kind::Address,
         unit: "",
         default: Preset::Required,
-        help: "HTTP address of the backend server beside the agent",
+        help: "HTTP address of the backend server next to the agent",
     },
     Setting {
         name: "slots",
@@ -113,7 +113,7 @@
         kind: Kind::Number { min: 1, max: 1024 },
         unit: "requests",
         default: Preset::Text("4"),
-        help: "requests that the backend server runs at a time",
+        help: "largest number of requests that the backend server runs concurrently",
     },
     Setting {
         name: "seeds",
@@ -121,7 +121,7 @@
         kind: Kind::Addresses(1),
         unit: "",
         default: Preset::Required,
-        help: "UDP addresses of entries to announce to",
+        help: "UDP addresses of entries to which the agent announces itself first",
     },
     Setting {
         name: "stop",
@@ -133,7 +133,7 @@
         },
         unit: "s",
         default: Preset::Text("10"),
-        help: "longest time between SIGTERM and exit",
+        help: "longest time from SIGTERM to exit",
     },
     Setting {
         name: "zone",
@@ -144,7 +144,7 @@
         },
         unit: "",
         default: Preset::Required,
-        help: "availability zone of the host; the upper byte names its region",
+        help: "availability zone of the host; the upper byte is its region",
     },
     Setting {
         name: "sign-key",
@@ -152,7 +152,8 @@
         kind: Kind::Key,
         unit: "",
         default: Preset::Required,
-        help: "key that signs messages between processes; prefer the environment variable",
+        help: "key that signs messages between processes; set it by the environment \
+               variable to keep it out of the process list",
     },
     Setting {
         name: "accept-keys",
@@ -160,7 +161,7 @@
         kind: Kind::Keys,
         unit: "",
         default: Preset::Text(""),
-        help: "further keys that are accepted, for rotation",
+        help: "further keys accepted on received messages, for key rotation",
     },
     Setting {
         name: "entries",
@@ -168,7 +169,7 @@
         kind: Kind::Addresses(1),
         unit: "",
         default: Preset::Required,
-        help: "operators' addresses of entries; the first that answers is used",
+        help: "operator addresses of entries, tried in order until one answers",
     },
     Setting {
         name: "timeout",
@@ -180,7 +181,7 @@
         },
         unit: "s",
         default: Preset::Text("10"),
-        help: "longest time that one call may take",
+        help: "longest time to wait for each entry",
     },
     Setting {
         name: "name",
@@ -193,10 +194,10 @@
     Setting {
         name: "bind",
         roles: CALL,
-        kind: Kind::Local,
+        kind: Kind::LocalAddress,
         unit: "",
         default: Preset::Text("127.0.0.1:0"),
-        help: "local UDP address; port 0 takes a free one",
+        help: "local UDP address; port 0 for any free port",
     },
     Setting {
         name: "flows",
@@ -207,7 +208,7 @@
         },
         unit: "flows",
         default: Preset::Text("100"),
-        help: "flows that are held open",
+        help: "number of flows kept open",
     },
     Setting {
         name: "rate",
@@ -218,7 +219,7 @@
         },
         unit: "requests/s",
         default: Preset::Text("100"),
-        help: "requests over all flows",
+        help: "rate of requests over all flows",
     },
     Setting {
         name: "duration",
@@ -230,7 +231,7 @@
         },
         unit: "s",
         default: Preset::Text("10"),
-        help: "how long requests are sent",
+        help: "time during which requests are sent",
     },
     Setting {
         name: "idempotent",
@@ -250,7 +251,7 @@
         },
         unit: "ms",
         default: Preset::Text("5000"),
-        help: "how long each request may take, repeats included",
+        help: "longest time that each request may take, retries included",
     },
     Setting {
         name: "payload",
@@ -261,7 +262,7 @@
         },
         unit: "B",
         default: Preset::Text("64"),
-        help: "smallest payload of a request",
+        help: "smallest size of a request's payload",
     },
     Setting {
         name: "output",
@@ -277,7 +278,7 @@
         kind: Kind::Text,
         unit: "",
         default: Preset::Text(""),
-        help: "file that the latency through the run is drawn to as SVG; empty for none",
+        help: "file that the plot of the latency over the run is written to as SVG; empty for none",
     },
     Setting {
         name: "seed",
@@ -288,7 +289,7 @@
         },
         unit: "",
         default: Preset::Text("0"),
-        help: "seed of all random choices; 0 takes one from the system",
+        help: "seed of all random choices; 0 for a random seed",
     },
     Setting {
         name: "metrics-interval",
@@ -300,18 +301,18 @@
         },
         unit: "s",
         default: Preset::Text("60"),
-        help: "time between two log lines with all metrics; 0 writes none",
+        help: "interval of the log lines with all metrics; 0 disables them",
     },
     Setting {
         name: "metrics-port",
-        roles: CARRIERS,
+        roles: FORWARDERS,
         kind: Kind::Number {
             min: 1,
             max: u16::MAX as u64,
         },
         unit: "",
         default: Preset::Text("9464"),
-        help: "TCP port on which the metrics are served, under /metrics",
+        help: "TCP port of the metrics endpoint /metrics",
     },
     Setting {
         name: "log-format",
@@ -319,7 +320,7 @@
         kind: Kind::Choice(&["readable", "json", "compact"]),
         unit: "",
         default: Preset::Text("readable"),
-        help: "form of the log lines; compact ones go to the standard output",
+        help: "format of the log lines; compact ones go to the standard output",
     },
     Setting {
         name: "log-level",
@@ -327,6 +328,6 @@
         kind: Kind::Choice(&["error", "warn", "info", "debug", "trace"]),
         unit: "",
         default: Preset::Text("info"),
-        help: "least severe level that is logged",
+        help: "lowest severity that is logged",
     },
 ];
--- a/roles/app/src/settings/operate.rs
+++ b/roles/app/src/settings/operate.rs
@@ -10,9 +10,9 @@
 /// Settings of `greengagelug operate`.
 #[derive(Clone, Debug)]
 pub struct Operate {
-    /// Operator addresses of entries; the first that answers is used.
+    /// Operator addresses of entries, tried in order until one answers.
     pub entries: Vec<SocketAddr>,
-    /// How long one call may take.
+    /// Longest time to wait for each entry.
     pub timeout: Duration,
     /// The command and its arguments.
     pub command: Vec<String>,
--- a/roles/app/src/settings/reader.rs
+++ b/roles/app/src/settings/reader.rs
@@ -1,4 +1,4 @@
-//! Reads the settings of a role from flags and environment variables.
+//! Reader of the settings of a role from flags and environment variables.
 use std::net::SocketAddr;
 use std::str::FromStr;
 use std::time::Duration;
@@ -17,10 +17,10 @@
 const HEX_RADIX: u32 = 16;
 const HEX_DIGITS: usize = 2;
 
-/// What is wrong with the settings.
+/// Error in the settings of a role.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 pub enum Error {
-    /// {0}; see `greengagelug help` for the flags
+    /// {0}; see `greengagelug help` for the roles and their flags
     Unreadable(String),
     /// --{flag} is missing; give it or set {variable}
     Missing {
@@ -31,29 +31,29 @@
     },
     /// {origin} does not accept `{value}`; give {expected}
     Invalid {
-        /// The flag or environment variable.
+        /// Flag, environment variable or default that gave the value.
         origin: String,
-        /// The text given.
+        /// Rejected text; `***` for keys.
         value: String,
-        /// What is accepted.
+        /// Accepted form and range.
         expected: String,
     },
     /// {first} and {second} are the same address; give each its own port
-    SameAddress {
-        /// Name of a flag.
+    DuplicateAddress {
+        /// Flag of one address, with its dashes.
         first: String,
-        /// Name of another.
+        /// Flag of the other address, with its dashes.
         second: String,
     },
     /// --sign-key and --accept-keys have two keys with the id {0}; give each key its own id
-    SameKey(u8),
-    /// no command is given; see `greengagelug help operate` for the commands
+    DuplicateKeyId(u8),
+    /// missing command; see `greengagelug help operate` for the commands
     NoCommand,
     /// `{0}` is not expected; see `greengagelug help` for the flags
     Unexpected(String),
 }
 
-/// Reads the settings of one role, and collects every error.
+/// Reads the settings of one role and collects all errors.
 pub struct Reader<'a> {
     role: Role,
     matches: &'a Matches,
@@ -61,13 +61,16 @@
     errors: Vec<Error>,
 }
 
-struct Given {
+/// Unparsed value of a setting and the flag, environment variable or default that
+/// it comes from.
+struct RawValue {
     text: String,
     origin: String,
 }
 
 impl<'a> Reader<'a> {
-    /// Reads flags first, then what `variable` says of an environment variable.
+    /// Creates a reader that uses the flags in `matches` first, then the
+    /// environment variables that `variable` looks up.
     #[must_use]
     pub const fn new(
         role: Role,
@@ -82,16 +85,16 @@
         }
     }
 
-    /// Adds an error found elsewhere.
+    /// Adds an error from a check outside the reader.
     pub fn fail(&mut self, error: Error) {
         self.errors.push(error);
     }
 
-    /// The result, or every error.
+    /// Returns the settings if no error was collected.
     ///
     /// # Errors
     ///
-    /// All errors that were collected.
+    /// Returns all collected errors otherwise.
     pub fn finish<T>(self, settings: T) -> Result<T, Vec<Error>> {
         if self.errors.is_empty() {
             Ok(settings)
@@ -100,7 +103,7 @@
         }
     }
 
-    /// Reads one address.
+    /// Reads one address; `default` stands in if there is an error.
     pub fn address(&mut self, name: &str, default: SocketAddr) -> SocketAddr {
         self.read(name, default, |text, kind| {
             let address: SocketAddr = text.parse().ok()?;
@@ -112,7 +115,7 @@
     }
 
     /// Reads an address that may be empty.
-    pub fn optional(&mut self, name: &str) -> Option<SocketAddr> {
+    pub fn optional_address(&mut self, name: &str) -> Option<SocketAddr> {
         self.read(name, None, |text, _| {
             if text.is_empty() {
                 return Some(None);
@@ -135,7 +138,7 @@
         })
     }
 
-    /// Reads a number within its range.
+    /// Reads a whole number within the setting's range.
     pub fn number<T: TryFrom<u64> + Default>(&mut self, name: &str) -> T {
         self.read(name, T::default(), |text, kind| {
             let number: u64 = text.parse().ok()?;
@@ -147,7 +150,7 @@
         })
     }
 
-    /// Reads a time within its range.
+    /// Reads a duration within the setting's range, in the setting's unit.
     pub fn time(&mut self, name: &str) -> Duration {
         self.read(name, Duration::ZERO, |text, kind| match kind {
             Kind::Time { unit, min, max } => {
@@ -158,12 +161,13 @@
         })
     }
 
-    /// Reads a text.
+    /// Reads any text.
     pub fn text(&mut self, name: &str) -> String {
         self.read(name, String::new(), |text, _| Some(text.to_owned()))
     }
 
-    /// Reads one of some words.
+    /// Reads one of the setting's words; `default` stands in if there is an
+    /// error.
     pub fn choice<T: FromStr>(&mut self, name: &str, default: T) -> T {
         self.read(name, default, |text, kind| match kind {
             Kind::Choice(words) if words.contains(&text) => text.parse().ok(),
@@ -171,7 +175,7 @@
         })
     }
 
-    /// Reads a key.
+    /// Reads a key of the form `ID:HEX`.
     pub fn key(&mut self, name: &str) -> Option<Key> {
         self.read(name, None, |text, _| read_key(text).map(Some))
     }
@@ -183,7 +187,7 @@
         })
     }
 
-    /// Reads one setting, or notes the error and returns `fallback`.
+    /// Reads one setting, or records the error and returns `fallback`.
     fn read<T>(
         &mut self,
         name: &str,
@@ -193,7 +197,7 @@
         let Some(setting) = self.role.settings().find(|setting| setting.name == name) else {
             return fallback;
         };
-        let Some(given) = self.given(setting) else {
+        let Some(given) = self.raw_value(setting) else {
             self.errors.push(Error::Missing {
                 flag: name.into(),
                 variable: setting.variable(),
@@ -204,7 +208,7 @@
             return value;
         }
         let value = match setting.kind {
-            // Keys are never printed.
+            // Secret keys must not appear in the output or in logs.
             Kind::Key | Kind::Keys => "***".into(),
             _ => given.text,
         };
@@ -216,18 +220,18 @@
         fallback
     }
 
-    fn given(&self, setting: &Setting) -> Option<Given> {
+    fn raw_value(&self, setting: &Setting) -> Option<RawValue> {
         if let Some(text) = self.matches.opt_str(setting.name) {
             let origin = format!("--{}", setting.name);
-            return Some(Given { text, origin });
+            return Some(RawValue { text, origin });
         }
         let origin = setting.variable();
         if let Some(text) = (self.variable)(&origin) {
-            return Some(Given { text, origin });
+            return Some(RawValue { text, origin });
         }
         match setting.default {
             Preset::Required => None,
-            Preset::Text(text) => Some(Given {
+            Preset::Text(text) => Some(RawValue {
                 text: text.into(),
                 origin: format!("the default of --{}", setting.name),
             }),
@@ -247,7 +251,8 @@
     expected
 }
 
-/// Whether other processes can send to the address.
+/// Returns whether the address is one that other processes can send to: neither
+/// its IP address nor its port is 0.
 const fn is_reachable(address: SocketAddr) -> bool {
     !address.ip().is_unspecified() && address.port() != 0
 }
--- a/roles/app/src/settings/shared.rs
+++ b/roles/app/src/settings/shared.rs
@@ -1,4 +1,4 @@
-//! Settings that several roles have in common.
+//! Settings common to several roles.
 use std::str::FromStr;
 
 use log::LevelFilter;
@@ -6,23 +6,23 @@
 use wire::seal::KEY_LEN;
 use wire::seal::Key;
 
-/// How log lines are written.
+/// Format of the log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Format {
-    /// One line of text for people.
+    /// Human-readable line of text.
     Readable,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
-    /// One short JSON object a line, on the standard output.
+    /// One short JSON object per line, on the standard output.
     Compact,
 }
 
-/// What is logged, and how.
+/// Settings of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Log {
-    /// Form of the lines.
+    /// Format of the lines.
     pub format: Format,
-    /// Least severe level that is written.
+    /// Lowest severity that is logged.
     pub level: LevelFilter,
 }
 
@@ -35,17 +35,17 @@
     }
 }
 
-/// The keys that the processes of one installation share.
+/// Keys shared by the processes of one installation.
 #[derive(Clone)]
 pub struct Keys {
-    /// Signs what is sent, and is accepted.
+    /// Key that signs sent messages; it is also accepted on received ones.
     pub sign: Key,
-    /// Further keys that are accepted, for rotation.
+    /// Further keys accepted on received messages, for key rotation.
     pub accept: Vec<Key>,
 }
 
 impl Keys {
-    /// Builds the seal of the datagrams between processes.
+    /// Builds the seal that signs and verifies datagrams between processes.
     #[must_use]
     pub fn seal(&self) -> Seal {
         Seal::new(self.sign.clone(), self.accept.clone())
@@ -53,7 +53,7 @@
 }
 
 impl Default for Keys {
-    /// An all-zero key, for tests; the settings have no default key.
+    /// Returns an all-zero key for tests; the settings have no default key.
     fn default() -> Self {
         Self {
             sign: Key {
--- a/roles/app/src/settings/table.rs
+++ b/roles/app/src/settings/table.rs
@@ -1,10 +1,10 @@
-//! The types of the table of settings; see [`super::list`] for its rows.
+//! Types of the table of settings; [`super::list`] has its rows.
 use std::fmt;
 use std::time::Duration;
 
 pub use super::list::SETTINGS;
 
-/// A role of the binary.
+/// Role of the binary, the first argument on its command line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// `greengagelug entry`.
@@ -21,27 +21,28 @@
     Call,
 }
 
-/// The type of a setting, with its range.
+/// Type of a setting with its range.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// An IP address and port that other processes can send to.
+    /// IP address and port that other processes can send to; neither may be 0.
     Address,
-    /// An IP address and port to send from; both may be 0.
-    Local,
-    /// One of them, or none.
-    Optional,
-    /// Several of them, separated by commas; this many at least.
+    /// Local IP address and port to bind; both may be 0.
+    LocalAddress,
+    /// Address like [`Kind::Address`], or empty for none.
+    OptionalAddress,
+    /// Addresses like [`Kind::Address`], separated by commas; the number is the
+    /// smallest count.
     Addresses(usize),
-    /// A whole number.
+    /// Whole number.
     Number {
         /// Smallest value.
         min: u64,
         /// Largest value.
         max: u64,
     },
-    /// A time, as a whole number of `unit`.
+    /// Duration, as a whole number of `unit`.
     Time {
-        /// What is counted.
+        /// Unit of the number.
         unit: Unit,
         /// Smallest number.
         min: u64,
@@ -52,13 +53,13 @@
     Choice(&'static [&'static str]),
     /// Any text.
     Text,
-    /// A key id and 64 hexadecimal digits, as `ID:HEX`.
+    /// Key id and 64 hexadecimal digits, as `ID:HEX`.
     Key,
     /// Several keys, separated by commas.
     Keys,
 }
 
-/// What a time is counted in.
+/// Unit of a duration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unit {
     /// Milliseconds.
@@ -68,7 +69,7 @@
 }
 
 impl Unit {
-    /// The time that `count` of the unit make.
+    /// Returns the duration of `count` units.
     #[must_use]
     pub const fn duration(self, count: u64) -> Duration {
         match self {
@@ -78,34 +79,34 @@
     }
 }
 
-/// What a setting is without its value.
+/// Behaviour when a setting is not given.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Preset {
-    /// It must be given.
+    /// The setting must be given.
     Required,
-    /// This text stands for it.
+    /// This text is used as its value.
     Text(&'static str),
 }
 
-/// One setting.
+/// Description of one setting.
 #[derive(Clone, Copy, Debug)]
 pub struct Setting {
     /// Name of the flag, without its dashes.
     pub name: &'static str,
-    /// The roles that have it.
+    /// Roles that have the setting.
     pub roles: &'static [Role],
     /// Type and range.
     pub kind: Kind,
-    /// Unit, or empty.
+    /// Unit of the value, empty if it has none.
     pub unit: &'static str,
-    /// Value where it is not given.
+    /// Default value, unless the setting is required.
     pub default: Preset,
-    /// What it is for.
+    /// Description for the help and the page.
     pub help: &'static str,
 }
 
 impl Setting {
-    /// Name of the environment variable.
+    /// Returns the name of the environment variable.
     #[must_use]
     pub fn variable(&self) -> String {
         let name = self.name.replace('-', "_").to_uppercase();
@@ -124,7 +125,7 @@
         Self::Call,
     ];
 
-    /// The word on the command line.
+    /// Returns the name of the role on the command line.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -137,7 +138,7 @@
         }
     }
 
-    /// The settings of this role.
+    /// Returns the settings of the role.
     pub fn settings(self) -> impl Iterator<Item = &'static Setting> {
         let has_role = move |setting: &&Setting| setting.roles.contains(&self);
         SETTINGS.iter().filter(has_role)
@@ -147,7 +148,9 @@
 impl fmt::Display for Kind {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Address | Self::Optional | Self::Local => formatter.write_str("IP:PORT"),
+            Self::Address | Self::OptionalAddress | Self::LocalAddress => {
+                formatter.write_str("IP:PORT")
+            }
             Self::Addresses(_) => formatter.write_str("IP:PORT,..."),
             Self::Number { .. } | Self::Time { .. } => formatter.write_str("NUMBER"),
             Self::Choice(_) => formatter.write_str("WORD"),
@@ -159,16 +162,16 @@
 }
 
 impl Kind {
-    /// The range in words, or empty where there is none.
+    /// Returns the range as text, empty if the type has none.
     #[must_use]
     pub fn range(&self) -> String {
         match self {
             Self::Number { min, max } | Self::Time { min, max, .. } => format!("{min} to {max}"),
             Self::Choice(words) => words.join(", "),
-            Self::Address | Self::Optional => "neither 0".into(),
+            Self::Address | Self::OptionalAddress => "neither 0".into(),
             Self::Addresses(min) => format!("{min} or more, neither 0"),
             Self::Key | Self::Keys => "id 0 to 255, 64 hexadecimal digits".into(),
-            Self::Local | Self::Text => String::new(),
+            Self::LocalAddress | Self::Text => String::new(),
         }
     }
 }
--- a/roles/app/tests/caller.rs
+++ b/roles/app/tests/caller.rs
@@ -1,4 +1,4 @@
-//! The caller's state machine.
+//! The state machine of a caller.
 use std::collections::HashMap;
 use std::time::Duration;
 
@@ -22,15 +22,15 @@
 const SERVICE: &str = "roster";
 const TOKEN: &[u8] = b"0123456789abcdef";
 
-/// A caller, the time, and what it sent and reported.
-struct Bench {
+/// Caller with a simulated clock and the packets and events that it produced.
+struct Harness {
     caller: Caller,
     now: Duration,
     sent: Vec<Packet>,
-    notes: Vec<Action>,
+    events: Vec<Action>,
 }
 
-impl Bench {
+impl Harness {
     fn new(seed: u64) -> Self {
         let caller = Caller::new(Settings {
             service: SERVICE.into(),
@@ -41,17 +41,17 @@
             caller,
             now: Duration::ZERO,
             sent: Vec::new(),
-            notes: Vec::new(),
+            events: Vec::new(),
         }
     }
 
-    /// A caller with one open flow.
+    /// Creates a caller with one open flow.
     fn open() -> Self {
-        let mut bench = Self::new(0);
-        bench.caller.open(bench.now);
-        bench.drain();
-        bench.reply(Body::Opened(opened()));
-        bench
+        let mut harness = Self::new(0);
+        harness.caller.open(harness.now);
+        harness.drain();
+        harness.reply(Body::Opened(opened()));
+        harness
     }
 
     fn drain(&mut self) {
@@ -61,7 +61,7 @@
                     self.sent
                         .push(Packet::from_bytes(bytes).expect("sends valid packets"));
                 }
-                note => self.notes.push(note),
+                event => self.events.push(event),
             }
         }
     }
@@ -72,7 +72,7 @@
         self.drain();
     }
 
-    /// Replies on the flow of the last packet.
+    /// Delivers a reply on the flow of the last packet sent.
     fn reply(&mut self, body: Body) {
         self.receive(self.last_flow(), body);
     }
@@ -83,18 +83,18 @@
         self.drain();
     }
 
-    /// Moves the time to the next timer.
-    fn wake(&mut self) {
+    /// Advances the clock to the next timer.
+    fn advance(&mut self) {
         self.now = self.caller.next_deadline().expect("something is due");
         self.caller.tick(self.now);
         self.drain();
     }
 
-    /// Moves the time on until a packet is sent.
-    fn wake_until_sent(&mut self) {
+    /// Advances the clock until a packet is sent.
+    fn advance_until_sent(&mut self) {
         let before = self.sent.len();
         while self.sent.len() == before {
-            self.wake();
+            self.advance();
         }
     }
 
@@ -110,17 +110,17 @@
     fn last_request(&self) -> Request {
         match self.sent.last().and_then(|packet| packet.body.clone()) {
             Some(Body::Request(request)) => request,
-            other => panic!("the last packet is no request: {other:?}"),
+            other => panic!("the last packet is not a request: {other:?}"),
         }
     }
 
     fn endings(&self) -> Vec<&Ending> {
-        self.notes.iter().filter_map(ending).collect()
+        self.events.iter().filter_map(ending).collect()
     }
 }
 
-const fn ending(note: &Action) -> Option<&Ending> {
-    match note {
+const fn ending(event: &Action) -> Option<&Ending> {
+    match event {
         Action::Ended(_, ending) => Some(ending),
         _ => None,
     }
@@ -133,7 +133,7 @@
     }
 }
 
-/// The right answer, cut into `count` chunks.
+/// Returns the correct answer, split into `count` chunks.
 fn chunks(request: &Request, count: u32) -> Vec<Chunk> {
     let mut answer = format!("{SERVICE}\n").into_bytes();
     answer.extend_from_slice(&request.payload);
@@ -150,15 +150,15 @@
 }
 
 #[test]
-fn repeats_a_lost_open() {
-    let mut bench = Bench::new(0);
-    bench.caller.open(bench.now);
-    bench.wake();
-    bench.wake();
-    let attempts: Vec<u32> = bench.sent.iter().map(attempt).collect();
+fn retransmits_an_open_without_reply() {
+    let mut harness = Harness::new(0);
+    harness.caller.open(harness.now);
+    harness.advance();
+    harness.advance();
+    let attempts: Vec<u32> = harness.sent.iter().map(attempt).collect();
     assert_eq!(attempts, [0, 1, 2]);
-    bench.reply(Body::Opened(opened()));
-    assert_eq!(bench.caller.open_flows(), 1);
+    harness.reply(Body::Opened(opened()));
+    assert_eq!(harness.caller.open_flows(), 1);
 }
 
 fn attempt(packet: &Packet) -> u32 {
@@ -170,33 +170,33 @@
 }
 
 #[test]
-fn keeps_the_first_holder() {
-    let mut bench = Bench::open();
-    bench.reply(Body::Opened(Opened {
+fn a_second_opened_reply_does_not_change_the_holder() {
+    let mut harness = Harness::open();
+    harness.reply(Body::Opened(Opened {
         holder: Bytes::from_static(b"another holder!!"),
         idle_ms: 1,
     }));
-    bench.start(true);
-    assert_eq!(bench.last_request().holder, TOKEN);
+    harness.start(true);
+    assert_eq!(harness.last_request().holder, TOKEN);
 }
 
 #[test]
-fn waits_as_long_as_a_refused_open_says() {
-    let mut bench = Bench::new(0);
-    bench.caller.open(bench.now);
-    bench.drain();
-    bench.refuse(0, Reason::Overloaded, Outcome::NotRun, 3000);
-    bench.wake_until_sent();
-    assert!(bench.now >= Duration::from_secs(3), "{:?}", bench.now);
+fn retries_a_refused_open_after_the_stated_delay() {
+    let mut harness = Harness::new(0);
+    harness.caller.open(harness.now);
+    harness.drain();
+    harness.refuse(0, Reason::Overloaded, Outcome::NotRun, 3000);
+    harness.advance_until_sent();
+    assert!(harness.now >= Duration::from_secs(3), "{:?}", harness.now);
 }
 
 #[test]
-fn repeats_a_lost_request_under_its_id() {
-    let mut bench = Bench::open();
-    bench.start(false);
-    let first = bench.last_request();
-    bench.wake_until_sent();
-    let second = bench.last_request();
+fn retransmits_a_request_under_the_same_id() {
+    let mut harness = Harness::open();
+    harness.start(false);
+    let first = harness.last_request();
+    harness.advance_until_sent();
+    let second = harness.last_request();
     assert_eq!(second.request, first.request);
     assert_eq!(second.payload, first.payload);
     assert_eq!(second.attempt, first.attempt + 1);
@@ -204,27 +204,27 @@
 }
 
 #[test]
-fn takes_chunks_in_any_order_once() {
-    let mut bench = Bench::open();
-    bench.start(false);
-    let request = bench.last_request();
+fn accepts_chunks_in_any_order_and_ignores_duplicates() {
+    let mut harness = Harness::open();
+    harness.start(false);
+    let request = harness.last_request();
     let chunks = chunks(&request, 3);
     for index in [2, 0, 0, 2, 1, 1] {
-        bench.reply(Body::Chunk(chunks[index].clone()));
+        harness.reply(Body::Chunk(chunks[index].clone()));
     }
-    assert!(matches!(bench.endings()[..], [Ending::Answered { .. }]));
+    assert!(matches!(harness.endings()[..], [Ending::Answered { .. }]));
 }
 
 #[test]
 fn fetches_only_missing_chunks() {
-    let mut bench = Bench::open();
-    bench.start(false);
-    let request = bench.last_request();
+    let mut harness = Harness::open();
+    harness.start(false);
+    let request = harness.last_request();
     let chunks = chunks(&request, 4);
-    bench.reply(Body::Chunk(chunks[1].clone()));
-    bench.reply(Body::Chunk(chunks[3].clone()));
-    bench.wake_until_sent();
-    match bench.sent.last().and_then(|packet| packet.body.clone()) {
+    harness.reply(Body::Chunk(chunks[1].clone()));
+    harness.reply(Body::Chunk(chunks[3].clone()));
+    harness.advance_until_sent();
+    match harness.sent.last().and_then(|packet| packet.body.clone()) {
         Some(Body::Fetch(fetch)) => {
             assert_eq!(fetch.request, request.request);
             assert_eq!(fetch.chunks, [0, 2]);
@@ -235,35 +235,35 @@
 }
 
 #[test]
-fn answers_do_not_cross() {
-    let mut bench = Bench::open();
-    bench.start(false);
-    let first = bench.last_request();
-    bench.start(false);
-    let second = bench.last_request();
-    bench.reply(Body::Chunk(chunks(&second, 1)[0].clone()));
-    bench.reply(Body::Chunk(chunks(&first, 1)[0].clone()));
+fn answers_in_reverse_order_match_their_requests() {
+    let mut harness = Harness::open();
+    harness.start(false);
+    let first = harness.last_request();
+    harness.start(false);
+    let second = harness.last_request();
+    harness.reply(Body::Chunk(chunks(&second, 1)[0].clone()));
+    harness.reply(Body::Chunk(chunks(&first, 1)[0].clone()));
     let answered = |ending: &&Ending| matches!(ending, Ending::Answered { .. });
-    assert_eq!(bench.endings().into_iter().filter(answered).count(), 2);
+    assert_eq!(harness.endings().into_iter().filter(answered).count(), 2);
 }
 
-/// An answer that is not the right one, and what becomes of it.
+/// Wrong answer and the ending that it has to cause.
 struct Forged {
     change: fn(&mut Chunk),
     ending: Ending,
 }
 
-fn is_noticed(forged: &Forged) {
-    let mut bench = Bench::open();
-    bench.start(false);
-    let mut chunk = chunks(&bench.last_request(), 1).remove(0);
+fn is_detected(forged: &Forged) {
+    let mut harness = Harness::open();
+    harness.start(false);
+    let mut chunk = chunks(&harness.last_request(), 1).remove(0);
     (forged.change)(&mut chunk);
-    bench.reply(Body::Chunk(chunk));
-    assert_eq!(bench.endings(), [&forged.ending]);
+    harness.reply(Body::Chunk(chunk));
+    assert_eq!(harness.endings(), [&forged.ending]);
 }
 
-cases::cases! { is_noticed;
-    answer_of_another_service: &Forged {
+cases::cases! { is_detected;
+    answer_from_another_service: &Forged {
         change: |chunk| chunk.payload = Bytes::from_static(b"rota\nx"),
         ending: Ending::WrongService,
     },
@@ -271,7 +271,7 @@
         change: |chunk| chunk.payload = Bytes::from_static(b"roster\nother"),
         ending: Ending::Mismatch,
     },
-    answer_cut_short: &Forged {
+    truncated_answer: &Forged {
         change: |chunk| chunk.payload.truncate(chunk.payload.len() - 1),
         ending: Ending::Mismatch,
     },
@@ -279,92 +279,100 @@
         change: |chunk| chunk.count = 0,
         ending: Ending::Mismatch,
     },
-    answer_of_too_many_chunks: &Forged {
+    answer_with_too_many_chunks: &Forged {
         change: |chunk| chunk.count = u32::MAX,
         ending: Ending::Mismatch,
     },
 }
 
 #[test]
-fn comes_back_under_a_new_id_when_told() {
-    let mut bench = Bench::open();
-    bench.start(false);
-    let first = bench.last_request();
-    bench.refuse(first.request, Reason::Overloaded, Outcome::NotRun, 1500);
-    assert!(bench.endings().is_empty());
-    while bench.last_request().request == first.request {
-        bench.wake();
+fn retries_a_refused_request_under_a_new_id_after_the_stated_delay() {
+    let mut harness = Harness::open();
+    harness.start(false);
+    let first = harness.last_request();
+    harness.refuse(first.request, Reason::Overloaded, Outcome::NotRun, 1500);
+    assert!(harness.endings().is_empty());
+    while harness.last_request().request == first.request {
+        harness.advance();
     }
-    assert!(bench.now >= Duration::from_millis(1500), "{:?}", bench.now);
-    assert_ne!(bench.last_request().payload, first.payload);
+    assert!(
+        harness.now >= Duration::from_millis(1500),
+        "{:?}",
+        harness.now
+    );
+    assert_ne!(harness.last_request().payload, first.payload);
 }
 
 #[test]
-fn does_not_come_back_after_its_deadline() {
-    let mut bench = Bench::open();
-    bench.start(false);
-    let request = bench.last_request().request;
-    bench.refuse(request, Reason::Overloaded, Outcome::NotRun, 60_000);
-    assert_eq!(bench.endings(), [&Ending::Refused(Reason::Overloaded)]);
+fn does_not_retry_if_the_delay_exceeds_the_deadline() {
+    let mut harness = Harness::open();
+    harness.start(false);
+    let request = harness.last_request().request;
+    harness.refuse(request, Reason::Overloaded, Outcome::NotRun, 60_000);
+    assert_eq!(harness.endings(), [&Ending::Refused(Reason::Overloaded)]);
 }
 
 #[test]
-fn never_repeats_what_may_have_run() {
-    let mut bench = Bench::open();
-    bench.start(false);
-    let request = bench.last_request().request;
-    bench.refuse(request, Reason::BackendFailed, Outcome::Unknown, 1);
-    assert_eq!(bench.endings(), [&Ending::Unknown(Reason::BackendFailed)]);
-    assert_eq!(bench.caller.pending(), 0);
+fn does_not_retry_a_request_that_may_have_run() {
+    let mut harness = Harness::open();
+    harness.start(false);
+    let request = harness.last_request().request;
+    harness.refuse(request, Reason::BackendFailed, Outcome::Unknown, 1);
+    assert_eq!(harness.endings(), [&Ending::Unknown(Reason::BackendFailed)]);
+    assert_eq!(harness.caller.pending(), 0);
 }
 
 #[test]
-fn repeats_what_may_have_run_where_idempotent() {
-    let mut bench = Bench::open();
-    bench.start(true);
-    let request = bench.last_request().request;
-    bench.refuse(request, Reason::BackendFailed, Outcome::Unknown, 1);
-    assert!(bench.endings().is_empty());
-    while bench.last_request().request == request {
-        bench.wake();
+fn retries_an_idempotent_request_that_may_have_run() {
+    let mut harness = Harness::open();
+    harness.start(true);
+    let request = harness.last_request().request;
+    harness.refuse(request, Reason::BackendFailed, Outcome::Unknown, 1);
+    assert!(harness.endings().is_empty());
+    while harness.last_request().request == request {
+        harness.advance();
     }
 }
 
 #[test]
-fn gives_up_at_its_deadline_and_cancels() {
-    let mut bench = Bench::open();
-    bench.start(false);
-    let deadline = bench.now + Settings::default().deadline;
-    while bench.endings().is_empty() {
-        bench.wake();
-        assert!(bench.now <= deadline);
+fn cancels_a_request_at_its_deadline() {
+    let mut harness = Harness::open();
+    harness.start(false);
+    let deadline = harness.now + Settings::default().deadline;
+    while harness.endings().is_empty() {
+        harness.advance();
+        assert!(harness.now <= deadline);
     }
-    assert_eq!(bench.now, deadline);
-    assert_eq!(bench.endings(), [&Ending::Lost]);
-    let last = bench.sent.last().and_then(|packet| packet.body.clone());
+    assert_eq!(harness.now, deadline);
+    assert_eq!(harness.endings(), [&Ending::Lost]);
+    let last = harness.sent.last().and_then(|packet| packet.body.clone());
     assert!(matches!(last, Some(Body::Cancel(_))), "{last:?}");
 }
 
 #[test]
-fn opens_a_broken_flow_again_under_a_new_key() {
-    let mut bench = Bench::open();
-    bench.start(false);
-    let request = bench.last_request().request;
-    let old = bench.last_flow();
-    bench.refuse(request, Reason::FlowUnknown, Outcome::NotRun, 10);
-    assert!(bench.notes.contains(&Action::Broken(Reason::FlowUnknown)));
-    assert_ne!(bench.last_flow(), old);
-    bench.reply(Body::Opened(opened()));
-    while bench.caller.pending() > 0 && bench.last_request_id() == Some(request) {
-        bench.wake();
+fn replaces_a_broken_flow_under_a_new_key() {
+    let mut harness = Harness::open();
+    harness.start(false);
+    let request = harness.last_request().request;
+    let old = harness.last_flow();
+    harness.refuse(request, Reason::FlowUnknown, Outcome::NotRun, 10);
+    assert!(
+        harness
+            .events
+            .contains(&Action::Broken(Reason::FlowUnknown))
+    );
+    assert_ne!(harness.last_flow(), old);
+    harness.reply(Body::Opened(opened()));
+    while harness.caller.pending() > 0 && harness.last_request_id() == Some(request) {
+        harness.advance();
     }
-    let fresh = bench.last_request();
+    let fresh = harness.last_request();
     assert_ne!(fresh.request, request);
-    bench.reply(Body::Chunk(chunks(&fresh, 1)[0].clone()));
-    assert!(matches!(bench.endings()[..], [Ending::Answered { .. }]));
+    harness.reply(Body::Chunk(chunks(&fresh, 1)[0].clone()));
+    assert!(matches!(harness.endings()[..], [Ending::Answered { .. }]));
 }
 
-impl Bench {
+impl Harness {
     fn last_request_id(&self) -> Option<u64> {
         let id = |packet: &Packet| match &packet.body {
             Some(Body::Request(request)) => Some(request.request),
@@ -375,37 +383,40 @@
 }
 
 #[test]
-fn closes_and_confirms() {
-    let mut bench = Bench::open();
-    bench.caller.close(bench.now);
-    bench.drain();
-    assert_eq!(bench.caller.closing(), 1);
-    bench.reply(Body::Closed(Closed {}));
-    assert_eq!(bench.caller.closing(), 0);
-    assert!(bench.notes.contains(&Action::Closed));
+fn a_flow_is_closed_once_confirmed() {
+    let mut harness = Harness::open();
+    harness.caller.close(harness.now);
+    harness.drain();
+    assert_eq!(harness.caller.closing(), 1);
+    harness.reply(Body::Closed(Closed {}));
+    assert_eq!(harness.caller.closing(), 0);
+    assert!(harness.events.contains(&Action::Closed));
 }
 
 #[test]
-fn unreadable_and_strange_packets_are_ignored() {
-    let mut bench = Bench::open();
-    bench
+fn malformed_and_unexpected_packets_are_ignored() {
+    let mut harness = Harness::open();
+    harness
         .caller
-        .receive(bench.now, Bytes::from_static(&[0xff; 9]));
-    bench.drain();
-    bench.receive(1, Body::Opened(opened()));
-    bench.reply(Body::Chunk(Chunk {
+        .receive(harness.now, Bytes::from_static(&[0xff; 9]));
+    harness.drain();
+    harness.receive(1, Body::Opened(opened()));
+    harness.reply(Body::Chunk(Chunk {
         request: 77,
         index: 0,
         count: 1,
         payload: Bytes::new(),
     }));
-    let ignored = bench.notes.iter().filter(|note| **note == Action::Ignored);
+    let ignored = harness
+        .events
+        .iter()
+        .filter(|event| **event == Action::Ignored);
     assert_eq!(ignored.count(), 3);
 }
 
-/// What the network and the service do with a packet of the caller.
+/// Reaction of the network and the service to a packet of the caller.
 #[derive(Clone, Copy, Debug)]
-enum Fate {
+enum Reaction {
     Lost,
     Answered,
     Twice,
@@ -414,18 +425,18 @@
     Partial(usize),
 }
 
-fn fate() -> impl Strategy<Value = Fate> {
+fn reaction() -> impl Strategy<Value = Reaction> {
     prop_oneof![
-        Just(Fate::Lost),
-        Just(Fate::Answered),
-        Just(Fate::Twice),
-        any::<bool>().prop_map(Fate::Refused),
-        Just(Fate::Unknown),
-        (0..4_usize).prop_map(Fate::Partial),
+        Just(Reaction::Lost),
+        Just(Reaction::Answered),
+        Just(Reaction::Twice),
+        any::<bool>().prop_map(Reaction::Refused),
+        Just(Reaction::Unknown),
+        (0..4_usize).prop_map(Reaction::Partial),
     ]
 }
 
-fn respond(bench: &mut Bench, packet: &Packet, fate: Fate) {
+fn respond(harness: &mut Harness, packet: &Packet, reaction: Reaction) {
     let flow = packet.flow;
     let refuse = |request, reason, outcome| {
         let refusal = Packet::refuse(flow, request, reason, outcome, 20);
@@ -433,65 +444,65 @@
     };
     let request = match &packet.body {
         Some(Body::Request(request)) => request.clone(),
-        Some(Body::Open(_)) if !matches!(fate, Fate::Lost) => {
-            return bench.receive(flow, Body::Opened(opened()));
+        Some(Body::Open(_)) if !matches!(reaction, Reaction::Lost) => {
+            return harness.receive(flow, Body::Opened(opened()));
         }
         _ => return,
     };
     let id = request.request;
-    let replies = match fate {
-        Fate::Lost => Vec::new(),
-        Fate::Answered => chunks(&request, 4).into_iter().map(Body::Chunk).collect(),
-        Fate::Twice => {
+    let replies = match reaction {
+        Reaction::Lost => Vec::new(),
+        Reaction::Answered => chunks(&request, 4).into_iter().map(Body::Chunk).collect(),
+        Reaction::Twice => {
             let chunks = chunks(&request, 4);
             let twice = chunks.iter().rev().chain(&chunks);
             twice.cloned().map(Body::Chunk).collect()
         }
-        Fate::Refused(true) => vec![refuse(id, Reason::FlowUnknown, Outcome::NotRun)],
-        Fate::Refused(false) => vec![refuse(id, Reason::Overloaded, Outcome::NotRun)],
-        Fate::Unknown => vec![refuse(id, Reason::BackendFailed, Outcome::Unknown)],
-        Fate::Partial(index) => vec![Body::Chunk(chunks(&request, 4).remove(index))],
+        Reaction::Refused(true) => vec![refuse(id, Reason::FlowUnknown, Outcome::NotRun)],
+        Reaction::Refused(false) => vec![refuse(id, Reason::Overloaded, Outcome::NotRun)],
+        Reaction::Unknown => vec![refuse(id, Reason::BackendFailed, Outcome::Unknown)],
+        Reaction::Partial(index) => vec![Body::Chunk(chunks(&request, 4).remove(index))],
     };
     for reply in replies {
-        bench.receive(flow, reply);
+        harness.receive(flow, reply);
     }
 }
 
 proptest! {
-    /// Whatever happens to its packets, every operation ends once, and no
-    /// request id is sent with two payloads.
+    /// With any losses, duplicates and refusals, every operation ends exactly
+    /// once, and no request id is sent with two different payloads.
     #[test]
     fn every_operation_ends_once(
-        fates in prop::collection::vec(fate(), 1..200),
+        reactions in prop::collection::vec(reaction(), 1..200),
         operations in 1..20_u64,
         seed in any::<u64>(),
     ) {
-        let mut bench = Bench::new(seed);
-        bench.caller.open(bench.now);
-        bench.caller.open(bench.now);
+        let mut harness = Harness::new(seed);
+        harness.caller.open(harness.now);
+        harness.caller.open(harness.now);
         for number in 0..operations {
             let flow = usize::from(number % 2 == 1);
-            bench.caller.start(bench.now, flow, number % 3 == 0);
+            harness.caller.start(harness.now, flow, number % 3 == 0);
         }
-        bench.drain();
-        let mut fates = fates.into_iter().cycle();
+        harness.drain();
+        let mut reactions = reactions.into_iter().cycle();
         let mut next = 0;
-        while bench.caller.pending() > 0 {
-            while next < bench.sent.len() {
-                let packet = bench.sent[next].clone();
+        while harness.caller.pending() > 0 {
+            while next < harness.sent.len() {
+                let packet = harness.sent[next].clone();
                 next += 1;
-                respond(&mut bench, &packet, fates.next().expect("cycles"));
+                respond(&mut harness, &packet, reactions.next().expect("cycles"));
             }
-            if bench.caller.pending() > 0 && next == bench.sent.len() {
-                bench.wake();
+            if harness.caller.pending() > 0 && next == harness.sent.len() {
+                harness.advance();
             }
         }
-        prop_assert!(bench.now <= Settings::default().deadline);
+        prop_assert!(harness.now <= Settings::default().deadline);
         let mut ended = HashMap::new();
         let mut report = Report::new(SERVICE.into(), seed);
-        for note in &bench.notes {
-            report.add(Duration::ZERO, note);
-            if let Action::Ended(operation, _) = note {
+        for event in &harness.events {
+            report.add(Duration::ZERO, event);
+            if let Action::Ended(operation, _) = event {
                 *ended.entry(*operation).or_insert(0) += 1;
             }
         }
@@ -499,7 +510,7 @@
         prop_assert!(ended.values().all(|count| *count == 1));
         prop_assert_eq!(report.mismatched + report.wrong_service, 0);
         let mut payloads = HashMap::new();
-        for packet in &bench.sent {
+        for packet in &harness.sent {
             if let Some(Body::Request(request)) = &packet.body {
                 let first = payloads.entry(request.request).or_insert(&request.payload);
                 prop_assert_eq!(*first, &request.payload);
--- a/roles/app/tests/operator.rs
+++ b/roles/app/tests/operator.rs
@@ -1,5 +1,5 @@
-//! The operators' server, its client and the `operate` command, before a
-//! stand-in of the store.
+//! The operators' server, its client and the `operate` command, with a stand-in
+//! for the store.
 use std::future::Future;
 use std::io;
 use std::net::Shutdown;
@@ -29,12 +29,12 @@
 const SERVICE: &str = "192.0.2.1:5000";
 const TIMEOUT: Duration = Duration::from_mins(1);
 
-/// An entry that notes what it was told to spread.
+/// Entry that passes the updates it should spread to a channel.
 struct Entry(Sender<Update>);
 
 impl operator::Snapshot for Entry {
     async fn accept(&self, update: Update) {
-        // Tests that do not look at updates drop the receiver.
+        // Tests that ignore the updates drop the receiver.
         let _ = self.0.send(update).await;
     }
 
@@ -49,7 +49,7 @@
     }
 }
 
-/// An operator at work.
+/// Operator with a running entry and store.
 struct Operator {
     entry: SocketAddr,
     executor: Arc<Executor<'static>>,
@@ -73,10 +73,11 @@
     }
 }
 
-/// An entry that says when a change is accepted, and never answers.
-struct Silent(Sender<Update>);
+/// Entry that reports an accepted change to a channel and then never replies to
+/// the operator.
+struct Unresponsive(Sender<Update>);
 
-impl operator::Snapshot for Silent {
+impl operator::Snapshot for Unresponsive {
     async fn accept(&self, update: Update) {
         let _ = self.0.send(update).await;
         future::pending::<()>().await;
@@ -87,8 +88,9 @@
     }
 }
 
-/// Passes one connection on to an entry until a change is accepted there.
-async fn cut_when_accepted(
+/// Relays one connection to an entry and closes it when the entry has accepted a
+/// change.
+async fn relay_until_accepted(
     listener: TcpListener,
     entry: SocketAddr,
     accepted: Receiver<Update>,
@@ -166,7 +168,7 @@
 }
 
 #[test]
-fn a_wrong_request_gets_every_problem_and_writes_nothing() {
+fn an_invalid_request_reports_all_problems_and_writes_nothing() {
     with_operator(|operator| async move {
         let create = format!("create {SERVICE} --hunt 9 --default-deadline-ms 90000");
         let printed = operator.run(&create).await;
@@ -184,7 +186,7 @@
 }
 
 #[test]
-fn a_dry_run_shows_the_difference_and_writes_nothing() {
+fn a_dry_run_shows_the_differences_and_writes_nothing() {
     with_operator(|operator| async move {
         let create = format!("create {SERVICE} --name roster --dry-run");
         operator
@@ -194,8 +196,11 @@
     });
 }
 
+/// Two changes are based on the same revision, and the store's answer to the
+/// first one is lost. The first has to be recognized as applied, also by a later
+/// retry, and the second has to report the first as its conflict.
 #[test]
-fn the_loser_of_a_race_sees_the_winner_and_the_winner_itself() {
+fn of_two_concurrent_changes_one_is_applied_and_one_reports_the_conflict() {
     with_operator(|operator| async move {
         let create = format!("create {SERVICE} --name roster");
         operator.expect(&create, End::Done, "revision 2").await;
@@ -216,7 +221,7 @@
     });
 }
 
-fn refuses(mode: Mode) {
+fn is_refused_until_the_store_recovers(mode: Mode) {
     with_operator(|operator| async move {
         operator.platform.set_faults(|faults| faults.mode = mode);
         let create = format!("create {SERVICE} --name roster --operation one");
@@ -239,13 +244,13 @@
     });
 }
 
-cases::cases! { refuses;
-    a_change_is_refused_while_the_store_is_down: Mode::Down,
-    a_change_is_refused_while_the_store_fails: Mode::Fail,
+cases::cases! { is_refused_until_the_store_recovers;
+    store_does_not_answer: Mode::Down,
+    store_answers_with_errors: Mode::Fail,
 }
 
 #[test]
-fn an_accepted_change_is_spread_at_once_and_a_refused_one_never() {
+fn only_an_accepted_change_is_spread_by_the_entry() {
     with_operator(|operator| async move {
         let create = format!("create {SERVICE} --name roster");
         operator.expect(&create, End::Done, "revision 2").await;
@@ -259,17 +264,20 @@
     });
 }
 
+/// The connection to an entry breaks after the change was written and before the
+/// reply. The outcome is unknown then; the same command, sent through another
+/// entry, has to recognize the change as applied and must not write it twice.
 #[test]
-fn a_change_whose_entry_fell_silent_is_recognised_by_the_next() {
+fn a_change_without_a_reply_is_recognised_as_applied_by_the_next_entry() {
     with_operator(|operator| async move {
         let silent = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let path = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let entries = [path.local_addr().expect("an address"), operator.entry];
         let (sender, accepted) = async_channel::unbounded();
-        let cut = cut_when_accepted(path, silent.local_addr().expect("an address"), accepted);
+        let cut = relay_until_accepted(path, silent.local_addr().expect("an address"), accepted);
         let context = operator::Context {
             store: operator.store.clone(),
-            snapshot: Silent(sender),
+            snapshot: Unresponsive(sender),
         };
         let serve = operator::serve(silent, context, operator.executor.clone());
         operator.executor.spawn(serve).detach();
@@ -282,15 +290,15 @@
         assert_eq!(unknown.end, End::Unknown, "{}", unknown.text);
         let text = "--operation one --expected 0 --retry";
         assert!(unknown.text.contains(text), "{}", unknown.text);
-        let told = run(&entries).await.expect("a text");
-        assert_eq!(told.end, End::Done, "{}", told.text);
-        assert!(told.text.contains("revision 2 "), "{}", told.text);
+        let repeated = run(&entries).await.expect("a text");
+        assert_eq!(repeated.end, End::Done, "{}", repeated.text);
+        assert!(repeated.text.contains("revision 2 "), "{}", repeated.text);
         assert_eq!(operator.platform.calls().writes, 1);
     });
 }
 
 #[test]
-fn a_command_goes_on_to_the_next_entry() {
+fn a_command_is_sent_to_the_next_entry_if_one_does_not_answer() {
     with_operator(|operator| async move {
         let gone = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let entries = [gone.local_addr().expect("an address"), operator.entry];
--- a/roles/app/tests/series.rs
+++ b/roles/app/tests/series.rs
@@ -1,4 +1,4 @@
-//! The intervals of a run.
+//! Grouping of a load run's results into intervals.
 use std::time::Duration;
 
 use app::call::Ending;
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn percentiles_are_of_one_interval() {
+fn percentiles_cover_one_interval_only() {
     let mut series = Series::default();
     for latency in (1..=100).rev() {
         series.add(Duration::ZERO, &answered(latency));
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn gaps_are_empty_intervals() {
+fn time_without_results_gives_empty_intervals() {
     let mut series = Series::default();
     series.add(INTERVAL * 3, &Ending::Refused(Reason::Overloaded));
     let intervals = series.finish();
--- a/roles/app/tests/settings.rs
+++ b/roles/app/tests/settings.rs
@@ -1,4 +1,5 @@
-//! Settings: every error at once, each with its remedy, and the page.
+//! Parsing of the settings, their error messages, the help and the generated page
+//! docs/SETTINGS.md.
 use std::time::Duration;
 
 use app::settings::Agent;
@@ -50,7 +51,7 @@
 }
 
 #[test]
-fn reads_an_entry() {
+fn reads_settings_of_an_entry_with_defaults() {
     let key = format!("GREENGAGELUG_SIGN_KEY={KEY}");
     let settings: Entry = run(&format!("{ENTRY} --log-format json"), &[&key]);
     assert_eq!(settings.zone, 258);
@@ -62,7 +63,7 @@
 }
 
 #[test]
-fn an_entry_needs_no_fabric() {
+fn fabric_of_an_entry_is_optional() {
     let line = ENTRY.replace("--fabric 127.0.0.1:4", "");
     let settings: Entry = run(&format!("{line} --sign-key {KEY}"), &[]);
     assert_eq!(settings.fabric, None);
@@ -71,7 +72,7 @@
 }
 
 #[test]
-fn reads_an_agent() {
+fn reads_settings_of_an_agent_with_defaults() {
     let settings: Agent = run(&format!("{AGENT} --sign-key {KEY}"), &[]);
     assert_eq!(settings.seeds.len(), 2);
     assert_eq!(settings.slots, Agent::default().slots);
@@ -80,7 +81,7 @@
 }
 
 #[test]
-fn reads_a_call() {
+fn reads_settings_of_call_with_defaults() {
     let settings: Call = run("--service 127.0.0.9:5000 --deadline 250", &[]);
     assert_eq!(settings.deadline, Duration::from_millis(250));
     assert_eq!(settings.flows, Call::default().flows);
@@ -92,7 +93,7 @@
 }
 
 #[test]
-fn leaves_the_command_of_operate_alone() {
+fn passes_arguments_of_operate_through_unparsed() {
     let settings: Operate = run(
         "--entries 127.0.0.1:1 drain 127.0.0.9:1 zone:2 --dry-run",
         &[],
@@ -112,7 +113,7 @@
 }
 
 #[test]
-fn flag_wins_over_variable() {
+fn flag_takes_precedence_over_variable() {
     let settings: Call = run(
         "--service 127.0.0.9:5000 --rate 7",
         &["GREENGAGELUG_RATE=9", "GREENGAGELUG_FLOWS=11"],
@@ -122,7 +123,7 @@
 }
 
 #[test]
-fn reports_every_error_at_once() {
+fn reports_all_errors_together() {
     let line = "--listen nowhere --operator 127.0.0.1:0 \
         --fabric 127.0.0.1:4,127.0.0.1:5 --zone 70000 extra";
     let errors = errors::<Entry>(line, &["GREENGAGELUG_THREADS=0"]);
@@ -145,7 +146,7 @@
 }
 
 #[test]
-fn entry_listens_once_at_an_address() {
+fn entry_rejects_equal_listen_and_fabric_addresses() {
     let line = ENTRY.replace("127.0.0.1:4", "127.0.0.1:1");
     let errors = errors::<Entry>(&format!("{line} --sign-key {KEY}"), &[]);
     let expected = "--listen and --fabric are the same address; give each its own port";
@@ -153,7 +154,7 @@
 }
 
 #[test]
-fn entry_has_no_control_address() {
+fn entry_rejects_the_control_flag() {
     let line = format!("{ENTRY} --sign-key {KEY} --control 127.0.0.1:2");
     let errors = errors::<Entry>(&line, &[]);
     assert_eq!(errors.len(), 1, "{errors:?}");
@@ -161,14 +162,14 @@
 }
 
 #[test]
-fn agent_listens_once_at_an_address() {
+fn agent_rejects_equal_control_and_backend_addresses() {
     let line = AGENT.replace("127.0.0.1:2 ", "127.0.0.1:8080 ");
     let errors = errors::<Agent>(&format!("{line} --sign-key {KEY}"), &[]);
     let expected = "--control and --backend are the same address; give each its own port";
     assert_eq!(errors, [expected]);
 }
 
-/// The line without a flag and its value.
+/// Returns the command line without a flag and its value.
 fn without(line: &str, flag: &str) -> String {
     let words = words(line);
     let pairs = words.chunks(2).filter(|pair| pair[0] != flag);
@@ -178,51 +179,51 @@
         .join(" ")
 }
 
-/// One setting that is not accepted, and a part of the message.
-struct Wrong {
+/// A flag with a value that is rejected, and a part of the error message.
+struct Rejected {
     flag: &'static str,
     message: &'static str,
 }
 
-fn is_refused(wrong: &Wrong) {
-    let name = wrong.flag.split(' ').next().unwrap_or_default();
+fn is_rejected(rejected: &Rejected) {
+    let name = rejected.flag.split(' ').next().unwrap_or_default();
     let line = without(&format!("{AGENT} --sign-key {KEY}"), name);
-    let line = format!("{line} {}", wrong.flag);
+    let line = format!("{line} {}", rejected.flag);
     let errors = errors::<Agent>(&line, &[]);
     assert_eq!(errors.len(), 1, "{errors:?}");
-    assert!(errors[0].contains(wrong.message), "{errors:?}");
-}
-
-cases::cases! { is_refused;
-    unknown_flag: &Wrong { flag: "--sloots 4", message: "see `greengagelug help`" },
-    number_below_range: &Wrong { flag: "--slots 0", message: "1 to 1024" },
-    number_above_range: &Wrong { flag: "--stop 3601", message: "1 to 3600" },
-    number_with_sign: &Wrong { flag: "--slots -1", message: "--slots" },
-    address_of_any_host: &Wrong { flag: "--control 0.0.0.0:7001", message: "neither 0" },
-    address_without_port: &Wrong { flag: "--backend 127.0.0.1:0", message: "neither 0" },
-    unknown_word: &Wrong { flag: "--log-level loud", message: "error, warn, info" },
-    short_key: &Wrong { flag: "--accept-keys 1:00", message: "64 hexadecimal digits" },
-    key_twice: &Wrong {
+    assert!(errors[0].contains(rejected.message), "{errors:?}");
+}
+
+cases::cases! { is_rejected;
+    unknown_flag: &Rejected { flag: "--sloots 4", message: "see `greengagelug help`" },
+    number_below_range: &Rejected { flag: "--slots 0", message: "1 to 1024" },
+    number_above_range: &Rejected { flag: "--stop 3601", message: "1 to 3600" },
+    negative_number: &Rejected { flag: "--slots -1", message: "--slots" },
+    unspecified_ip_address: &Rejected { flag: "--control 0.0.0.0:7001", message: "neither 0" },
+    address_without_port: &Rejected { flag: "--backend 127.0.0.1:0", message: "neither 0" },
+    word_not_in_list: &Rejected { flag: "--log-level loud", message: "error, warn, info" },
+    key_too_short: &Rejected { flag: "--accept-keys 1:00", message: "64 hexadecimal digits" },
+    duplicate_key_id: &Rejected {
         flag: "--accept-keys 7:00000000000000000000000000000000ffffffffffffffffffffffffffffffff",
         message: "two keys with the id 7",
     },
 }
 
 #[test]
-fn keys_are_not_printed() {
+fn error_of_a_key_does_not_contain_the_key() {
     let errors = errors::<Agent>(&format!("{AGENT} --sign-key 1:secret"), &[]);
     assert_eq!(errors.len(), 1);
     assert!(!errors[0].contains("secret"), "{errors:?}");
 }
 
 #[test]
-fn check_does_not_run() {
+fn check_flag_does_not_run_the_role() {
     let line = format!("{AGENT} --sign-key {KEY} --check");
     assert!(matches!(read::<Agent>(&line, &[]), Ok(Command::Check)));
 }
 
 #[test]
-fn help_is_given_without_settings() {
+fn help_flag_needs_no_required_settings() {
     assert!(matches!(read::<Agent>("--help", &[]), Ok(Command::Help(_))));
 }
 
@@ -246,10 +247,10 @@
 }
 
 #[test]
-fn page_matches_the_code() {
+fn generated_page_is_up_to_date() {
     let page = include_str!("../../../docs/SETTINGS.md");
     assert!(
         page == command::page(),
-        "write it again with `greengagelug help settings > docs/SETTINGS.md`"
+        "docs/SETTINGS.md is outdated; regenerate it with `greengagelug help settings > docs/SETTINGS.md`"
     );
 }
