--- a/roles/app/src/call/answer.rs
+++ b/roles/app/src/call/answer.rs
@@ -72,7 +72,7 @@
     }
 
     /// Returns the received chunks in order, concatenated; this is the whole
-    /// answer once [`Progress::Complete`] was returned.
+    /// answer once `add` has returned `Progress::Complete`.
     #[must_use]
     pub fn into_bytes(self) -> Vec<u8> {
         self.chunks.into_iter().flatten().flatten().collect()
--- a/roles/app/src/operator/args.rs
+++ b/roles/app/src/operator/args.rs
@@ -51,7 +51,7 @@
     /// Revision that the change is based on; by default the one that is read from
     /// the store before the change.
     pub expected: Option<u64>,
-    /// Identifier of the change, by which a retry recognizes it as applied.
+    /// Identifier of the change, by which a retry recognises it as applied.
     pub operation: String,
     /// Whether to check the change and show the differences without writing.
     pub dry_run: bool,
--- a/roles/app/tests/operator.rs
+++ b/roles/app/tests/operator.rs
@@ -197,7 +197,7 @@
 }
 
 /// Two changes are based on the same revision, and the store's answer to the
-/// first one is lost. The first has to be recognized as applied, also by a later
+/// first one is lost. The first has to be recognised as applied, also by a later
 /// retry, and the second has to report the first as its conflict.
 #[test]
 fn of_two_concurrent_changes_one_is_applied_and_one_reports_the_conflict() {
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn only_an_accepted_change_is_spread_by_the_entry() {
+fn the_entry_spreads_accepted_changes_at_once_and_no_others() {
     with_operator(|operator| async move {
         let create = format!("create {SERVICE} --name roster");
         operator.expect(&create, End::Done, "revision 2").await;
@@ -266,7 +266,7 @@
 
 /// The connection to an entry breaks after the change was written and before the
 /// reply. The outcome is unknown then; the same command, sent through another
-/// entry, has to recognize the change as applied and must not write it twice.
+/// entry, has to recognise the change as applied and must not write it twice.
 #[test]
 fn a_change_without_a_reply_is_recognised_as_applied_by_the_next_entry() {
     with_operator(|operator| async move {
