--- a/roles/agent/examples/cost.rs
+++ b/roles/agent/examples/cost.rs
@@ -35,7 +35,7 @@
     agent: Agent,
     target: Target,
     now: Duration,
-    out: Vec<Action>,
+    actions: Vec<Action>,
 }
 
 fn main() -> Result<(), Box<dyn Error>> {
@@ -44,10 +44,10 @@
         let mut bench = Bench::new()?;
         let open = bench.time(flows, |bench, flow| bench.relay(flow, open()));
         let flow_bytes = bench.agent.status().flow_bytes as u64 / flows;
-        let request = bench.time(REQUESTS, |bench, id| bench.request(id % flows + 1, id));
+        let request = bench.time(REQUESTS, |bench, id| bench.serve(id % flows + 1, id));
         let status = bench.agent.status();
         let record_bytes = status.record_bytes / status.records.max(1);
-        let repeat = bench.time(REQUESTS, |bench, id| bench.repeat(id % flows + 1, id));
+        let repeat = bench.time(REQUESTS, |bench, id| bench.send_request(id % flows + 1, id));
         let tick = bench.time(REQUESTS, |bench, _| bench.event(Event::Tick));
         println!(
             "{flows:>6} {flow_bytes:>6} {open:>8} {request:>11} {record_bytes:>9} {repeat:>10} {tick:>8}"
@@ -65,7 +65,7 @@
             agent: Agent::new(Settings::default(), own.clone(), 1, now),
             target: own,
             now: now + Duration::from_secs(10),
-            out: Vec::new(),
+            actions: Vec::new(),
         };
         let service = Service::default();
         bench.event(Event::View(View { targets, service }));
@@ -83,8 +83,8 @@
 
     fn event(&mut self, event: Event) {
         self.now += Duration::from_micros(1);
-        self.out.clear();
-        self.agent.handle(self.now, event, &mut self.out);
+        self.actions.clear();
+        self.agent.handle(self.now, event, &mut self.actions);
     }
 
     fn relay(&mut self, flow: FlowKey, body: Body) {
@@ -109,7 +109,7 @@
         self.event(Event::Frame { from, frame });
     }
 
-    fn repeat(&mut self, flow: FlowKey, request: u64) {
+    fn send_request(&mut self, flow: FlowKey, request: u64) {
         let token = Token {
             target: self.target.id,
             incarnation: self.target.incarnation,
@@ -125,9 +125,9 @@
         self.relay(flow, body);
     }
 
-    fn request(&mut self, flow: FlowKey, request: u64) {
-        self.repeat(flow, request);
-        let job = self.out.iter().find_map(|action| match action {
+    fn serve(&mut self, flow: FlowKey, request: u64) {
+        self.send_request(flow, request);
+        let job = self.actions.iter().find_map(|action| match action {
             Action::Run(job) => Some(job.id),
             _ => None,
         });
--- a/roles/agent/src/agent.rs
+++ b/roles/agent/src/agent.rs
@@ -192,7 +192,7 @@
         self.now = now;
         let mut outbox = Outbox { now, actions };
         let outbox = &mut outbox;
-        self.act_on_deadlines(outbox);
+        self.process_deadlines(outbox);
         match event {
             Event::Frame { from: _, frame } => self.on_frame(outbox, frame),
             Event::Finished { job, result } => self.on_finished(outbox, job, result),
@@ -255,7 +255,7 @@
         }
     }
 
-    fn act_on_deadlines(&mut self, outbox: &mut Outbox<'_>) {
+    fn process_deadlines(&mut self, outbox: &mut Outbox<'_>) {
         self.expire_flows(outbox);
         self.ledger.expire(outbox.now);
         self.expire_tasks(outbox);
@@ -328,7 +328,8 @@
         }
     }
 
-    /// Returns whether the agent accepts new flows.
+    /// Returns true if the agent accepts new flows: it is not draining or
+    /// leaving, and has no claim to its predecessor's state in progress.
     pub(crate) fn accepts_flows(&self) -> bool {
         !self.draining && self.leaving.is_none() && self.claiming.is_none()
     }
@@ -410,7 +411,8 @@
     pub(crate) request: RequestId,
 }
 
-/// Shortest retry delay for callers that are refused because no slot is free.
+/// Shortest retry delay, before randomization, of a refusal because no slot
+/// became free in time.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(20);
 
 /// Largest number of departed targets that are remembered.
--- a/roles/agent/src/claim.rs
+++ b/roles/agent/src/claim.rs
@@ -137,12 +137,12 @@
                 pending: 0,
                 home: None,
             };
-            let taken = if parked.is_used() {
+            let inserted = if parked.is_used() {
                 self.flows.insert_over_half_open(flow)
             } else {
                 self.flows.insert(flow)
             };
-            if taken.is_err() {
+            if inserted.is_err() {
                 continue;
             }
             self.counters.add(Counter::Inherited);
--- a/roles/agent/src/close.rs
+++ b/roles/agent/src/close.rs
@@ -139,8 +139,8 @@
 
     /// Ends a request that its caller cancelled or whose deadline has passed.
     pub(crate) fn abandon(&mut self, outbox: &mut Outbox<'_>, job: u64, refusal: Refusal) {
-        let ran = self.withdraw(outbox, job);
-        let end = if ran {
+        let may_have_run = self.withdraw(outbox, job);
+        let end = if may_have_run {
             End::Unknown(refusal)
         } else {
             End::NotRun(refusal)
--- a/roles/agent/src/leave.rs
+++ b/roles/agent/src/leave.rs
@@ -19,8 +19,8 @@
 /// Time between two attempts to send the last part or to find a peer.
 const RESEND_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Number of peers that a successor asks for each one that its predecessor
-/// tried.
+/// Ratio of the number of peers that a successor asks to the number that its
+/// predecessor may try, [`crate::settings::Leave::max_peers`].
 const CLAIM_PEER_FACTOR: usize = 2;
 
 /// Phase of an agent that is leaving.
@@ -91,8 +91,8 @@
         }
     }
 
-    /// Returns whether the flows are being handed over, so that no request may
-    /// be recorded here any more.
+    /// Returns true if the flows are being or have been handed over, so that no
+    /// request may be recorded here any more.
     pub(crate) fn is_handing_over(&self) -> bool {
         matches!(
             self.leaving,
@@ -115,13 +115,13 @@
     }
 
     /// Starts the next phase once no request is pending and no parked state
-    /// waits for its successor. After the deadline, parked state no longer
-    /// holds it up.
+    /// waits for its successor. After the deadline, it no longer waits for these
+    /// successors.
     pub(crate) fn leave_when_finished(&mut self, outbox: &mut Outbox<'_>) {
         let next = match self.leaving {
             Some(Leaving::Finishing { deadline, next })
                 if self.tasks.is_empty()
-                    && (deadline <= outbox.now || !self.parked.has_unclaimed()) =>
+                    && (deadline <= outbox.now || !self.parked.has_unclaimed_state()) =>
             {
                 next
             }
@@ -180,8 +180,9 @@
         self.send_part(outbox);
     }
 
-    /// Sends the next part. If every peer has refused, the current peers are
-    /// tried again, since the only peer may still be starting.
+    /// Sends the next part. If no peer is left to try, starts over with the
+    /// peers of the current view: the only peer may have refused because it was
+    /// still starting.
     fn send_part(&mut self, outbox: &mut Outbox<'_>) {
         let peers = self.handover_peers();
         let Some(Leaving::HandingOver(handover)) = &mut self.leaving else {
@@ -236,9 +237,9 @@
         outbox.push(Action::Exit);
     }
 
-    /// Returns the control addresses of the peers that this agent may park its
-    /// state at, in an order that depends only on the target ids, so that an
-    /// agent and its successor try the same peers.
+    /// Returns the control addresses of the peers that this agent may hand its
+    /// state over to, in an order that depends only on the target ids, so that
+    /// an agent and its successor try the same peers.
     fn handover_peers(&self) -> Vec<SocketAddr> {
         self.peers(self.settings.leave.max_peers, |state| state == State::Ready)
     }
--- a/roles/agent/src/offered.rs
+++ b/roles/agent/src/offered.rs
@@ -100,11 +100,11 @@
                 let outcome = Outcome::Unknown;
                 outbox.push(Action::Resolve { call, outcome });
             }
-            None => self.accept_offer(outbox, call, offer),
+            None => self.accept_or_refuse_offer(outbox, call, offer),
         }
     }
 
-    fn accept_offer(&mut self, outbox: &mut Outbox<'_>, call: CallId, offer: Offer) {
+    fn accept_or_refuse_offer(&mut self, outbox: &mut Outbox<'_>, call: CallId, offer: Offer) {
         let id = offer.id;
         let forget_at = outbox.now + offer.remaining + self.settings.ledger.late_copy;
         if let Some(reason) = self.offer_refusal(&offer) {
@@ -185,8 +185,8 @@
     }
 }
 
-/// Time that the withdrawal of an offer that has not arrived is recorded,
-/// besides [`flow::ledger::Settings::late_copy`].
+/// Time that a withdrawal is recorded whose offer has not arrived, in addition
+/// to [`flow::ledger::Settings::late_copy`].
 const WITHDRAWAL_RETENTION: Duration = Duration::from_mins(1);
 
 impl From<Reason> for Refusal {
--- a/roles/agent/src/open.rs
+++ b/roles/agent/src/open.rs
@@ -41,8 +41,8 @@
             .filter(|hop| !relay::visited(&relay, hop) && position + 1 < MAX_HOPS)
             .filter(|_| !relay.settle);
         if let Some(hop) = pinned {
-            // `waits` must have one element per visited hop; this agent places no
-            // bid.
+            // `waits` must have one element per visited hop; this agent
+            // places no bid.
             relay.waits.push(u32::MAX);
             return relay::forward(outbox, relay, hop);
         }
--- a/roles/agent/src/park.rs
+++ b/roles/agent/src/park.rs
@@ -126,7 +126,7 @@
 const RECORD_BYTES: usize = 32;
 
 impl Flow {
-    /// Returns whether a request of this flow has been recorded.
+    /// Returns true if a request of this flow has been recorded.
     pub(crate) const fn is_used(&self) -> bool {
         self.floor > 0 || !self.seen.is_empty() || !self.records.is_empty()
     }
--- a/roles/agent/src/parked.rs
+++ b/roles/agent/src/parked.rs
@@ -54,20 +54,20 @@
     parts: Vec<Part>,
     /// Incarnation that has claimed the state.
     successor: Option<Incarnation>,
-    /// Number of parts that the successor has received.
+    /// Number of parts granted to the successor.
     granted: u32,
     expiry: Duration,
 }
 
 impl ParkedState {
-    fn is_whole(&self) -> bool {
+    fn is_complete(&self) -> bool {
         self.received == self.count
     }
 
-    /// Returns whether the state is complete and its successor has not claimed
+    /// Returns true if the state is complete and its successor has not claimed
     /// all of its parts.
     fn is_unclaimed(&self) -> bool {
-        self.is_whole() && !self.parts.is_empty() && self.granted < self.count
+        self.is_complete() && !self.parts.is_empty() && self.granted < self.count
     }
 }
 
@@ -85,17 +85,17 @@
         self.flows.len()
     }
 
-    /// Returns whether a flow is parked here and not claimed yet.
-    pub(crate) fn holds(&self, flow: FlowKey) -> bool {
+    /// Returns true if a flow is parked here and its state is not claimed yet.
+    pub(crate) fn has_unclaimed_flow(&self, flow: FlowKey) -> bool {
         self.flows
             .get(&flow)
             .and_then(|position| self.states.get(&position.owner))
             .is_some_and(|parked| parked.successor.is_none())
     }
 
-    /// Returns whether a successor has yet to claim a state that is parked
-    /// here.
-    pub(crate) fn has_unclaimed(&self) -> bool {
+    /// Returns true if a complete state is parked here of which its successor
+    /// has not claimed all parts.
+    pub(crate) fn has_unclaimed_state(&self) -> bool {
         self.states.values().any(ParkedState::is_unclaimed)
     }
 
@@ -149,9 +149,9 @@
                 granted: 0,
                 expiry,
             });
-        let is_sound =
+        let is_consistent =
             parked.owner == owner && parked.count == part.count && part.index < part.count;
-        if !is_sound || part.index > parked.received {
+        if !is_consistent || part.index > parked.received {
             return false;
         }
         if part.index < parked.received {
@@ -195,14 +195,14 @@
         let Some(parked) = self.states.get_mut(&claim.target) else {
             return Grant::Nothing;
         };
-        let is_whole = parked.is_whole();
+        let is_complete = parked.is_complete();
         let is_successor = claim.incarnation > parked.owner.incarnation
             && parked.successor.is_none_or(|it| it == claim.incarnation);
         let part = usize::try_from(claim.index)
             .ok()
             .and_then(|index| parked.parts.get(index));
         match part {
-            Some(part) if is_whole && is_successor => {
+            Some(part) if is_complete && is_successor => {
                 parked.successor = Some(claim.incarnation);
                 parked.granted = parked.granted.max(claim.index + 1);
                 Grant::Part(part.clone())
@@ -217,15 +217,15 @@
         let owner = part.owner.target;
         let purpose = part.purpose;
         let is_last = part.index + 1 == part.count;
-        let takes = self.accepts_flows()
+        let is_willing = self.accepts_flows()
             && part.service == self.identity.service
             && owner != self.identity.id;
         let expiry = outbox.now + self.settings.leave.parked_lifetime;
         let max_bytes = self.settings.leave.max_parked_bytes;
-        let was_whole = self.is_whole(owner);
-        let accepted = takes && self.parked.store(part, expiry, max_bytes);
+        let was_complete = self.is_complete(owner);
+        let accepted = is_willing && self.parked.store(part, expiry, max_bytes);
         outbox.push(Action::Parked { call, accepted });
-        if !accepted || !is_last || was_whole {
+        if !accepted || !is_last || was_complete {
             return;
         }
         match purpose {
@@ -245,9 +245,9 @@
         }
     }
 
-    fn is_whole(&self, owner: TargetId) -> bool {
+    fn is_complete(&self, owner: TargetId) -> bool {
         let parked = self.parked.states.get(&owner);
-        parked.is_some_and(ParkedState::is_whole)
+        parked.is_some_and(ParkedState::is_complete)
     }
 
     pub(crate) fn on_claim(&mut self, outbox: &mut Outbox<'_>, call: CallId, claim: Claim) {
@@ -294,9 +294,9 @@
         }
     }
 
-    /// Answers a packet of a parked flow from its record. Without a record no
-    /// reply is sent, so that the caller retransmits until the successor
-    /// answers.
+    /// Answers a packet of a parked flow from the record of its request.
+    /// Without a record no reply is sent, so that the caller retransmits until
+    /// the successor answers.
     pub(crate) fn answer_from_parked(
         &mut self,
         outbox: &mut Outbox<'_>,
--- a/roles/agent/src/pass.rs
+++ b/roles/agent/src/pass.rs
@@ -33,7 +33,9 @@
 }
 
 impl Agent {
-    /// Returns whether a new request should preferably run at another agent.
+    /// Returns true if a new request should preferably run at another agent:
+    /// the wait for a slot here is long compared to the round trip, or this
+    /// agent is draining or leaving.
     pub(crate) fn prefers_passing(&self, now: Duration) -> bool {
         let wait = self.gate.expected_wait(now);
         let is_full = !self.gate.free() && hunt::pass_pays(wait, self.settings.pass.round_trip);
@@ -131,8 +133,10 @@
         }
     }
 
-    /// Retries a request that another agent did not run: submits it to the gate
-    /// here, passes it to the next agent if that is preferable, or queues it.
+    /// Retries a request that another agent did not run: at the gate here if a
+    /// slot is free soon, or else at the next agent. If no other agent may run
+    /// it, an agent that is leaving refuses it, and any other submits it to its
+    /// own gate.
     fn retry_refused(&mut self, outbox: &mut Outbox<'_>, job: JobId, refusal: Refusal) {
         if let Some(task) = self.tasks.get_mut(&job) {
             task.stage = Stage::New;
@@ -143,12 +147,12 @@
         if self.leaving.is_some() {
             return self.retry_not_run(outbox, job, refusal, Placement::OtherServers);
         }
-        self.retry_not_run_or_queue(outbox, job);
+        self.pass_again_or_submit(outbox, job);
     }
 
-    /// Passes a request on if the retry budget allows it; otherwise queues it
-    /// here.
-    fn retry_not_run_or_queue(&mut self, outbox: &mut Outbox<'_>, job: JobId) {
+    /// Passes a request to the next agent if the retry budget allows it and a
+    /// candidate is left; otherwise submits it to the gate here.
+    fn pass_again_or_submit(&mut self, outbox: &mut Outbox<'_>, job: JobId) {
         if self.budget.withdraw() {
             self.counters.add(Counter::RetryNotRun);
             if self.pass(outbox, job) {
--- a/roles/agent/src/pinning.rs
+++ b/roles/agent/src/pinning.rs
@@ -232,8 +232,8 @@
         let Some(home) = self.order.home(flow.key) else {
             return;
         };
-        let is_new = flow.home != Some(token(home));
-        if home.id != self.identity.id && (is_new || renews_all) {
+        let home_changed = flow.home != Some(token(home));
+        if home.id != self.identity.id && (home_changed || renews_all) {
             batches.entry(home.address).or_default().push(flow.key);
         }
         let home = token(home);
--- a/roles/agent/src/relay.rs
+++ b/roles/agent/src/relay.rs
@@ -92,7 +92,7 @@
                 self.counters.add(Counter::ForeignCaller);
                 Location::OtherCaller
             }
-            None if self.parked.holds(flow) => Location::Parked,
+            None if self.parked.has_unclaimed_flow(flow) => Location::Parked,
             None => Location::Elsewhere,
         }
     }
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Returns whether the flow may be part of a predecessor's state that has
+    /// Returns true if the flow may be part of a predecessor's state that has
     /// not been claimed yet.
     fn may_be_inherited(&self, token: Option<Token>) -> bool {
         let names_predecessor = token.is_none_or(|token| {
@@ -159,7 +159,7 @@
         (target.state != State::Left && target.id != self.identity.id).then(|| target.hop())
     }
 
-    /// Returns whether the target that a token names has left or is unknown.
+    /// Returns true if the target that a token names has left or is unknown.
     pub(crate) fn has_left(&self, token: Token) -> bool {
         let target = self.target(token.target);
         target.is_none_or(|target| target.state == State::Left)
@@ -208,7 +208,8 @@
     }
 }
 
-/// Returns whether the packet has visited an agent.
+/// Returns true if the packet has reached the agent of `hop` already; the
+/// later hops of its path do not count.
 pub(crate) fn visited(relay: &Relay, hop: &Hop) -> bool {
     let here = usize::from(relay.position);
     relay.path[..=here].iter().any(|it| it.target == hop.target)
--- a/roles/agent/src/request.rs
+++ b/roles/agent/src/request.rs
@@ -47,10 +47,11 @@
             fallback: Fallback::Unknown(request.request),
         };
         match self.locate(&relay, key) {
-            Location::Here(flow) if accepts(&flow, &request, token) => {
+            Location::Here(flow) if may_run(&flow, &request, token) => {
                 self.admit(outbox, &relay, &flow, request);
             }
-            Location::Here(_) if self.parked.holds(key) => {
+            // The flow held here is a duplicate of the parked one.
+            Location::Here(_) if self.parked.has_unclaimed_flow(key) => {
                 self.answer_from_parked(outbox, &relay, key, request.request);
             }
             Location::Here(_) => self.on_wrong_holder(outbox, relay, &misrouted, request.request),
@@ -201,8 +202,8 @@
         };
         match state {
             State::Done(answer) => {
-                let burst = usize::try_from(self.settings.initial_chunks).unwrap_or(usize::MAX);
-                for chunk in answer.chunks(key.request).take(burst) {
+                let count = usize::try_from(self.settings.initial_chunks).unwrap_or(usize::MAX);
+                for chunk in answer.chunks(key.request).take(count) {
                     self.send_chunk(outbox, reply_path, key.flow, chunk);
                 }
             }
@@ -280,8 +281,8 @@
     }
 }
 
-/// Returns whether the holder of a flow may run a request: the request names
+/// Returns true if the holder of a flow may run a request: the request names
 /// it, or is idempotent and names no holder.
-fn accepts(flow: &Flow, request: &Request, token: Option<Token>) -> bool {
+fn may_run(flow: &Flow, request: &Request, token: Option<Token>) -> bool {
     token == Some(flow.token) || (request.idempotent && request.holder.is_empty())
 }
--- a/roles/agent/src/retry.rs
+++ b/roles/agent/src/retry.rs
@@ -14,12 +14,12 @@
 /// Largest number of retries of one request.
 const MAX_RETRIES: u8 = 2;
 
-/// Backend servers that a request that did not run may be retried at.
+/// Backend servers at which a request that did not run may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Placement {
     /// Only other backend servers.
     OtherServers,
-    /// Another backend server, or else the one here.
+    /// Another backend server or, if the request cannot be passed, the one here.
     AnyServer,
 }
 
@@ -30,13 +30,13 @@
         outbox: &mut Outbox<'_>,
         job: JobId,
         refusal: Refusal,
-        elsewhere: Placement,
+        placement: Placement,
     ) {
-        if !self.may_retry(outbox.now, job) {
+        if !self.spend_retry(outbox.now, job) {
             return self.conclude(outbox, job, End::NotRun(refusal));
         }
         self.counters.add(Counter::RetryNotRun);
-        match elsewhere {
+        match placement {
             _ if self.pass(outbox, job) => {}
             Placement::AnyServer if self.leaving.is_none() => self.submit_to_gate(outbox, job),
             _ => self.conclude(outbox, job, End::NotRun(refusal)),
@@ -49,7 +49,7 @@
             return;
         };
         task.may_have_run = true;
-        if !task.idempotent || !self.may_retry(outbox.now, job) {
+        if !task.idempotent || !self.spend_retry(outbox.now, job) {
             return self.end_unknown(outbox, job, Reason::BackendFailed);
         }
         self.counters.add(Counter::RetryIdempotent);
@@ -58,10 +58,11 @@
         }
     }
 
-    /// Returns whether a request may be retried, and if so pays for it from the
-    /// retry budget: the flow is held here, fewer than [`MAX_RETRIES`] retries
-    /// were made, and enough time is left until the deadline.
-    fn may_retry(&mut self, now: Duration, job: JobId) -> bool {
+    /// Withdraws a retry of a request from the retry budget. Returns false if
+    /// the request must not be retried: another agent holds its flow, it was
+    /// retried [`MAX_RETRIES`] times, its deadline is too close, or the budget
+    /// is spent.
+    fn spend_retry(&mut self, now: Duration, job: JobId) -> bool {
         let latest = now + self.settings.pass.min_time_left;
         let Some(task) = self
             .tasks
--- a/roles/agent/src/settings.rs
+++ b/roles/agent/src/settings.rs
@@ -16,7 +16,8 @@
     pub gate: limit::Settings,
     /// Load estimate of the flows held here, used in bids for bound flows.
     pub load: limit::load::Settings,
-    /// Budget for retries inside the system.
+    /// Budget for retries inside the system: a share of the requests, and a
+    /// burst.
     pub retries: limit::budget::Settings,
     /// Passing of single requests between agents.
     pub pass: Pass,
@@ -43,7 +44,7 @@
     pub max_attempts: usize,
     /// Shortest time until the deadline for another attempt.
     pub min_time_left: Duration,
-    /// Number of offers from other agents that are recorded.
+    /// Largest number of offers from other agents that are recorded.
     pub max_offers: usize,
     /// Memory for recorded answers to offers from other agents, in bytes.
     pub max_offer_bytes: usize,
@@ -54,9 +55,11 @@
 pub struct Leave {
     /// Longest time that pending requests may take to finish.
     pub grace: Duration,
-    /// Longest time for handing the state over to a peer.
+    /// Longest time for handing the state over to a peer, after which the agent
+    /// exits.
     pub handover: Duration,
-    /// Default retry delay of a refusal, as while a holder is away.
+    /// Retry delay of refusals that have none of their own, for example while
+    /// the holder of a flow is away.
     pub retry_after: Duration,
     /// Longest wait of a starting agent for each part of its predecessor's
     /// state.
--- a/roles/agent/src/task.rs
+++ b/roles/agent/src/task.rs
@@ -165,13 +165,13 @@
         let Some(task) = self.tasks.get(&job) else {
             return;
         };
-        let is_own = task.is_from_caller();
+        let is_from_caller = task.is_from_caller();
         let gate_job = self.gate_job(outbox.now, job, task.deadline);
         let verdict = self.admit_job(outbox.now, gate_job);
         match verdict {
             Verdict::Start => self.run(outbox, job),
             Verdict::Queued => self.queue(outbox.now, job),
-            Verdict::Refuse { .. } if is_own && self.pass(outbox, job) => {}
+            Verdict::Refuse { .. } if is_from_caller && self.pass(outbox, job) => {}
             Verdict::Refuse {
                 reason,
                 retry_after,
@@ -221,8 +221,8 @@
         };
         task.stage = Stage::Queued;
         if task.is_from_caller() {
-            // Returns false for a request that another agent did not run, whose
-            // record stays in the running state.
+            // Returns false for a retried request, whose record stays in the
+            // running state.
             let _ = self.ledger.advance(now, task.key, State::Queued);
         }
     }
@@ -261,7 +261,7 @@
         };
         let mut released = Vec::new();
         self.gate.finish(outbox.now, job, finish, &mut released);
-        self.release(outbox, released);
+        self.apply_releases(outbox, released);
         match result {
             Completion::Completed(bytes) => self.answer(outbox, job, bytes),
             Completion::TooLarge => self.end_unknown(outbox, job, Reason::TooLarge),
@@ -290,7 +290,8 @@
         self.conclude(outbox, job, End::Unknown(refusal));
     }
 
-    pub(crate) fn release(&mut self, outbox: &mut Outbox<'_>, released: Vec<Release>) {
+    /// Runs or refuses the requests that the gate has released from its queue.
+    pub(crate) fn apply_releases(&mut self, outbox: &mut Outbox<'_>, released: Vec<Release>) {
         for release in released {
             match release {
                 Release::Start(job) => self.run(outbox, job),
@@ -317,12 +318,12 @@
         if self.gate.next_deadline().is_some_and(|at| at <= outbox.now) {
             let mut released = Vec::new();
             self.gate.expire(outbox.now, &mut released);
-            self.release(outbox, released);
+            self.apply_releases(outbox, released);
         }
     }
 
-    /// Withdraws a request from its current stage. Returns whether it may have
-    /// run.
+    /// Withdraws a request from the queue, the backend server or the agent that
+    /// has it. Returns true if it may have run there.
     pub(crate) fn withdraw(&mut self, outbox: &mut Outbox<'_>, job: JobId) -> bool {
         let Some(task) = self.tasks.get_mut(&job) else {
             return false;
@@ -347,7 +348,7 @@
         }
         let mut released = Vec::new();
         self.gate.cancel(outbox.now, job, &mut released);
-        self.release(outbox, released);
+        self.apply_releases(outbox, released);
         stage == Stage::Running
     }
 
--- a/roles/agent/tests/cluster/mod.rs
+++ b/roles/agent/tests/cluster/mod.rs
@@ -52,7 +52,7 @@
 
 /// A job at a backend server.
 #[derive(Clone, Debug)]
-pub struct Running {
+pub struct Run {
     pub agent: usize,
     pub job: Job,
 }
@@ -67,9 +67,9 @@
     /// Packets sent to the callers.
     pub replies: Vec<Packet>,
     /// Unfinished jobs at the backend servers.
-    pub running: Vec<Running>,
+    pub running: Vec<Run>,
     /// All jobs that have been started at a backend server.
-    pub runs: Vec<Running>,
+    pub runs: Vec<Run>,
     pub aborted: Vec<u64>,
     pub announced: Vec<State>,
     pub exited: Vec<usize>,
@@ -222,7 +222,7 @@
                 frame,
             }),
             Action::Run(job) => {
-                let running = Running { agent: index, job };
+                let running = Run { agent: index, job };
                 self.runs.push(running.clone());
                 self.running.push(running);
             }
@@ -342,7 +342,7 @@
     /// Finishes the oldest unfinished job and delivers all messages.
     pub fn finish(&mut self, result: Completion) {
         assert!(!self.running.is_empty(), "a job should be running");
-        let Running { agent, job } = self.running.remove(0);
+        let Run { agent, job } = self.running.remove(0);
         let job = job.id;
         self.event(agent, Event::Finished { job, result });
         self.deliver_all();
--- a/roles/agent/tests/interleavings.rs
+++ b/roles/agent/tests/interleavings.rs
@@ -78,8 +78,8 @@
                 let Some(&token) = tokens.get(token % tokens.len().max(1)) else {
                     return;
                 };
-                let name = RequestKey { flow, request };
-                let token = *self.first_tokens.entry(name).or_insert(token);
+                let key = RequestKey { flow, request };
+                let token = *self.first_tokens.entry(key).or_insert(token);
                 let mut packet = cluster::with_deadline(flow, request, token, deadline_ms);
                 if let Some(Body::Request(body)) = &mut packet.body {
                     body.idempotent = request >= FIRST_IDEMPOTENT;
@@ -185,25 +185,30 @@
         let Some(running) = remove_at(&mut self.cluster.running, job) else {
             return;
         };
-        let name = RequestKey {
+        let key = RequestKey {
             flow: running.job.flow,
             request: running.job.request,
         };
         let result = match result {
             JobResult::Completed => {
                 let number = self.answers.values().map(BTreeSet::len).sum::<usize>();
-                let text = format!("{name:?} {number} ").repeat(100).into_bytes();
-                self.answers.entry(name).or_default().insert(text.clone());
+                let text = format!(
+                    "answer to flow {}, request {}: {number} ",
+                    key.flow, key.request
+                )
+                .repeat(100)
+                .into_bytes();
+                self.answers.entry(key).or_default().insert(text.clone());
                 Completion::Completed(Bytes::from(text))
             }
             JobResult::Shed => {
-                *self.not_run.entry(name).or_default() += 1;
+                *self.not_run.entry(key).or_default() += 1;
                 Completion::Shed {
                     retry_after: Duration::from_millis(100),
                 }
             }
             JobResult::NotRun => {
-                *self.not_run.entry(name).or_default() += 1;
+                *self.not_run.entry(key).or_default() += 1;
                 Completion::Failed { ran: false }
             }
             JobResult::Failed => Completion::Failed { ran: true },
@@ -240,18 +245,18 @@
     fn check(&self) {
         let mut runs: BTreeMap<RequestKey, usize> = BTreeMap::new();
         for run in &self.cluster.runs {
-            let name = RequestKey {
+            let key = RequestKey {
                 flow: run.job.flow,
                 request: run.job.request,
             };
-            *runs.entry(name).or_default() += 1;
+            *runs.entry(key).or_default() += 1;
         }
-        let ran = |name: &RequestKey| {
-            let undone = self.not_run.get(name).copied().unwrap_or(0);
-            runs.get(name).copied().unwrap_or(0) - undone
+        let ran = |key: &RequestKey| {
+            let not_run = self.not_run.get(key).copied().unwrap_or(0);
+            runs.get(key).copied().unwrap_or(0) - not_run
         };
-        for name in runs.keys().filter(|it| it.request < FIRST_IDEMPOTENT) {
-            assert!(ran(name) <= 1, "{name:?} ran {} times", ran(name));
+        for key in runs.keys().filter(|it| it.request < FIRST_IDEMPOTENT) {
+            assert!(ran(key) <= 1, "{key:?} ran {} times", ran(key));
         }
         for packet in &self.replies {
             self.check_reply(packet, &ran);
@@ -261,24 +266,24 @@
     fn check_reply(&self, packet: &Packet, ran: &impl Fn(&RequestKey) -> usize) {
         match &packet.body {
             Some(Body::Refusal(refusal)) if refusal.outcome() == caller::Outcome::NotRun => {
-                let name = RequestKey {
+                let key = RequestKey {
                     flow: packet.flow,
                     request: refusal.request,
                 };
-                assert_eq!(ran(&name), 0, "{name:?} ran, but {refusal:?} was sent");
+                assert_eq!(ran(&key), 0, "{key:?} ran, but {refusal:?} was sent");
             }
             Some(Body::Chunk(chunk)) => {
-                let name = RequestKey {
+                let key = RequestKey {
                     flow: packet.flow,
                     request: chunk.request,
                 };
                 let is_own = self
                     .answers
-                    .get(&name)
+                    .get(&key)
                     .is_some_and(|answers| answers.iter().any(|answer| is_chunk_of(chunk, answer)));
                 assert!(
                     is_own,
-                    "{name:?} received a chunk that is not part of its answer"
+                    "{key:?} received a chunk that is not part of its answer"
                 );
             }
             _ => {}
--- a/roles/agent/tests/limits.rs
+++ b/roles/agent/tests/limits.rs
@@ -118,13 +118,13 @@
     reason: Reason,
 }
 
-fn rejects_packet(bad: InvalidPacket) {
+fn rejects_packet(invalid: InvalidPacket) {
     let mut cluster = Cluster::bound(1);
     let mut relay = cluster.relay(&open(FLOW));
-    relay.packet = bad.packet;
+    relay.packet = invalid.packet;
     cluster.send_relay(relay);
-    assert_refused(&mut cluster, bad.reason, Outcome::NotRun);
-    assert_eq!(cluster.status(0).counters.refused(bad.reason), 1);
+    assert_refused(&mut cluster, invalid.reason, Outcome::NotRun);
+    assert_eq!(cluster.status(0).counters.refused(invalid.reason), 1);
 }
 
 fn with_payload(len: usize) -> Bytes {
--- a/roles/agent/tests/replacing.rs
+++ b/roles/agent/tests/replacing.rs
@@ -426,13 +426,13 @@
 #[test]
 fn a_parking_peer_that_leaves_waits_for_the_successor() {
     let mut replaced = replaced(3);
-    let keeper = parking_peer(&replaced.cluster, replaced.holder);
-    replaced.cluster.event(keeper, Event::Replace);
+    let peer = parking_peer(&replaced.cluster, replaced.holder);
+    replaced.cluster.event(peer, Event::Replace);
     replaced.cluster.deliver_all();
     assert_eq!(replaced.cluster.exited, vec![replaced.holder]);
     replaced.start_successor();
     replaced.cluster.deliver_all();
-    assert_eq!(replaced.cluster.exited, vec![replaced.holder, keeper]);
+    assert_eq!(replaced.cluster.exited, vec![replaced.holder, peer]);
     let Replaced {
         mut cluster,
         token,
@@ -447,10 +447,10 @@
 #[test]
 fn a_parking_peer_that_leaves_exits_without_the_successor_at_its_deadline() {
     let mut replaced = replaced(3);
-    let keeper = parking_peer(&replaced.cluster, replaced.holder);
-    replaced.cluster.event(keeper, Event::Replace);
+    let peer = parking_peer(&replaced.cluster, replaced.holder);
+    replaced.cluster.event(peer, Event::Replace);
     replaced.cluster.advance_time(Duration::from_mins(1));
-    assert_eq!(replaced.cluster.exited, vec![replaced.holder, keeper]);
+    assert_eq!(replaced.cluster.exited, vec![replaced.holder, peer]);
 }
 
 #[test]
--- a/roles/agent/tests/requests.rs
+++ b/roles/agent/tests/requests.rs
@@ -111,15 +111,15 @@
     cluster.send(&with_deadline(FLOW, 2, token, 100));
     cluster.advance_time(Duration::from_millis(200));
     cluster.replies.clear();
-    let mut times: Vec<u32> = (0..10)
+    let mut delays: Vec<u32> = (0..10)
         .map(|_| {
             cluster.send(&with_deadline(FLOW, 2, token, 100));
             cluster.take_refusal().unwrap().retry_after_ms
         })
         .collect();
-    times.sort_unstable();
-    times.dedup();
-    assert!(times.len() > 5, "{times:?}");
+    delays.sort_unstable();
+    delays.dedup();
+    assert!(delays.len() > 5, "{delays:?}");
 }
 
 #[test]
@@ -129,7 +129,7 @@
         cluster.send(&with_deadline(FLOW, id, token, 100));
     }
     cluster.advance_time(Duration::from_millis(200));
-    let mut times: Vec<u32> = cluster
+    let mut delays: Vec<u32> = cluster
         .replies
         .iter()
         .filter_map(|packet| match &packet.body {
@@ -137,10 +137,10 @@
             _ => None,
         })
         .collect();
-    assert_eq!(times.len(), 10);
-    times.sort_unstable();
-    times.dedup();
-    assert!(times.len() > 5, "{times:?}");
+    assert_eq!(delays.len(), 10);
+    delays.sort_unstable();
+    delays.dedup();
+    assert!(delays.len() > 5, "{delays:?}");
 }
 
 #[test]
@@ -261,7 +261,7 @@
 }
 
 #[test]
-fn a_request_for_a_dead_incarnation_is_unknown() {
+fn a_request_that_names_an_earlier_incarnation_is_unknown() {
     let mut cluster = Cluster::bound(3);
     let token = cluster.open(FLOW);
     cluster.send(&request(FLOW, REQUEST, token));
--- a/roles/agent/tests/routing.rs
+++ b/roles/agent/tests/routing.rs
@@ -176,10 +176,10 @@
     let refusal = cluster.take_refusal().unwrap();
     assert_eq!(refusal.reason(), Reason::FlowUnknown);
     assert_eq!(refusal.outcome(), Outcome::Unknown);
-    let handed: u64 = (0..20)
+    let forwarded: u64 = (0..20)
         .map(|index| cluster.status(index).counters.get(Counter::HandedAlong))
         .sum();
-    assert_eq!(handed, 7);
+    assert_eq!(forwarded, 7);
 }
 
 /// Two entries with different views send copies of one open to different
@@ -316,13 +316,13 @@
     for flow in 1..=4_000 {
         cluster.open_at(flow, 0);
     }
-    let elsewhere = (1..=4_000).filter(|&flow| cluster.home(flow) == 1).count();
+    let expected_pins = (1..=4_000).filter(|&flow| cluster.home(flow) == 1).count();
     cluster.restart(1);
     for _ in 0..20 {
         cluster.update_views();
         cluster.advance_time(Duration::from_millis(40));
     }
-    assert_eq!(cluster.status(1).pins, elsewhere);
+    assert_eq!(cluster.status(1).pins, expected_pins);
 }
 
 #[test]
@@ -332,12 +332,12 @@
         let token = cluster.open_at(flow, 1);
         cluster.send_along(&fetch(flow, 1, vec![0], token), &[1]);
     }
-    let elsewhere = (1..301).filter(|&flow| cluster.home(flow) == 0).count();
+    let expected_pins = (1..301).filter(|&flow| cluster.home(flow) == 0).count();
     // The packets were sent along agent 1 only, which is therefore recorded as
     // the home of all flows until the view is sent again.
     cluster.update_views();
     cluster.advance_time(Duration::from_mins(10));
-    assert_eq!(cluster.status(0).pins, elsewhere);
+    assert_eq!(cluster.status(0).pins, expected_pins);
     cluster.advance_time(Duration::from_hours(1));
     assert_eq!(cluster.status(1).flows, 0);
     assert_eq!(cluster.status(0).pins, 0);
