--- a/coordination/route/src/holder.rs
+++ b/coordination/route/src/holder.rs
@@ -68,7 +68,7 @@
         self.indices.len()
     }
 
-    /// Returns whether no holder has references.
+    /// Returns true if no holder has references.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.indices.is_empty()
--- a/coordination/route/src/hunt.rs
+++ b/coordination/route/src/hunt.rs
@@ -13,7 +13,7 @@
 use wire::frame::MAX_HOPS;
 
 /// Number of agents that an open visits before it is settled.
-pub const WIDTH: usize = 3;
+pub const PATH_LEN: usize = 3;
 
 /// Number of other agents that a holder without a free slot asks in sequence to
 /// run a single request of an independent service.
@@ -23,7 +23,7 @@
 /// between two agents.
 pub const FORWARD_WAIT_ROUND_TRIPS: u32 = 4;
 
-/// Returns whether a holder without a free slot should forward a single request
+/// Returns true if a holder without a free slot should forward a single request
 /// of an independent service to another agent.
 ///
 /// ```
@@ -78,8 +78,9 @@
 
 /// Decides what the agent at the frame's position does with an open.
 ///
-/// An invalid frame (a position outside the path, a path that is too long, or a
-/// number of waits that does not match the position) is refused.
+/// Refuses an invalid frame, which no correct process sends: one with a
+/// position outside the path, a path that is too long, or a number of waits
+/// that does not match the position.
 #[must_use]
 pub fn step(mut relay: Relay, bid: Bid) -> Step {
     let position = usize::from(relay.position);
--- a/coordination/route/src/order.rs
+++ b/coordination/route/src/order.rs
@@ -73,9 +73,9 @@
         order.close([])
     }
 
-    /// Excludes the given targets from new flows, in place of those excluded
-    /// before. Targets that are not in state [`State::Ready`] are always
-    /// excluded.
+    /// Excludes the given targets, such as those that are held down, from new
+    /// flows, in place of those excluded before. Targets that are not in state
+    /// [`State::Ready`] are always excluded.
     #[must_use]
     pub fn close(mut self, targets: impl IntoIterator<Item = TargetId>) -> Self {
         let closed: HashSet<TargetId> = targets.into_iter().collect();
@@ -93,7 +93,7 @@
         self
     }
 
-    /// Returns whether some targets accept no new flows. The first open target
+    /// Returns true if some targets accept no new flows. The first open target
     /// then may differ from the flow's home.
     #[must_use]
     pub const fn has_closed(&self) -> bool {
@@ -116,7 +116,7 @@
         self.targets.len()
     }
 
-    /// Returns whether there are no targets.
+    /// Returns true if there are no targets.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.targets.is_empty()
--- a/coordination/route/src/pin.rs
+++ b/coordination/route/src/pin.rs
@@ -1,5 +1,5 @@
-//! Table of pins: for a flow whose home is this agent but which another agent
-//! accepted, the agent that holds the flow.
+//! Table of pins: a pin records which agent holds a flow that has its home here
+//! but was accepted by another agent.
 //!
 //! The table is soft state: holders renew their pins in batches, and a pin that
 //! is not renewed expires. A pin takes 16 bytes, and its timer in an expiry
@@ -167,7 +167,7 @@
     }
 
     /// Removes the pin of a flow if the flow is pinned to the given holder.
-    /// Returns whether it was.
+    /// Returns true if a pin was removed.
     pub fn unpin(&mut self, service: ServiceAddress, flow: FlowKey, token: Token) -> bool {
         let Some(&group) = self.services.get(&service) else {
             return false;
@@ -225,7 +225,7 @@
         self.len
     }
 
-    /// Returns whether there are no pins.
+    /// Returns true if there are no pins.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len == 0
@@ -311,7 +311,7 @@
     }
 }
 
-/// Returns whether `token` is an older incarnation of the target of `pinned`.
+/// Returns true if `token` is an older incarnation of the target of `pinned`.
 fn is_older(token: Token, pinned: Token) -> bool {
     token.target == pinned.target && token.incarnation < pinned.incarnation
 }
--- a/coordination/route/src/place.rs
+++ b/coordination/route/src/place.rs
@@ -5,7 +5,7 @@
 //! of the own availability zone rank first; a backend server of another zone
 //! ranks before them once the wait in the own zone exceeds the cost of crossing
 //! zones. A backend server's load is known only as of its last report, such as
-//! when it accepted a flow. Its agent has current figures, and passes on flows
+//! when it accepted a flow. Its agent has current figures, and forwards flows
 //! that exceed its capacity.
 use std::collections::HashMap;
 use std::time::Duration;
@@ -61,8 +61,7 @@
 }
 
 impl Place {
-    /// Creates a ranking for an entry in `zone`; the seed drives the
-    /// jitter.
+    /// Creates a ranking for an entry in `zone`; the seed drives the jitter.
     #[must_use]
     pub fn new(settings: Settings, zone: ZoneId, seed: u64) -> Self {
         Self {
--- a/coordination/route/tests/hunt.rs
+++ b/coordination/route/tests/hunt.rs
@@ -172,8 +172,8 @@
 }
 
 proptest! {
-    /// An open without load ends at the first agent with a free slot, otherwise
-    /// at the agent with the shortest wait.
+    /// Among agents without load, an open ends at the first one with a free
+    /// slot, or if there is none, at the one with the shortest wait.
     #[test]
     fn an_open_ends_at_the_first_free_agent_or_the_shortest_wait(bids in vec(bid(), 1..=MAX_HOPS)) {
         let first_free = bids.iter().position(|bid| bid.free);
--- a/coordination/route/tests/place.rs
+++ b/coordination/route/tests/place.rs
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn an_unresponsive_server_ranks_last_for_the_distrust_time() {
+fn an_unresponsive_server_ranks_last_for_the_configured_time() {
     let targets = [target(1, OWN_ZONE), target(2, OTHER_ZONE)];
     let mut place = place();
     place.distrust(ms(0), 1);
--- a/state/flow/src/ledger.rs
+++ b/state/flow/src/ledger.rs
@@ -4,7 +4,8 @@
 //! A record is kept after its request's deadline for as long as a duplicate
 //! packet may still arrive. After that, the id of a non-idempotent request is
 //! kept ([`Seen`]) for as long as its flow is held. At the memory limit,
-//! answers are evicted first, then ids are folded into their flow's floor.
+//! answers are evicted first, then ids are folded into their flow's floor (see
+//! [`Seen`]).
 //! Tombstones of requests that were refused as "not run" are never evicted
 //! before they expire; new requests are refused instead.
 use std::cmp::Reverse;
@@ -58,7 +59,8 @@
     Full,
 }
 
-/// Memory that a record uses in the map and in the expiry heap, in bytes.
+/// Memory that a record uses in the map, with its control byte, and in the
+/// expiry heap, in bytes.
 pub const RECORD_BYTES: usize =
     size_of::<Key>() + size_of::<Stored>() + size_of::<Reverse<Expiry>>() + 1;
 
@@ -269,7 +271,7 @@
         self.records.len()
     }
 
-    /// Returns whether there are no records.
+    /// Returns true if there are no records.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
@@ -390,6 +392,6 @@
 pub struct Entry<'a> {
     /// Key of the request.
     pub key: Key,
-    /// The record.
+    /// Properties and state of the request.
     pub record: &'a Record,
 }
--- a/state/flow/src/record.rs
+++ b/state/flow/src/record.rs
@@ -7,7 +7,7 @@
 
 use crate::Answer;
 
-/// Identifies a request.
+/// Identity of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Key {
     /// Key of the flow.
@@ -43,7 +43,8 @@
     Done(Answer),
     /// Refused; it did not run and never will.
     NotRun(Refusal),
-    /// Ended without an answer; it may have run, at most once.
+    /// Ended without an available answer: it may have run, at most once, or its
+    /// answer was evicted.
     Unknown(Refusal),
 }
 
@@ -58,13 +59,13 @@
 }
 
 impl State {
-    /// Returns whether the state is final.
+    /// Returns true if the state is final.
     #[must_use]
     pub const fn is_final(&self) -> bool {
         matches!(self, Self::Done(_) | Self::NotRun(_) | Self::Unknown(_))
     }
 
-    /// Returns whether a transition from `previous` to this state is allowed.
+    /// Returns true if a transition from `previous` to this state is allowed.
     #[must_use]
     pub const fn follows(&self, previous: &Self) -> bool {
         match self {
--- a/state/flow/src/seeded.rs
+++ b/state/flow/src/seeded.rs
@@ -4,7 +4,7 @@
 use std::hash::DefaultHasher;
 use std::hash::Hasher;
 
-/// Builds hashers from a seed.
+/// A [`BuildHasher`] with an explicit seed.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SeededState(pub(crate) u64);
 
--- a/state/flow/src/seen.rs
+++ b/state/flow/src/seen.rs
@@ -22,7 +22,7 @@
 }
 
 impl Seen {
-    /// Restores the ids and floor of another agent.
+    /// Creates a set with the floor and ids handed over by another agent.
     #[must_use]
     pub fn restore(floor: RequestId, ids: impl IntoIterator<Item = RequestId>) -> Self {
         let mut seen = Self {
@@ -35,7 +35,7 @@
         seen
     }
 
-    /// Returns whether the request may have been admitted before.
+    /// Returns true if the request may have been admitted before.
     #[must_use]
     pub fn contains(&self, request: RequestId) -> bool {
         request <= self.floor || self.ids.contains(&request)
@@ -75,7 +75,8 @@
         size_of::<Self>() + self.ids.capacity() * size_of::<RequestId>()
     }
 
-    /// Removes the oldest id and raises the floor to it.
+    /// Removes the oldest id, raises the floor to it, and removes the ids that
+    /// the floor now covers.
     fn fold_oldest(&mut self) {
         if let Some(id) = self.ids.pop_front() {
             let floor = self.floor.max(id);
--- a/state/flow/src/table.rs
+++ b/state/flow/src/table.rs
@@ -18,7 +18,8 @@
     pub capacity: usize,
     /// Time without a packet after which a flow expires.
     pub idle: Duration,
-    /// Time after which a flow expires if only its open was received.
+    /// Time after its last open at which a flow expires if no other packet was
+    /// received.
     pub half_open_timeout: Duration,
     /// Time for which a closed flow is kept, so that delayed duplicates of its
     /// packets do not open it again.
@@ -127,7 +128,7 @@
     }
 
     /// Changes the idle timeout. Flows already in the table adopt it when their
-    /// current timers fire, within about a minute.
+    /// current timers fire, within about a minute at a timer resolution of 1 s.
     pub fn set_idle(&mut self, idle: Duration) {
         self.settings.idle = idle;
     }
@@ -296,13 +297,13 @@
         self.index.len()
     }
 
-    /// Returns whether there are no flows.
+    /// Returns true if there are no flows.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.index.is_empty()
     }
 
-    /// Returns whether the table is at its capacity.
+    /// Returns true if the table is at its capacity.
     #[must_use]
     pub fn is_full(&self) -> bool {
         self.len() >= self.settings.capacity
--- a/state/flow/src/wheel.rs
+++ b/state/flow/src/wheel.rs
@@ -10,6 +10,7 @@
 /// must check whether it is due and otherwise set it again.
 #[derive(Debug)]
 pub struct Wheel {
+    /// Duration of a tick.
     width: Duration,
     /// Number of the tick that fires next, counted from the origin of time.
     next_tick: u64,
@@ -18,8 +19,7 @@
 }
 
 impl Wheel {
-    /// Creates a wheel whose ticks have the given width, at least one
-    /// millisecond.
+    /// Creates a wheel whose ticks last for `width`, at least one millisecond.
     #[must_use]
     pub fn new(width: Duration, now: Duration) -> Self {
         let width = width.max(Duration::from_millis(1));
@@ -39,8 +39,8 @@
         self.len += 1;
     }
 
-    /// Appends the ids of the timers that fire to `due`, and removes these
-    /// timers.
+    /// Removes the timers that have fired by `now` and appends their ids to
+    /// `due`.
     pub fn fire(&mut self, now: Duration, due: &mut Vec<u32>) {
         let end = tick(self.width, now);
         if end < self.next_tick {
--- a/state/flow/tests/ledger.rs
+++ b/state/flow/tests/ledger.rs
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_record_expires_the_late_copy_time_after_its_deadline() {
+fn a_record_expires_one_duplicate_window_after_its_deadline() {
     let mut ledger = ledger(1 << 20);
     finish(&mut ledger, 1, State::NotRun(refusal()));
     let end = DEADLINE + Settings::default().late_copy;
--- a/state/flow/tests/table.rs
+++ b/state/flow/tests/table.rs
@@ -94,12 +94,12 @@
         closed: None,
         held_until: 2_101,
     },
-    a_closed_flow_is_kept_for_the_late_copy_time: Lifetime {
+    a_closed_flow_is_kept_for_the_duplicate_window: Lifetime {
         packets: vec![10],
         closed: Some(20),
         held_until: 80,
     },
-    a_closed_flow_expires_the_late_copy_time_after_the_close: Lifetime {
+    a_closed_flow_expires_one_duplicate_window_after_the_close: Lifetime {
         packets: vec![10],
         closed: Some(20),
         held_until: 80,
--- a/state/limit/src/backoff.rs
+++ b/state/limit/src/backoff.rs
@@ -59,8 +59,8 @@
         bound.mul_f64(0.5 + self.random.f64() / 2.0)
     }
 
-    /// Returns the pause before the next attempt, or `None` if it would end
-    /// after the caller's deadline.
+    /// Returns the pause before the next attempt, or `None` if that attempt
+    /// would end after the caller's deadline.
     ///
     /// `service_time` is the expected duration of an attempt.
     pub fn next_within(
--- a/state/limit/src/budget.rs
+++ b/state/limit/src/budget.rs
@@ -51,14 +51,15 @@
         }
     }
 
-    /// Adds the share of a retry that a first attempt allows.
+    /// Records a first attempt, which adds its share of a retry to the balance,
+    /// up to the burst.
     pub fn deposit(&mut self) {
         let limit = u64::from(self.settings.burst) * RETRY_COST;
         self.balance = limit.min(self.balance + u64::from(self.settings.percent));
     }
 
-    /// Subtracts a retry. Returns false and changes nothing if the budget does
-    /// not allow one.
+    /// Subtracts a retry from the balance. Returns false and changes nothing if
+    /// the budget does not allow one.
     #[must_use]
     pub fn withdraw(&mut self) -> bool {
         let Some(balance) = self.balance.checked_sub(RETRY_COST) else {
--- a/state/limit/src/gate.rs
+++ b/state/limit/src/gate.rs
@@ -66,12 +66,12 @@
 /// Maximum jitter added to `retry_after`, as a share of it.
 const RETRY_JITTER: f64 = 0.5;
 
-/// Divisor of a short job's mean service time that gives the least time which
-/// has to remain before its deadline when it starts.
+/// Divisor for the deadline margin: a queued short job must start at least the
+/// mean service time divided by this number before its deadline.
 const DEADLINE_MARGIN_DIVISOR: u32 = 2;
 
-/// Ratio of the youngest running job's age to the slow mean above which that
-/// age determines the weight: the backend server has stalled.
+/// Ratio of the youngest running short job's age to the slow mean above which
+/// that age determines the weight: the backend server has stalled.
 const STALL_RATIO: u32 = 4;
 
 /// Share of the weight that a backend server keeps during a pause.
@@ -154,14 +154,14 @@
         self.expected_wait_for(now, Class::Short, Duration::MAX)
     }
 
-    /// Returns whether a short job would start immediately, as of the latest
+    /// Returns true if a short job would start immediately, as of the latest
     /// event.
     #[must_use]
     pub fn free(&self) -> bool {
         self.free_for(Class::Short)
     }
 
-    /// Returns whether a job of the given class would start immediately, as of
+    /// Returns true if a job of the given class would start immediately, as of
     /// the latest event.
     #[must_use]
     pub fn free_for(&self, class: Class) -> bool {
@@ -397,8 +397,8 @@
         }
     }
 
-    /// Returns the least time that has to remain before a job's deadline when
-    /// it starts.
+    /// Returns the least time that has to remain before a queued job's deadline
+    /// when it starts.
     fn deadline_margin(&self, now: Duration, class: Class) -> Duration {
         match class {
             Class::Short => self.service_time(now) / DEADLINE_MARGIN_DIVISOR,
--- a/state/limit/src/job.rs
+++ b/state/limit/src/job.rs
@@ -1,7 +1,7 @@
 //! Jobs offered to a [`Gate`](crate::Gate) and their outcomes.
 use std::time::Duration;
 
-/// Identifies a job within its gate; chosen by the code that offers the job.
+/// Identifier of a job within its gate, chosen by the code that offers the job.
 pub type JobId = u64;
 
 /// A unit of work offered to a gate.
--- a/state/limit/src/load.rs
+++ b/state/limit/src/load.rs
@@ -1,4 +1,7 @@
 //! Estimates the load of a backend server's held flows from their request rate.
+//!
+//! The load is expressed as a wait, so that it can be added to the expected
+//! wait in the agent's bid for a new flow.
 use std::time::Duration;
 
 /// Parameters of a [`Load`].
@@ -59,10 +62,10 @@
     }
 
     /// Returns the load to add to a bid, expressed as a wait, given the
-    /// capacity (`weight`) in jobs a second.
+    /// capacity in jobs a second.
     #[must_use]
-    pub fn bid(&self, now: Duration, weight: u32) -> Duration {
-        let share = self.rate * self.decay(now) / f64::from(weight.max(1));
+    pub fn bid(&self, now: Duration, capacity: u32) -> Duration {
+        let share = self.rate * self.decay(now) / f64::from(capacity.max(1));
         Duration::try_from_secs_f64(self.settings.full.as_secs_f64() * share)
             .unwrap_or(Duration::MAX)
     }
--- a/state/limit/src/occupancy.rs
+++ b/state/limit/src/occupancy.rs
@@ -126,7 +126,8 @@
 }
 
 impl Start {
-    /// Returns the start with a later time, for a request that keeps its slot.
+    /// Returns this start with a later time, for a slot that was reserved
+    /// before its request began.
     #[must_use]
     pub const fn moved(self, now: Duration) -> Self {
         Self { at: now, ..self }
--- a/state/limit/src/pause.rs
+++ b/state/limit/src/pause.rs
@@ -1,7 +1,7 @@
 //! Pauses and slow start of a backend server that sheds or fails jobs.
 //!
-//! After a pause the limit is a single slot. It grows by one slot each time as
-//! many jobs have succeeded as the limit allows (slow start).
+//! After a pause the limit is a single slot. Each time as many jobs as the
+//! limit have succeeded, the limit grows by one slot (slow start).
 use std::time::Duration;
 
 use crate::Backoff;
--- a/state/limit/src/queue.rs
+++ b/state/limit/src/queue.rs
@@ -49,13 +49,13 @@
         self.jobs.len()
     }
 
-    /// Returns whether no job is queued.
+    /// Returns true if no job is queued.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.jobs.is_empty()
     }
 
-    /// Returns whether the job with the given id is queued.
+    /// Returns true if the job with the given id is queued.
     #[must_use]
     pub fn contains(&self, id: JobId) -> bool {
         self.ranks.contains_key(&id)
--- a/state/limit/src/share.rs
+++ b/state/limit/src/share.rs
@@ -66,7 +66,7 @@
         (slots - reserved_slots(slots, self.short_percent)).max(1)
     }
 
-    /// Returns whether a job of the class may start in addition to the running
+    /// Returns true if a job of the class may start in addition to the running
     /// ones. The slow-start `limit` applies to short jobs only: it grows when
     /// jobs end, and a long job that used it up would stop that growth. At a
     /// limit of zero (a pause), no job starts.
--- a/state/limit/tests/gate.rs
+++ b/state/limit/tests/gate.rs
@@ -32,7 +32,8 @@
     }
 }
 
-/// First in, first out, with only the absolute limit on the expected wait.
+/// Returns settings for a first-in, first-out queue with only the absolute
+/// limit on the expected wait.
 fn settings(slots: u16) -> Settings {
     Settings {
         slots,
@@ -60,7 +61,7 @@
         warm
     }
 
-    /// Runs short jobs one after another.
+    /// Runs short jobs one after another, each for the given time.
     fn run(&mut self, jobs: u64, time: Duration) {
         for id in 0..jobs {
             let job = job(u64::MAX - id, Class::Short, self.now + FAR);
