--- a/state/flow/tests/table.rs
+++ b/state/flow/tests/table.rs
@@ -183,19 +183,19 @@
 }
 
 #[derive(Clone, Debug)]
-enum Step {
+enum Event {
     Open(u64),
     Touch(u64),
     Close(u64),
     Wait(u64),
 }
 
-fn step() -> impl Strategy<Value = Step> {
+fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
-        (1..8_u64).prop_map(Step::Open),
-        (1..8_u64).prop_map(Step::Touch),
-        (1..8_u64).prop_map(Step::Close),
-        (1..400_u64).prop_map(Step::Wait),
+        (1..8_u64).prop_map(Event::Open),
+        (1..8_u64).prop_map(Event::Touch),
+        (1..8_u64).prop_map(Event::Close),
+        (1..400_u64).prop_map(Event::Wait),
     ]
 }
 
@@ -209,15 +209,15 @@
     /// A flow does not expire before its timeout, and the table is empty once
     /// all timeouts have passed.
     #[test]
-    fn flows_do_not_expire_early_and_all_expire(steps in prop::collection::vec(step(), 1..100)) {
+    fn flows_do_not_expire_early_and_all_expire(events in prop::collection::vec(event(), 1..100)) {
         let mut table = table();
         let mut now = Duration::ZERO;
-        for step in steps {
-            match step {
-                Step::Open(key) => drop(table.open(now, key, TOKEN, caller())),
-                Step::Touch(key) => table.touch(now, key),
-                Step::Close(key) => table.close(now, key),
-                Step::Wait(seconds) => now += Duration::from_secs(seconds),
+        for event in events {
+            match event {
+                Event::Open(key) => drop(table.open(now, key, TOKEN, caller())),
+                Event::Touch(key) => table.touch(now, key),
+                Event::Close(key) => table.close(now, key),
+                Event::Wait(seconds) => now += Duration::from_secs(seconds),
             }
             let before: Vec<_> = table.iter().copied().collect();
             let expired = expire(&mut table, now);
