--- a/roles/entry/src/router.rs
+++ b/roles/entry/src/router.rs
@@ -42,6 +42,7 @@
 #[derive(Clone, Default)]
 pub struct Router {
     services: HashMap<ServiceAddress, Arc<Service>>,
+    /// Addresses that are known to have no service.
     absent: HashSet<ServiceAddress>,
 }
 
@@ -99,7 +100,7 @@
     pub fn route(&self, sprayed: Sprayed, entry: SocketAddr) -> Step {
         let header = match parse(sprayed.packet.clone()) {
             Ok(header) => header,
-            Err(reason) => return reject_unreadable(&sprayed, reason),
+            Err(reason) => return reject_unparsable(&sprayed, reason),
         };
         let service = match self.services.get(&sprayed.service) {
             Some(service) => service,
@@ -219,7 +220,7 @@
 
 /// Answers a packet that cannot be parsed, but only if the sender can match the
 /// answer to a flow.
-fn reject_unreadable(sprayed: &Sprayed, reason: Drop) -> Step {
+fn reject_unparsable(sprayed: &Sprayed, reason: Drop) -> Step {
     let answer = match reason {
         Drop::Version => Reason::BadVersion,
         Drop::TooLarge => Reason::TooLarge,
--- a/roles/entry/tests/router.rs
+++ b/roles/entry/tests/router.rs
@@ -108,6 +108,8 @@
     }
 }
 
+/// All entries must relay a flow along the same path, in whatever order they
+/// learn the targets.
 #[test]
 fn path_does_not_depend_on_the_order_of_targets() {
     let mut reversed = ready();
--- a/roles/forward/src/agent.rs
+++ b/roles/forward/src/agent.rs
@@ -48,7 +48,7 @@
 use lookup::reset_ended;
 use lookup::send_absent;
 pub use search::Peers;
-use search::PendingSearch;
+use search::Pending;
 pub use settings::Settings;
 
 /// Input of an agent.
@@ -101,7 +101,7 @@
     Gone,
     /// The process is shutting down.
     Stop,
-    /// A timer fired: due work such as expiry is done.
+    /// A timer fired. Expired state is removed if a sweep is due.
     Tick,
 }
 
@@ -133,7 +133,7 @@
     flows_not_held: ExpiringMap<()>,
     ended_flows: ExpiringMap<()>,
     peers: Peers,
-    searches: HashMap<FlowId, PendingSearch>,
+    searches: HashMap<FlowId, Pending>,
     next_sweep_at: Duration,
 }
 
@@ -152,7 +152,8 @@
 /// receives it has seen every flow that the server ever had.
 const FIRST_SEQUENCE: u64 = 1;
 
-/// Maximum number of probes for one unknown flow.
+/// Maximum number of probes for one unknown flow. Three packets at a backend
+/// server that does not hold the flow would break it.
 const MAX_PROBES: u8 = 2;
 
 impl Agent {
@@ -227,22 +228,22 @@
             None if !self.assumes_ready(now) => Some(Closed::Unknown),
             Some(backend) if backend.state != State::Ready => Some(Closed::NotReady),
             Some(_) if now >= self.last_announced + settings.silence => Some(Closed::Silent),
-            _ if reaction_deadline.is_some_and(|mute| now >= mute) => Some(Closed::Mute),
+            _ if reaction_deadline.is_some_and(|deadline| now >= deadline) => Some(Closed::Mute),
             _ if self.flows.len() >= settings.max_flows => Some(Closed::Flows),
             _ if self.occupancy.running() >= max_running => Some(Closed::Queue),
             _ => None,
         }
     }
 
-    /// Returns whether the backend server is assumed to be ready although this
-    /// process has received no announcement: after a crash of the agent, its
-    /// backend server keeps serving.
+    /// Returns true if the backend server is assumed to be ready without an
+    /// announcement. It keeps serving after a crash of its agent, so a restarted
+    /// agent admits flows at once.
     fn assumes_ready(&self, now: Duration) -> bool {
         self.may_hold_prior_flows && now < self.started_at + self.settings.assumed
     }
 
-    /// Returns whether the backend server is ready and has announced itself
-    /// recently.
+    /// Returns true if new flows are admitted, or are refused only because the
+    /// backend server is mute or a limit of flows or queued requests is reached.
     #[must_use]
     pub fn is_open(&self, now: Duration) -> bool {
         matches!(
@@ -251,7 +252,7 @@
         )
     }
 
-    /// Returns whether any request is running or queued.
+    /// Returns true if any request is running or queued.
     #[must_use]
     pub const fn is_busy(&self) -> bool {
         self.occupancy.running() > 0
--- a/roles/forward/src/agent/admission.rs
+++ b/roles/forward/src/agent/admission.rs
@@ -50,7 +50,7 @@
             _ => Err(Closed::OtherServer),
         };
         match bid::decide(open, bid.ok()) {
-            Verdict::Take(open) => self.admit(now, flow, open, bid.unwrap_or_default(), actions),
+            Verdict::Admit(open) => self.admit(now, flow, open, bid.unwrap_or_default(), actions),
             Verdict::Pass(open) => {
                 self.passed_flows.insert(now, flow, open.clone());
                 actions.push(Action::Passed {
@@ -157,9 +157,10 @@
         });
     }
 
-    /// Passes on an opening packet that the backend server did not accept, or
-    /// resets its flow.
-    pub(super) fn handle_unaccepted(
+    /// Passes on an opening packet that the backend server did not accept. If no
+    /// agent is left, resets the flow, unless it may already be open through
+    /// another copy of the packet.
+    pub(super) fn handle_rejected_open(
         &mut self,
         now: Duration,
         flow: FlowId,
@@ -180,7 +181,7 @@
             Some(_) if segment.is_copy() || is_late => {
                 actions.push(Action::Dropped(Drop::RefusedCopy));
             }
-            Some(Verdict::Take(open) | Verdict::Refuse(open)) => actions.push(Action::Reset {
+            Some(Verdict::Admit(open) | Verdict::Refuse(open)) => actions.push(Action::Reset {
                 flow,
                 sequence: segment.acknowledged,
                 reason: Refusal::NotAccepted,
--- a/roles/forward/src/agent/backend.rs
+++ b/roles/forward/src/agent/backend.rs
@@ -41,7 +41,7 @@
 }
 
 impl Backend {
-    /// Returns whether this announcement was made before `other`.
+    /// Returns true if this announcement was made before `other`.
     #[must_use]
     pub fn is_older_than(&self, other: &Self) -> bool {
         (self.start, self.sequence) < (other.start, other.sequence)
--- a/roles/forward/src/agent/bid.rs
+++ b/roles/forward/src/agent/bid.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// Admit the flow here.
-    Take(Open),
+    Admit(Open),
     /// Pass the packet on to the agent at its `position`.
     Pass(Open),
     /// Refuse the flow: no agent on its path can serve it in time.
@@ -53,8 +53,8 @@
 pub fn decide(mut open: Open, bid: Option<Bid>) -> Verdict {
     let bid_ms = bid.map_or(NO_BID, Bid::millis);
     match bid {
-        Some(bid) if bid.wait <= LOW_WAIT && bid.risk <= LOW_RISK => return Verdict::Take(open),
-        Some(bid) if open.is_settled && bid.wait <= max_wait(&open) => return Verdict::Take(open),
+        Some(bid) if bid.wait <= LOW_WAIT && bid.risk <= LOW_RISK => return Verdict::Admit(open),
+        Some(bid) if open.is_settled && bid.wait <= max_wait(&open) => return Verdict::Admit(open),
         // The chosen agent can no longer admit the flow: the next best bid is
         // tried.
         _ if open.is_settled => {
@@ -81,7 +81,7 @@
             open.position = u8::try_from(index).unwrap_or(u8::MAX);
             open.is_settled = true;
             if is_here {
-                Verdict::Take(open)
+                Verdict::Admit(open)
             } else {
                 Verdict::Pass(open)
             }
--- a/roles/forward/src/agent/flow.rs
+++ b/roles/forward/src/agent/flow.rs
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Returns whether a caller's packet shows that the flow was accepted by
+    /// Returns true if a caller's packet shows that the flow was accepted by
     /// another backend server, although its opening packet came here too.
     /// Completes the handshake if the packet acknowledges this server.
     pub fn is_accepted_elsewhere(&mut self, segment: &Segment) -> bool {
@@ -205,11 +205,11 @@
     pub fn expire_request(
         &mut self,
         now: Duration,
-        reserved: Duration,
+        reservation_timeout: Duration,
         occupancy: &mut Occupancy,
     ) -> bool {
         let limit = if self.is_reserved {
-            reserved
+            reservation_timeout
         } else {
             self.request_timeout
         };
@@ -221,21 +221,21 @@
         is_failed
     }
 
-    /// Returns whether a request has been sent and not answered yet.
+    /// Returns true if a request has been sent and not answered yet.
     const fn has_pending_request(&self) -> bool {
         self.slot.is_some() && !self.is_reserved
     }
 
-    /// Returns whether the flow is open but has no pending request.
+    /// Returns true if the flow is open but has no pending request.
     pub const fn is_idle(&self) -> bool {
         self.requests > 0 && self.slot.is_none() && !self.has_caller_ended && !self.has_server_ended
     }
 
-    /// Returns whether the flow can be dropped: no packet was seen for `linger`
-    /// after its end, or for `idle` before it.
-    pub fn is_expired(&self, now: Duration, linger: Duration, idle: Duration) -> bool {
+    /// Returns true if the flow can be dropped: no packet was seen for `linger`
+    /// after its end, or for `idle_timeout` before it.
+    pub fn is_expired(&self, now: Duration, linger: Duration, idle_timeout: Duration) -> bool {
         let has_ended = self.has_caller_ended && self.has_server_ended;
-        let limit = if has_ended { linger } else { idle };
+        let limit = if has_ended { linger } else { idle_timeout };
         now >= self.last_used + limit
     }
 
@@ -248,7 +248,7 @@
     }
 }
 
-/// Returns whether one sequence number is after another; sequence numbers wrap
+/// Returns true if one sequence number is after another; sequence numbers wrap
 /// around.
 const fn is_ahead(one: u32, other: u32) -> bool {
     let distance = one.wrapping_sub(other);
--- a/roles/forward/src/agent/lookup.rs
+++ b/roles/forward/src/agent/lookup.rs
@@ -30,7 +30,7 @@
 }
 
 impl Agent {
-    /// Returns whether the backend server may hold an unknown flow that was
+    /// Returns true if the backend server may hold an unknown flow that was
     /// opened before this process started.
     pub(super) fn may_hold(&self, now: Duration, flow: &FlowId) -> bool {
         self.may_hold_prior_flows
@@ -156,7 +156,8 @@
     evidence: Option<Evidence>,
     actions: &mut Vec<Action>,
 ) {
-    // The sender of a reset expects no answer.
+    // The sender of a reset expects no answer, and evidence could make an entry
+    // answer it with a reset.
     let evidence = evidence.filter(|_| segment.kind != Kind::Reset);
     actions.push(Action::Send {
         to: carry.entry,
--- a/roles/forward/src/agent/search.rs
+++ b/roles/forward/src/agent/search.rs
@@ -27,13 +27,14 @@
 pub struct Peers {
     /// Agents that may hold flows.
     pub hops: Arc<Vec<Hop>>,
-    /// Whether an agent is marked down that may only be unreachable.
+    /// Whether an agent is marked down, which may only be unreachable and still
+    /// hold flows.
     pub has_silent: bool,
 }
 
 /// Search that has not ended yet.
 #[derive(Debug)]
-pub(super) struct PendingSearch {
+pub(super) struct Pending {
     started_at: Duration,
     entry: SocketAddr,
     acknowledged: u32,
@@ -68,7 +69,7 @@
         let is_complete = knows_all && !self.peers.has_silent;
         let mut terms = search.terms;
         terms.may_try &= knows_all;
-        let pending = PendingSearch {
+        let pending = Pending {
             started_at: now,
             entry: search.entry,
             acknowledged: segment.acknowledged,
--- a/roles/forward/src/agent/server.rs
+++ b/roles/forward/src/agent/server.rs
@@ -36,7 +36,7 @@
             self.occupancy.release(now);
         }
         if segment.kind == Kind::Open {
-            return self.handle_unaccepted(now, flow, segment, held, packet, actions);
+            return self.handle_rejected_open(now, flow, segment, held, packet, actions);
         }
         self.flows_not_held.insert(now, flow, ());
         actions.push(Action::Returned {
--- a/roles/forward/src/entry.rs
+++ b/roles/forward/src/entry.rs
@@ -62,7 +62,7 @@
     Busy(Busy),
     /// The routes or the known backend servers changed.
     Routes(Arc<Routes>),
-    /// A timer fired: due work such as expiry is done.
+    /// A timer fired. Searches are retried and expired flows removed if due.
     Tick,
 }
 
@@ -176,9 +176,9 @@
         self.routes = routes;
     }
 
-    /// Returns whether probably all agents are known. Only then may agents
-    /// probe their backend servers, because only then does the actual holder
-    /// also receive the packet.
+    /// Returns true once all agents can be taken to be known. Agents may not
+    /// probe their backend servers before, because the holder might be an
+    /// unknown agent that does not receive the packet.
     fn knows_all_agents(&self, now: Duration) -> bool {
         let settings = &self.settings;
         let is_complete =
@@ -247,7 +247,12 @@
         }
         let path = self.choose_path(routes, &context, &tried);
         if path.is_empty() {
-            return self.refuse_unserved(routes, &context.segment, context.now, context.actions);
+            return self.refuse_without_server(
+                routes,
+                &context.segment,
+                context.now,
+                context.actions,
+            );
         }
         self.send_open(routes, path, tried, context);
     }
@@ -284,19 +289,19 @@
     /// Refuses a flow for which there is no backend server. An entry that has
     /// just started drops the packet instead, because it may not know the
     /// backend servers yet.
-    fn refuse_unserved(
+    fn refuse_without_server(
         &self,
         routes: &Routes,
         segment: &Segment,
         now: Duration,
         actions: &mut Vec<Action>,
     ) {
-        let is_young = now < self.started_at + self.settings.startup_grace;
+        let is_starting = now < self.started_at + self.settings.startup_grace;
         let flow = segment.from_caller();
         let is_known = routes
             .route(flow.service)
             .is_some_and(|route| routes.possible_holders(route).next().is_some());
-        actions.push(if is_young && !is_known {
+        actions.push(if is_starting && !is_known {
             Action::Dropped(Drop::Young)
         } else if segment.is_copy() {
             Action::Dropped(Drop::RefusedCopy)
--- a/roles/forward/src/entry/action.rs
+++ b/roles/forward/src/entry/action.rs
@@ -28,7 +28,7 @@
         /// Reason of the reset.
         reason: Refusal,
     },
-    /// A new flow was sent to an agent.
+    /// The opening packet of a new flow was sent to the first agent of its path.
     Opened {
         /// The flow.
         flow: FlowId,
--- a/roles/forward/src/entry/search.rs
+++ b/roles/forward/src/entry/search.rs
@@ -127,8 +127,8 @@
 
     /// Returns the maximum age in milliseconds of a backend server whose denial
     /// counts. A backend server that started with this entry or later cannot
-    /// hold a flow that this entry does not know. Returns 0 if the entry is
-    /// older than any flow that its callers may still use.
+    /// hold a flow that this entry does not know. Returns 0 once callers have
+    /// dropped the flows that ended in a failure at the entry's start.
     fn max_age_ms(&self, now: Duration) -> u32 {
         let age = now.saturating_sub(self.started_at);
         if age > self.settings.stale_flow_window {
--- a/roles/forward/src/entry/settings.rs
+++ b/roles/forward/src/entry/settings.rs
@@ -26,7 +26,7 @@
     /// known.
     pub discovery_quiet: Duration,
     /// Time after the start during which callers may still use flows that ended
-    /// in the same failure as the entry, for example a power loss, before they
+    /// in the failure before the start, for example a power loss, before they
     /// drop them as idle.
     pub stale_flow_window: Duration,
     /// Maximum time by which a backend server that started together with this
--- a/roles/forward/src/routes.rs
+++ b/roles/forward/src/routes.rs
@@ -20,7 +20,7 @@
     pub shares: Vec<Share>,
     /// Timeout of a request.
     pub timeout: Duration,
-    /// Target latency of a request.
+    /// Target latency of a request: an answer within it has its full value.
     pub objective: Duration,
     /// Load-shedding priority: under overload, routes with a higher number are
     /// shed first and 0 last.
@@ -106,7 +106,7 @@
         targets.into_iter().flat_map(|targets| targets.iter())
     }
 
-    /// Returns whether a service of a route has a backend server that is marked
+    /// Returns true if a service of a route has a backend server that is marked
     /// down but may only be unreachable.
     #[must_use]
     pub fn has_down_target(&self, route: &Route) -> bool {
