--- a/roles/forward/tests/search.rs
+++ b/roles/forward/tests/search.rs
@@ -106,11 +106,11 @@
     handle(agent, now, Event::Search { search, segment })
 }
 
-fn set_peers(agent: &mut Agent, others: &[TargetId], has_silent: bool) {
+fn set_peers(agent: &mut Agent, others: &[TargetId], has_down_agent: bool) {
     let hops = others.iter().copied().map(hop).collect();
     let others = Peers {
         hops: Arc::new(hops),
-        has_silent,
+        has_silent: has_down_agent,
     };
     handle(agent, ms(0), Event::Peers(others));
 }
