--- a/coordination/member/src/announcer.rs
+++ b/coordination/member/src/announcer.rs
@@ -37,14 +37,15 @@
 
 /// Heartbeats that an agent sends in quick succession after its start while
 /// most of its watchers have not answered. After a failure that also stopped
-/// the watchers, they start together with the agent.
+/// the watchers, they start together with the agent and may miss its first
+/// heartbeats.
 const STARTUP_HEARTBEATS: u32 = 12;
 
 /// Time between two startup heartbeats: a few round trips within a region.
 const STARTUP_INTERVAL: Duration = Duration::from_millis(150);
 
 /// Time without an acknowledgement after which the version of the announcement
-/// is raised, since the entries may have rereceivers the older version.
+/// is raised, since the entries may have removed the older version.
 const REANNOUNCE_AFTER: Duration = Duration::from_mins(1);
 
 /// Largest fraction by which a heartbeat interval is randomly shortened.
@@ -67,12 +68,14 @@
     target: Target,
     rng: Rng,
     sequence: Sequence,
+    /// Number of the first heartbeat that carries the current version.
     announced_sequence: Sequence,
     last_acknowledged: Duration,
     next_heartbeat: Duration,
     watchers: Watchers,
     view: View,
-    changed: bool,
+    view_changed: bool,
+    /// Departure heartbeats left to send, once the agent leaves.
     departure_heartbeats: Option<u32>,
     /// Startup heartbeats left to send.
     startup_heartbeats: u32,
@@ -107,7 +110,7 @@
             last_acknowledged: now,
             next_heartbeat: now,
             view,
-            changed: true,
+            view_changed: true,
             departure_heartbeats: None,
             startup_heartbeats: STARTUP_HEARTBEATS,
             successor: None,
@@ -192,7 +195,7 @@
             }
             Message::Fragment(fragment) if fragment.offer.address == service => {
                 if let Some(config) = self.assembler.add_fragment(now, fragment) {
-                    self.changed |= self.view.merge_config(config).is_ok();
+                    self.view_changed |= self.view.merge_config(config).is_ok();
                 }
             }
             _ => self.link.refuse(Refusal::Unexpected),
@@ -261,7 +264,7 @@
 
     /// Returns whether the view has changed since the last call.
     pub fn changed(&mut self) -> bool {
-        std::mem::take(&mut self.changed)
+        std::mem::take(&mut self.view_changed)
     }
 
     /// Returns counters and sizes.
@@ -305,7 +308,7 @@
     fn bump_version(&mut self, now: Duration) {
         self.target.version += 1;
         self.announced_sequence = self.sequence + 1;
-        self.changed |= self.view.merge_target(self.target.clone()).is_ok();
+        self.view_changed |= self.view.merge_target(self.target.clone()).is_ok();
         self.next_heartbeat = now;
     }
 
@@ -319,8 +322,8 @@
         if ack.incarnation != self.target.incarnation || ack.sequence > self.sequence {
             return self.link.refuse(Refusal::Unexpected);
         }
-        // The entries may have rereceivers a target that they did not hear for
-        // long.
+        // The entries may have removed a target that they did not hear for
+        // long, and then refuse its older version.
         let unheard = now.saturating_sub(self.last_acknowledged);
         self.last_acknowledged = now;
         if unheard > REANNOUNCE_AFTER {
@@ -334,7 +337,7 @@
 
     fn merge_members(&mut self, members: Members) {
         if let Some(config) = members.config {
-            self.changed |= self.view.merge_config(config).is_ok();
+            self.view_changed |= self.view.merge_config(config).is_ok();
         }
         for member in members.members {
             self.merge_member(member);
@@ -370,24 +373,24 @@
         }
         // The agent's own announcement is authoritative.
         if id != self.target.id {
-            self.changed |= self.view.merge_target(member.target).is_ok();
+            self.view_changed |= self.view.merge_target(member.target).is_ok();
         }
         let held = self.view.targets.get(&id).map(|held| held.target.stamp());
         if held == Some(stamp) {
-            self.changed |= self.view.set_health(id, member.health);
+            self.view_changed |= self.view.set_health(id, member.health);
         }
     }
 
     /// Removes the departed and silent targets that the entry no longer lists.
     fn receive_target_list(&mut self, list: &TargetList) {
         let part = self.view.part(list.part.into()).iter();
-        let rereceivers: Vec<u64> = part
+        let removed: Vec<u64> = part
             .filter(|member| member.target.state == State::Left || member.health != Health::Up)
             .map(|member| member.target.id)
             .filter(|id| *id != self.target.id && !list.targets.contains(id))
             .collect();
-        for id in rereceivers {
-            self.changed |= self.view.remove(id);
+        for id in removed {
+            self.view_changed |= self.view.remove(id);
         }
     }
 }
--- a/coordination/member/src/announcer/watchers.rs
+++ b/coordination/member/src/announcer/watchers.rs
@@ -51,7 +51,7 @@
 }
 
 impl Watchers {
-    /// Starts with some of the seeds as watchers, so that every announcement is
+    /// Creates watchers from some of the seeds, so that every announcement is
     /// watched from the start.
     #[must_use]
     pub fn new(settings: Settings, seeds: Vec<SocketAddr>, now: Duration, rng: &mut Rng) -> Self {
--- a/coordination/member/src/budget.rs
+++ b/coordination/member/src/budget.rs
@@ -6,7 +6,8 @@
 
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// Token bucket in bytes. Urgent messages may overdraw it; bulk messages wait.
+/// Token bucket in bytes. Urgent messages may overdraw it; bulk messages are
+/// sent only while tokens are left.
 #[derive(Debug)]
 pub struct Budget {
     rate: u64,
--- a/coordination/member/src/directory.rs
+++ b/coordination/member/src/directory.rs
@@ -58,10 +58,12 @@
     changed_services: BTreeSet<ServiceAddress>,
     recent: VecDeque<Change>,
     answer_windows: BTreeMap<SubjectId, AnswerWindow>,
+    /// Start of the silence, or time of the departure, of a target or entry.
     gone_since: BTreeMap<Key, Duration>,
     tombstones: BTreeMap<Key, Tombstone>,
     entries_dirty: bool,
     generation: u64,
+    /// Time of the event that is being processed.
     now: Duration,
 }
 
@@ -174,7 +176,7 @@
             Some(held) if held.incarnation > entry.incarnation => {
                 return Err(Refusal::OldIncarnation);
             }
-            Some(held) if held.stamp() >= entry.stamp() => return Err(Refusal::Stale),
+            Some(held) if held.position() >= entry.position() => return Err(Refusal::Stale),
             Some(held) if held.incarnation < entry.incarnation => self.forget_statements(key),
             _ => {}
         }
@@ -344,7 +346,7 @@
         })
     }
 
-    /// Returns the targets of a service that changed recently, and `None` for
+    /// Returns the targets of a service that changed recently; `None` stands for
     /// its configuration.
     pub fn recent(&self, service: ServiceAddress) -> BTreeSet<Option<TargetId>> {
         let changes = self.recent.iter();
--- a/coordination/member/src/directory/expiry.rs
+++ b/coordination/member/src/directory/expiry.rs
@@ -1,5 +1,5 @@
-//! Removal of records that have been silent or departed for long, and
-//! tombstones that keep them from returning.
+//! Removal of targets and entries that have been silent or departed for long,
+//! and tombstones that keep their old versions from returning.
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -26,8 +26,8 @@
 }
 
 impl Directory {
-    /// Removes records that have been silent or departed for longer than
-    /// `retention`. Returns the removals for gossip, since other entries may
+    /// Removes targets and entries that have been silent or departed for longer
+    /// than `retention`; silent ones in a lost zone are kept. Returns the removals for gossip, since other entries may
     /// have learned of the silence at other times.
     pub fn expire(&mut self, now: Duration, retention: Duration) -> Vec<Record> {
         let gone_entries = self.entry_states.iter().filter(|(_, state)| {
--- a/coordination/member/src/directory/verdict.rs
+++ b/coordination/member/src/directory/verdict.rs
@@ -18,9 +18,11 @@
 use crate::record::entry_key;
 use crate::zones::Scope;
 
-/// Time in which the other watchers of a suspected process may still answer.
+/// Time after a suspicion in which the other watchers of the process may state
+/// that they hear it.
 #[derive(Debug)]
 pub struct AnswerWindow {
+    /// Number of the last heartbeat before the suspicion.
     suspected: Sequence,
     since: Duration,
     may_answer: bool,
@@ -46,8 +48,7 @@
         }
     }
 
-    /// Updates since when each process is suspected, and whether its other
-    /// watchers may still answer.
+    /// Updates the answer window of each suspected process.
     fn update_answer_windows(&mut self, now: Duration, answer_wait: Duration) {
         let mut windows = BTreeMap::new();
         let mut changed = Vec::new();
--- a/coordination/member/src/record.rs
+++ b/coordination/member/src/record.rs
@@ -51,7 +51,7 @@
     pub subject: SubjectId,
     /// Incarnation that the statement is about; it does not apply to others.
     pub incarnation: Incarnation,
-    /// UDP address of the watcher.
+    /// UDP address of the watcher that makes the statement.
     pub observer: SocketAddr,
     /// Number of the last heartbeat that the watcher knows of.
     pub sequence: Sequence,
@@ -110,11 +110,11 @@
 impl Entry {
     /// Returns the position of this record among those of one entry.
     #[must_use]
-    pub const fn stamp(&self) -> Stamp {
-        Stamp {
+    pub const fn position(&self) -> Position {
+        Position {
             incarnation: self.incarnation,
             version: self.left as u64,
-            last: false,
+            silent: false,
         }
     }
 }
@@ -123,11 +123,11 @@
     /// Returns the position of this statement among those of one watcher about
     /// one process. Silence after a heartbeat is later than that heartbeat.
     #[must_use]
-    pub const fn stamp(&self) -> Stamp {
-        Stamp {
+    pub const fn position(&self) -> Position {
+        Position {
             incarnation: self.incarnation,
             version: self.sequence,
-            last: self.silent,
+            silent: self.silent,
         }
     }
 }
@@ -136,21 +136,22 @@
     /// Returns the position of this report among those of one observer on one
     /// zone.
     #[must_use]
-    pub const fn stamp(&self) -> Stamp {
-        Stamp {
+    pub const fn position(&self) -> Position {
+        Position {
             incarnation: self.incarnation,
             version: self.version as u64,
-            last: false,
+            silent: false,
         }
     }
 }
 
 /// Position of a version in the history of its record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Stamp {
+pub struct Position {
     incarnation: Incarnation,
     version: u64,
-    last: bool,
+    /// Silence is later than the heartbeat of the same number.
+    silent: bool,
 }
 
 /// Input of a key's hash; its variants keep records of different kinds from
--- a/coordination/member/src/registry.rs
+++ b/coordination/member/src/registry.rs
@@ -86,7 +86,7 @@
     live_set: LiveSet,
     own_heartbeat: OwnHeartbeat,
     seeds: Vec<SocketAddr>,
-    needs: BTreeMap<ServiceAddress, Need>,
+    service_requests: BTreeMap<ServiceAddress, ServiceRequest>,
     last_reports: BTreeMap<ZoneId, Duration>,
     /// Key of the last record that the audit checked.
     last_audited: Key,
@@ -124,12 +124,13 @@
     sequence: Sequence,
     next: Duration,
     watchers: Vec<SocketAddr>,
+    /// Entries in other regions that observe the zone of this one.
     observers: Vec<SocketAddr>,
 }
 
-/// Request to peers for a service.
+/// Pending request to peers for a service.
 #[derive(Debug)]
-struct Need {
+struct ServiceRequest {
     tries: u32,
     next: Duration,
 }
@@ -152,7 +153,7 @@
                 ..OwnHeartbeat::default()
             },
             seeds: Vec::new(),
-            needs: BTreeMap::new(),
+            service_requests: BTreeMap::new(),
             last_reports: BTreeMap::new(),
             last_audited: 0,
             requested_keys: BTreeSet::new(),
@@ -204,13 +205,15 @@
         let is_held = self
             .service(&address)
             .is_some_and(|view| view.config.is_some());
-        if is_held || self.needs.len() >= anti_entropy::MAX_NEEDS {
+        if is_held || self.service_requests.len() >= anti_entropy::MAX_SERVICE_REQUESTS {
             return;
         }
-        self.needs.entry(address).or_insert(Need {
-            tries: 0,
-            next: now,
-        });
+        self.service_requests
+            .entry(address)
+            .or_insert(ServiceRequest {
+                tries: 0,
+                next: now,
+            });
         self.next_round = self.next_round.min(now);
     }
 
@@ -267,7 +270,7 @@
         self.fetch_overdue(now, actions);
         self.reset_requested(now);
         self.compare_if_due(now, actions);
-        self.request_needed_services(now, actions);
+        self.send_service_requests(now, actions);
         if now >= self.next_expiry {
             self.next_expiry = now + EXPIRY_INTERVAL;
             self.expire(now);
@@ -357,12 +360,12 @@
         }
     }
 
-    fn own_record(&self, left: bool) -> Record {
+    fn own_record(&self, has_left: bool) -> Record {
         Record::Entry(Entry {
             address: self.identity.address,
             zone: self.identity.zone,
             incarnation: self.identity.incarnation,
-            left,
+            left: has_left,
         })
     }
 
--- a/coordination/member/src/registry/anti_entropy.rs
+++ b/coordination/member/src/registry/anti_entropy.rs
@@ -20,10 +20,10 @@
 use crate::tree::Node;
 
 /// Largest number of services that are requested at a time.
-pub const MAX_NEEDS: usize = 1_024;
+pub const MAX_SERVICE_REQUESTS: usize = 1_024;
 
-/// Largest number of requests to peers for one service.
-const MAX_NEED_TRIES: u32 = 8;
+/// Largest number of tries to request one service.
+const MAX_SERVICE_TRIES: u32 = 8;
 
 /// Number of peers that a service is requested from at a time.
 const ASKED_PEERS: usize = 2;
@@ -169,18 +169,19 @@
         self.send_records(from, records, actions);
     }
 
-    /// Requests the needed services from peers.
-    pub(super) fn request_needed_services(&mut self, now: Duration, actions: &mut Vec<Action>) {
+    /// Sends the due requests for services, and drops those that were answered
+    /// or tried often enough.
+    pub(super) fn send_service_requests(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let directory = &self.directory;
-        self.needs.retain(|address, need| {
+        self.service_requests.retain(|address, request| {
             let view = directory.view(address);
-            need.tries < MAX_NEED_TRIES && view.is_none_or(|view| view.config.is_none())
+            request.tries < MAX_SERVICE_TRIES && view.is_none_or(|view| view.config.is_none())
         });
         let mut due = Vec::new();
-        for (address, need) in &mut self.needs {
-            if now >= need.next {
-                need.tries += 1;
-                need.next = now + self.settings.round_interval * need.tries;
+        for (address, request) in &mut self.service_requests {
+            if now >= request.next {
+                request.tries += 1;
+                request.next = now + self.settings.round_interval * request.tries;
                 due.push(*address);
             }
         }
--- a/coordination/member/src/registry/failure.rs
+++ b/coordination/member/src/registry/failure.rs
@@ -115,12 +115,12 @@
     /// be lost and this entry is among its observers.
     fn report_zones(&mut self, now: Duration, tallies: &BTreeMap<ZoneId, Tally>) {
         for (zone, tally) in tallies {
-            let is_open =
+            let may_be_lost =
                 tally.silent * 2 >= tally.watched || self.directory.zones().has_silence(*zone);
             let last = self.last_reports.get(zone);
             let is_due = last.is_none_or(|last| now >= *last + REPORT_INTERVAL);
-            let is_asked = *zone != self.identity.zone && is_open && is_due;
-            if !is_asked || !self.is_report_outdated(*zone, *tally) || !self.observes(*zone) {
+            let should_report = *zone != self.identity.zone && may_be_lost && is_due;
+            if !should_report || !self.is_report_outdated(*zone, *tally) || !self.observes(*zone) {
                 continue;
             }
             self.last_reports.insert(*zone, now);
--- a/coordination/member/src/registry/gossip.rs
+++ b/coordination/member/src/registry/gossip.rs
@@ -141,7 +141,12 @@
         }
     }
 
-    fn merge_received(&mut self, now: Duration, record: &Record, hot: bool) -> Result<(), Refusal> {
+    fn merge_received(
+        &mut self,
+        now: Duration,
+        record: &Record,
+        is_rumor: bool,
+    ) -> Result<(), Refusal> {
         if self.is_own(record) {
             return Ok(());
         }
@@ -154,7 +159,7 @@
         }
         let result = self.directory.merge(record.clone());
         match result {
-            Ok(()) if hot => self.start_gossip(record),
+            Ok(()) if is_rumor => self.start_gossip(record),
             Ok(()) => {}
             Err(reason) => self.link.refuse(reason),
         }
@@ -217,7 +222,7 @@
     message: Message,
 }
 
-fn batches(records: Vec<Record>, hot: bool) -> Vec<Batch> {
+fn batches(records: Vec<Record>, is_rumor: bool) -> Vec<Batch> {
     let offered = |record: &Record| match record {
         Record::Service(service) if fragment::is_large(service) => Some(fragment::offer(service)),
         _ => None,
@@ -229,7 +234,10 @@
         .into_iter()
         .map(|records| Batch {
             keys: records.iter().map(Record::key).collect(),
-            message: Message::Push(Push { hot, records }),
+            message: Message::Push(Push {
+                hot: is_rumor,
+                records,
+            }),
         })
         .collect();
     batches.extend(large.iter().filter_map(|record| {
--- a/coordination/member/src/registry/heartbeat.rs
+++ b/coordination/member/src/registry/heartbeat.rs
@@ -155,12 +155,13 @@
         self.link.send(from, Message::Members(members), actions);
     }
 
-    /// Renews the watch on a process that names this entry as its watcher or
-    /// observer, or whose zone is lost. Ends the watch otherwise.
-    fn update_watch(&mut self, sender: &Sender, watch: Watch, observe: bool) {
+    /// Starts or renews the watch on a process that names this entry as its
+    /// watcher or observer, and renews it while the zone of the process counts
+    /// as lost. Ends the watch otherwise, and when the process departs.
+    fn update_watch(&mut self, sender: &Sender, watch: Watch, is_observer: bool) {
         let is_watched_in_lost_zone =
             self.watches.get(sender.id).is_some() && self.directory.zones().is_lost(sender.zone);
-        if sender.has_left || !(watch.is_watcher || observe || is_watched_in_lost_zone) {
+        if sender.has_left || !(watch.is_watcher || is_observer || is_watched_in_lost_zone) {
             return self.watches.remove(sender.id);
         }
         self.watches.insert(sender.id, watch);
--- a/coordination/member/src/statements.rs
+++ b/coordination/member/src/statements.rs
@@ -31,7 +31,7 @@
         }
         let subject = new.subject;
         match (self.get(subject, new.observer), self.latest(subject)) {
-            (Some(held), _) if held.stamp() >= new.stamp() => return Err(Refusal::Stale),
+            (Some(held), _) if held.position() >= new.position() => return Err(Refusal::Stale),
             (_, Some(latest))
                 if latest.sequence >= new.sequence && !latest.watchers.contains(&new.observer) =>
             {
--- a/coordination/member/src/watches.rs
+++ b/coordination/member/src/watches.rs
@@ -72,7 +72,7 @@
         self.watches.remove(&subject);
     }
 
-    /// Ends the watches that do not meet a condition.
+    /// Ends the watches that `keep` does not select.
     pub fn retain(&mut self, keep: impl Fn(SubjectId, &Watch) -> bool) {
         self.watches.retain(|subject, watch| keep(*subject, watch));
     }
@@ -89,10 +89,10 @@
         self.watches.len()
     }
 
-    /// Restarts the silences of the processes that `concerns` selects.
-    pub fn reset_silence(&mut self, now: Duration, concerns: impl Fn(&Watch) -> bool) {
+    /// Restarts the silences of the watches that `is_affected` selects.
+    pub fn reset_silence(&mut self, now: Duration, is_affected: impl Fn(&Watch) -> bool) {
         let watches = self.watches.values_mut();
-        for watch in watches.filter(|watch| concerns(watch)) {
+        for watch in watches.filter(|watch| is_affected(watch)) {
             watch.last_heard = now;
         }
     }
@@ -137,8 +137,9 @@
 
 /// Returns whether so many processes are silent that the watcher in zone `own`
 /// must doubt itself: most of those outside the zone with the most silent ones,
-/// or most of each of two other zones. Counts only its own region, since
-/// partitions between regions do happen.
+/// or most of each of two other zones, or most of all where only one zone is
+/// watched. Counts only its own region, since partitions between regions do
+/// happen.
 #[must_use]
 pub fn is_doubtful(own: ZoneId, tallies: &BTreeMap<ZoneId, Tally>) -> bool {
     let near = tallies
--- a/coordination/member/src/zones.rs
+++ b/coordination/member/src/zones.rs
@@ -68,7 +68,7 @@
         let zone = new.zone;
         let reports = self.reports.entry(zone).or_default();
         let held = reports.get(&new.observer);
-        if held.is_some_and(|held| held.stamp() >= new.stamp()) {
+        if held.is_some_and(|held| held.position() >= new.position()) {
             return Err(Refusal::Stale);
         }
         let observer = new.observer;
@@ -185,8 +185,8 @@
             && self.silent * 100 >= self.watched * LOST_PERCENT
     }
 
-    /// Returns whether observers of two other zones have reported, or there is
-    /// only one other zone with entries.
+    /// Returns whether observers in two zones other than `zone` have reported,
+    /// or in one where only one other zone has entries.
     fn has_quorum(&self, zone: ZoneId, zones: &BTreeSet<ZoneId>) -> bool {
         let others = zones.iter().filter(|other| **other != zone).count();
         self.zones.len() >= others.min(2)
--- a/coordination/member/tests/cold.rs
+++ b/coordination/member/tests/cold.rs
@@ -63,8 +63,8 @@
 fn an_empty_entry_learns_a_requested_service_first_and_the_rest_within_its_budget() {
     let mut net = region(4, 2, 4);
     let now = net.now;
-    for held in net.entries.values_mut() {
-        fill(held, now);
+    for registry in net.entries.values_mut() {
+        fill(registry, now);
     }
     net.run(Duration::from_secs(5));
     net.add_entry(5, 1, 1);
@@ -93,8 +93,8 @@
 fn requests_for_an_unknown_service_are_bounded() {
     let mut net = region(3, 2, 3);
     let now = net.now;
-    let held = net.entries.get_mut(&entry(1)).unwrap();
-    held.need(now, address(1));
+    let registry = net.entries.get_mut(&entry(1)).unwrap();
+    registry.need(now, address(1));
     net.run(Duration::from_mins(1));
     let before = net.entries[&entry(2)].status().refusals.clone();
     net.run(Duration::from_mins(1));
@@ -108,20 +108,20 @@
     let mut net = region(1, 1, 1);
     let now = net.now;
     let rate = u64::from(net.settings.send_rate);
-    let held = net.entries.get_mut(&entry(1)).unwrap();
-    fill(held, now);
-    let before = held.status().sent_bytes;
+    let registry = net.entries.get_mut(&entry(1)).unwrap();
+    fill(registry, now);
+    let before = registry.status().sent_bytes;
     let mut actions = Vec::new();
     for number in 0..SERVICES {
         let from = entry(100 + number % 50);
-        held.handle(
+        registry.handle(
             now,
             from,
             Message::PullService(address(number)),
             &mut actions,
         );
     }
-    let status = held.status();
+    let status = registry.status();
     assert!(!actions.is_empty());
     // Two seconds of the rate, which is one burst, and one datagram.
     assert!(status.sent_bytes - before <= rate * 2 + 1_200);
--- a/coordination/member/tests/failure.rs
+++ b/coordination/member/tests/failure.rs
@@ -185,7 +185,7 @@
     let new = net.agents[&agent(1)].target().id;
     let health = |net: &Net, id| {
         let entries = net.entries.values();
-        let views = entries.map(|held| held.service(&shared_service()).unwrap());
+        let views = entries.map(|registry| registry.service(&shared_service()).unwrap());
         let seen: Vec<Health> = views.map(|view| view.targets[&id].health).collect();
         seen
     };
@@ -224,14 +224,14 @@
             .entries
             .iter()
             .filter(|(address, _)| **address != entry(2));
-        let mut live = running.flat_map(|(_, held)| held.live_entries());
+        let mut live = running.flat_map(|(_, registry)| registry.live_entries());
         let mut watchers = net.agents.values().flat_map(member::Announcer::watchers);
         !live.any(|one| one == entry(2)) && !watchers.any(|one| one == entry(2))
     });
     net.frozen.clear();
     net.run_until(CONVERGENCE_TIME, |net| {
         let mut entries = net.entries.values();
-        entries.all(|held| held.live_entries().count() == 5)
+        entries.all(|registry| registry.live_entries().count() == 5)
     });
 }
 
@@ -252,9 +252,9 @@
         records: vec![record],
     });
     let now = net.now;
-    let held = net.entries.get_mut(&entry(1)).unwrap();
-    held.handle(now, entry(2), push, &mut Vec::new());
-    assert_eq!(held.status().refusals[&Refusal::Departed], 1);
+    let registry = net.entries.get_mut(&entry(1)).unwrap();
+    registry.handle(now, entry(2), push, &mut Vec::new());
+    assert_eq!(registry.status().refusals[&Refusal::Departed], 1);
     assert!(net.all_see(Health::Up, 2));
     let agents = net
         .agents
@@ -262,7 +262,7 @@
         .filter(|(address, _)| **address != agent(1));
     assert!(
         agents
-            .map(|(_, held)| held.view())
+            .map(|(_, announcer)| announcer.view())
             .all(|view| view.targets.len() == 2)
     );
 }
@@ -281,7 +281,7 @@
         let running = net.entries.iter();
         let running = running.filter(|(address, _)| !net.frozen.contains(*address));
         running
-            .map(|(_, held)| held.live_entries().count())
+            .map(|(_, registry)| registry.live_entries().count())
             .collect()
     };
     net.run_until(MINUTE, |net| {
@@ -298,7 +298,9 @@
     net.frozen.extend([1, 2, 3].map(entry));
     net.run_until(MINUTE, |net| {
         let running = [4, 5].map(|number| &net.entries[&entry(number)]);
-        running.iter().all(|held| held.live_entries().count() == 2)
+        running
+            .iter()
+            .all(|registry| registry.live_entries().count() == 2)
     });
     net.run_checked(MINUTE, assert_no_target_is_silent);
 }
@@ -319,7 +321,7 @@
     net.cut = None;
     net.run_checked(MINUTE, assert_no_target_is_silent);
     let mut entries = net.entries.values();
-    assert!(entries.all(|held| !held.status().is_doubtful));
+    assert!(entries.all(|registry| !registry.status().is_doubtful));
 }
 
 #[test]
--- a/coordination/member/tests/faults.rs
+++ b/coordination/member/tests/faults.rs
@@ -94,8 +94,8 @@
                 revision,
                 body: Bytes::from(revision.to_string()),
             };
-            let held = net.entries.get_mut(&entry(number)).unwrap();
-            held.put(now, service);
+            let registry = net.entries.get_mut(&entry(number)).unwrap();
+            registry.put(now, service);
         }
     }
 }
@@ -112,13 +112,13 @@
     let mut views = net
         .entries
         .values()
-        .filter_map(|held| held.service(&shared_service()));
+        .filter_map(|registry| registry.service(&shared_service()));
     let view = views.next().map(member::View::digest);
     digests.all(|digest| Some(digest) == first)
         && net
             .agents
             .values()
-            .all(|held| Some(held.view().digest()) == view)
+            .all(|announcer| Some(announcer.view().digest()) == view)
 }
 
 fn config() -> ProptestConfig {
--- a/coordination/member/tests/merge.rs
+++ b/coordination/member/tests/merge.rs
@@ -198,8 +198,8 @@
             }
         }
         first.join(NOW, &[entry(8)]);
-        for second_number in 1..40 {
-            exchange(&mut first, &mut second, Duration::from_secs(second_number));
+        for seconds in 1..40 {
+            exchange(&mut first, &mut second, Duration::from_secs(seconds));
             if first.digest() == second.digest() {
                 break;
             }
@@ -245,11 +245,11 @@
     for keys in keys.chunks(50) {
         registry.handle(NOW, entry(2), Message::Pull(keys.to_vec()), &mut actions);
     }
-    let held = actions
+    let kept = actions
         .iter()
         .map(|Action::Send { message, .. }| match message {
             Message::Push(push) => push.records.len(),
             _ => 0,
         });
-    assert_eq!(held.sum::<usize>(), 16);
+    assert_eq!(kept.sum::<usize>(), 16);
 }
--- a/coordination/member/tests/net/mod.rs
+++ b/coordination/member/tests/net/mod.rs
@@ -213,8 +213,8 @@
         let entries = self.entries.iter().filter(|(address, _)| running(address));
         let agents = self.agents.iter().filter(|(address, _)| running(address));
         let next = entries
-            .map(|(_, held)| held.next_deadline())
-            .chain(agents.map(|(_, held)| held.next_deadline()))
+            .map(|(_, registry)| registry.next_deadline())
+            .chain(agents.map(|(_, announcer)| announcer.next_deadline()))
             .chain(self.queue.keys().map(|(at, _)| *at).next())
             .min();
         let soonest = self.now + Duration::from_micros(1);
--- a/coordination/member/tests/registry.rs
+++ b/coordination/member/tests/registry.rs
@@ -43,8 +43,8 @@
     let entries = net
         .entries
         .values()
-        .map(|held| held.service(&shared_service()));
-    let agents = net.agents.values().map(|held| Some(held.view()));
+        .map(|registry| registry.service(&shared_service()));
+    let agents = net.agents.values().map(|announcer| Some(announcer.view()));
     entries
         .chain(agents)
         .all(|view| view.is_some_and(|view| view.config.as_ref() == Some(config)))
@@ -102,7 +102,7 @@
         let entries = net
             .entries
             .values()
-            .filter_map(|held| held.service(&shared_service()));
+            .filter_map(|registry| registry.service(&shared_service()));
         let agents = net.agents.values().map(member::Announcer::view);
         entries
             .chain(agents)
@@ -121,8 +121,8 @@
     net.agents.remove(&agent(1));
     net.run(CONVERGENCE_TIME);
     let left = |net: &Net| {
-        net.entries.values().all(|held| {
-            let members = &held.service(&shared_service()).unwrap().targets;
+        net.entries.values().all(|registry| {
+            let members = &registry.service(&shared_service()).unwrap().targets;
             let mut members = members.values();
             members.any(|member| member.target.state == State::Left)
         })
@@ -132,7 +132,7 @@
     assert!(
         net.entries
             .values()
-            .all(|held| held.status().suspicions == 0)
+            .all(|registry| registry.status().suspicions == 0)
     );
 }
 
@@ -197,8 +197,8 @@
     net.run_until(CONVERGENCE_TIME, |net| {
         net.agents.values().all(Announcer::is_current)
     });
-    for held in net.agents.values() {
-        assert_eq!(held.view().targets.len(), 7);
+    for announcer in net.agents.values() {
+        assert_eq!(announcer.view().targets.len(), 7);
     }
     net.add_agent(8, 1, 1);
     let fresh = agent(8);
--- a/coordination/member/tests/zones.rs
+++ b/coordination/member/tests/zones.rs
@@ -34,12 +34,14 @@
 
 fn suspicions(net: &Net) -> u64 {
     let entries = net.entries.values();
-    entries.map(|held| held.status().suspicions).sum()
+    entries.map(|registry| registry.status().suspicions).sum()
 }
 
 fn sent_bytes(net: &Net) -> Vec<u64> {
     let entries = net.entries.values();
-    entries.map(|held| held.status().sent_bytes).collect()
+    entries
+        .map(|registry| registry.status().sent_bytes)
+        .collect()
 }
 
 /// Runs for `time`, and asserts that no entry sends more than its rate and one
@@ -154,11 +156,11 @@
             records,
         };
         let start = net.now;
-        let held = net.entries.get_mut(&entry(1)).unwrap();
-        held.handle(start, entry(2), Message::Push(push), &mut Vec::new());
+        let registry = net.entries.get_mut(&entry(1)).unwrap();
+        registry.handle(start, entry(2), Message::Push(push), &mut Vec::new());
         for round in 1..=12 {
             let now = start + net.settings.round_interval * round;
-            held.tick(now, &mut Vec::new());
+            registry.tick(now, &mut Vec::new());
         }
         net.now = start + net.settings.round_interval * 12;
         net.entries[&entry(1)].status().lost_zones
@@ -177,7 +179,7 @@
     assert!(net.all_see(Health::Down, 1));
     let running = net.entries.iter();
     let mut running = running.filter(|(address, _)| **address != entry(6));
-    assert!(running.all(|(_, held)| held.status().lost_zones == 0));
+    assert!(running.all(|(_, registry)| registry.status().lost_zones == 0));
 }
 
 /// Returns two regions of two zones with four entries and four agents each;
@@ -207,8 +209,8 @@
         revision,
         body: Bytes::from(revision.to_string()),
     };
-    let held = net.entries.get_mut(&entry(number)).unwrap();
-    held.put(now, service);
+    let registry = net.entries.get_mut(&entry(number)).unwrap();
+    registry.put(now, service);
 }
 
 /// A partition between regions is expected to be shorter than the retention
@@ -229,18 +231,23 @@
     net.add_agent(3, 0x0201, 2);
     net.add_agent(4, 0x0100, 2);
     net.run(HOUR);
-    let count = |held: &member::Registry| held.service(&shared_service()).unwrap().targets.len();
-    assert!(net.entries.values().all(|held| count(held) == 8));
-    assert!(net.entries.values().all(|held| held.entries().count() == 8));
+    let count =
+        |registry: &member::Registry| registry.service(&shared_service()).unwrap().targets.len();
+    assert!(net.entries.values().all(|registry| count(registry) == 8));
+    assert!(
+        net.entries
+            .values()
+            .all(|registry| registry.entries().count() == 8)
+    );
     let revisions = |net: &Net| -> Vec<u64> {
         let views = net
             .entries
             .values()
-            .map(|held| held.service(&shared_service()));
+            .map(|registry| registry.service(&shared_service()));
         views
             .flatten()
             .filter_map(|view| view.config.as_ref())
-            .map(|held| held.revision)
+            .map(|config| config.revision)
             .collect()
     };
     assert_eq!(revisions(&net), [6, 7, 6, 7, 6, 7, 6, 7]);
