--- a/coordination/member/src/announcer.rs
+++ b/coordination/member/src/announcer.rs
@@ -101,7 +101,7 @@
         view.merge_target(target.clone()).ok();
         Self {
             watchers: Watchers::new(settings.clone(), seeds, now, &mut rng),
-            link: Link::new(settings.send_rate, now),
+            link: Link::new(settings.byte_rate, now),
             settings,
             target,
             rng,
--- a/coordination/member/src/announcer/watchers.rs
+++ b/coordination/member/src/announcer/watchers.rs
@@ -29,6 +29,7 @@
     contacts: Vec<SocketAddr>,
     current: Vec<Watcher>,
     fallbacks: Vec<SocketAddr>,
+    /// Entries that did not answer, and when each was found unresponsive.
     unresponsive: BTreeMap<SocketAddr, Duration>,
     suggestion: Option<Suggestion>,
     settings: Settings,
@@ -38,8 +39,11 @@
 #[derive(Debug)]
 struct Watcher {
     address: SocketAddr,
+    /// Time of the last acknowledgement, or at which the entry became a watcher.
     last_answer: Duration,
+    /// Number of the last heartbeat that it has acknowledged.
     sequence: Sequence,
+    /// View digest in its last acknowledgement.
     digest: Option<Digest>,
 }
 
@@ -57,7 +61,7 @@
     pub fn new(settings: Settings, seeds: Vec<SocketAddr>, now: Duration, rng: &mut Rng) -> Self {
         let mut first = seeds.clone();
         rng.shuffle(&mut first);
-        first.truncate(settings.watchers);
+        first.truncate(settings.watcher_count);
         let mut watchers = Self {
             seeds,
             contacts: Vec::new(),
@@ -84,7 +88,7 @@
         if self.current.is_empty() {
             let mut first = self.seeds.clone();
             rng.shuffle(&mut first);
-            first.truncate(self.settings.watchers);
+            first.truncate(self.settings.watcher_count);
             self.set_watchers(now, &first);
         }
         !self.current.iter().any(|held| held.digest.is_some())
@@ -155,10 +159,12 @@
         self.fallbacks = others;
     }
 
-    /// Processes an acknowledgement. Where it changes the watchers, returns the
-    /// new and the former ones, which all need a heartbeat.
+    /// Processes an acknowledgement. The watchers change to the suggested ones
+    /// when two different entries in succession suggest the same, or when some
+    /// watchers are missing or unresponsive. Returns the new and the former
+    /// watchers where they change, since all of them need a heartbeat.
     pub fn acknowledge(&mut self, now: Duration, from: SocketAddr, ack: Ack) -> Vec<SocketAddr> {
-        let count = self.settings.watchers;
+        let count = self.settings.watcher_count;
         self.unresponsive.remove(&from);
         if let Some(held) = self.current.iter_mut().find(|held| held.address == from) {
             held.last_answer = now;
@@ -193,7 +199,8 @@
         self.set_watchers(now, &wanted)
     }
 
-    /// Returns the suggested watchers without the unresponsive ones.
+    /// Returns the suggested watchers without the unresponsive ones; the entry
+    /// that suggested them is added where they are too few.
     fn wanted(
         &self,
         from: SocketAddr,
--- a/coordination/member/src/directory.rs
+++ b/coordination/member/src/directory.rs
@@ -54,8 +54,11 @@
     zones: Zones,
     record_index: BTreeMap<Key, IndexedRecord>,
     tree: Tree,
+    /// Services whose verdicts are to be updated.
     dirty_services: BTreeSet<ServiceAddress>,
+    /// Services whose views changed since [`Self::take_changes`].
     changed_services: BTreeSet<ServiceAddress>,
+    /// Recent changes, the last one first.
     recent: VecDeque<Change>,
     answer_windows: BTreeMap<SubjectId, AnswerWindow>,
     /// Start of the silence, or time of the departure, of a target or entry.
--- a/coordination/member/src/fragment.rs
+++ b/coordination/member/src/fragment.rs
@@ -91,8 +91,8 @@
     let chunks = service.body.chunks(MAX_INLINE_BYTES);
     let count = u16::try_from(chunks.len()).unwrap_or(u16::MAX);
     let is_held = |index| offer == fetch.offer && fetch.held.contains(&index);
-    let parts = (0..).zip(chunks).filter(|(index, _)| !is_held(*index));
-    parts
+    let missing = (0..).zip(chunks).filter(|(index, _)| !is_held(*index));
+    missing
         .map(|(index, chunk)| Fragment {
             offer,
             index,
@@ -112,7 +112,7 @@
 struct Assembly {
     revision: Revision,
     from: SocketAddr,
-    parts: BTreeMap<u16, Bytes>,
+    fragments: BTreeMap<u16, Bytes>,
     last_progress: Duration,
     retries: u32,
 }
@@ -124,7 +124,7 @@
             to: self.from,
             fetch: Fetch {
                 offer: Offer { address, revision },
-                held: self.parts.keys().copied().collect(),
+                held: self.fragments.keys().copied().collect(),
             },
         }
     }
@@ -145,7 +145,7 @@
         let assembly = Assembly {
             revision,
             from,
-            parts: BTreeMap::new(),
+            fragments: BTreeMap::new(),
             last_progress: now,
             retries: 0,
         };
@@ -167,21 +167,21 @@
             wanted if wanted > revision => return None,
             wanted if wanted < revision => {
                 assembly.revision = revision;
-                assembly.parts.clear();
+                assembly.fragments.clear();
             }
             _ => {}
         }
         assembly.last_progress = now;
         assembly.retries = 0;
-        assembly.parts.insert(fragment.index, fragment.bytes);
-        if assembly.parts.len() < count {
+        assembly.fragments.insert(fragment.index, fragment.bytes);
+        if assembly.fragments.len() < count {
             return None;
         }
         let assembly = self.assemblies.remove(&address)?;
         Some(Service {
             address,
             revision,
-            body: assembly.parts.into_values().flatten().collect(),
+            body: assembly.fragments.into_values().flatten().collect(),
         })
     }
 
--- a/coordination/member/src/message.rs
+++ b/coordination/member/src/message.rs
@@ -181,7 +181,8 @@
     ///
     /// # Errors
     ///
-    /// [`Error::TooLarge`] where it exceeds [`MAX_MESSAGE_BYTES`].
+    /// [`Error::TooLarge`] where it exceeds [`MAX_MESSAGE_BYTES`];
+    /// [`Error::Malformed`] where it cannot be encoded.
     pub fn encode(&self) -> Result<Bytes, Error> {
         let bytes = postcard::to_stdvec(self).map_err(|_| Error::Malformed)?;
         match bytes.len() {
--- a/coordination/member/src/registry.rs
+++ b/coordination/member/src/registry.rs
@@ -114,6 +114,8 @@
     generation: Option<u64>,
     candidates: Vec<Candidate>,
     peers: Peers,
+    /// Zones of the own region with entries that have not left; entries that
+    /// are silent count too.
     zones: BTreeSet<ZoneId>,
     chosen_watchers: BTreeMap<SubjectId, Vec<SocketAddr>>,
 }
@@ -145,7 +147,7 @@
             directory: Directory::default(),
             watches: Watches::default(),
             rumors: Rumors::default(),
-            link: Link::new(settings.send_rate, now),
+            link: Link::new(settings.byte_rate, now),
             assembler: Assembler::default(),
             live_set: LiveSet::default(),
             own_heartbeat: OwnHeartbeat {
@@ -174,11 +176,11 @@
         registry
     }
 
-    /// Sets the seeds to learn from; further entries are learned through them.
-    pub fn join(&mut self, now: Duration, peers: &[SocketAddr]) {
-        let others = peers.iter().copied();
+    /// Sets the entries to learn from; further entries are learned through them.
+    pub fn join(&mut self, now: Duration, seeds: &[SocketAddr]) {
+        let others = seeds.iter().copied();
         self.seeds = others
-            .filter(|peer| *peer != self.identity.address)
+            .filter(|seed| *seed != self.identity.address)
             .collect();
         self.next_round = now;
         self.next_compare = now;
@@ -188,7 +190,7 @@
     /// are done.
     pub fn leave(&mut self, _now: Duration, actions: &mut Vec<Action>) {
         self.publish(&self.own_record(true));
-        for _ in 0..self.settings.watchers {
+        for _ in 0..self.settings.watcher_count {
             self.gossip(actions);
         }
     }
--- a/coordination/member/src/registry/audit.rs
+++ b/coordination/member/src/registry/audit.rs
@@ -77,13 +77,18 @@
     fn is_outscored(&self, subject: SubjectId) -> bool {
         let own = score(subject, self.key);
         let mut rivals = self.live_set.candidates.iter();
-        self.live_set.zones.len() >= self.settings.watchers
+        self.live_set.zones.len() >= self.settings.watcher_count
             && rivals
                 .any(|rival| rival.zone == self.identity.zone && score(subject, rival.key) > own)
     }
 
     fn local_watchers(&self, subject: SubjectId, process: &Process) -> Vec<SocketAddr> {
         let candidates = &self.live_set.candidates;
-        rendezvous::local(subject, process.zone, candidates, self.settings.watchers)
+        rendezvous::local(
+            subject,
+            process.zone,
+            candidates,
+            self.settings.watcher_count,
+        )
     }
 }
--- a/coordination/member/src/registry/failure.rs
+++ b/coordination/member/src/registry/failure.rs
@@ -153,8 +153,8 @@
         }
     }
 
-    /// Returns whether this entry is among the bounded number of observers of a
-    /// zone in its region.
+    /// Returns whether this entry is among the bounded number of entries of its
+    /// own region that observe a zone.
     fn observes(&self, zone: ZoneId) -> bool {
         let own = score(Key::from(zone), self.key);
         let rivals = self.live_set.candidates.iter().filter(|other| {
--- a/coordination/member/src/registry/gossip.rs
+++ b/coordination/member/src/registry/gossip.rs
@@ -35,7 +35,7 @@
 
     /// Pushes new records to a few entries, within the budget.
     pub(super) fn gossip(&mut self, actions: &mut Vec<Action>) {
-        let keys = self.rumors.order();
+        let keys = self.rumors.keys_by_urgency();
         if keys.is_empty() {
             return;
         }
--- a/coordination/member/src/registry/heartbeat.rs
+++ b/coordination/member/src/registry/heartbeat.rs
@@ -175,7 +175,7 @@
         if self.live_set.chosen_watchers.len() >= MAX_CACHED_CHOICES {
             self.live_set.chosen_watchers.clear();
         }
-        let count = self.settings.watchers + SPARE_WATCHERS;
+        let count = self.settings.watcher_count + SPARE_WATCHERS;
         let candidates = &self.live_set.candidates;
         let chosen_watchers = &mut self.live_set.chosen_watchers;
         let watchers = chosen_watchers
@@ -232,7 +232,7 @@
         self.own_heartbeat.next = now + self.settings.heartbeat_interval;
         let candidates = &self.live_set.candidates;
         let zone = self.identity.zone;
-        let watchers = rendezvous::local(self.key, zone, candidates, self.settings.watchers);
+        let watchers = rendezvous::local(self.key, zone, candidates, self.settings.watcher_count);
         let observers =
             rendezvous::remote(self.key, zone, candidates, REMOTE_REGIONS, REMOTE_OBSERVERS);
         let mut receivers = self.own_heartbeat.watchers.clone();
--- a/coordination/member/src/rumors.rs
+++ b/coordination/member/src/rumors.rs
@@ -65,7 +65,7 @@
 
     /// Returns the keys in the order in which they are to be sent.
     #[must_use]
-    pub fn order(&self) -> Vec<Key> {
+    pub fn keys_by_urgency(&self) -> Vec<Key> {
         let mut keys: Vec<Key> = self.rumors.keys().copied().collect();
         keys.sort_by_key(|key| {
             let rumor = &self.rumors[key];
--- a/coordination/member/src/settings.rs
+++ b/coordination/member/src/settings.rs
@@ -7,7 +7,7 @@
     /// Time between two heartbeats of a process.
     pub heartbeat_interval: Duration,
     /// Number of entries in its region that watch one process.
-    pub watchers: usize,
+    pub watcher_count: usize,
     /// Silence after which a watcher probes a process.
     pub probe_after: Duration,
     /// Silence after which a process counts as silent.
@@ -24,7 +24,7 @@
     /// Time between two comparisons of digests with a peer.
     pub compare_interval: Duration,
     /// Budget of bytes per second in each direction.
-    pub send_rate: u32,
+    pub byte_rate: u32,
     /// Time for which departed and silent processes are kept. Longer than
     /// partitions between regions are expected to last.
     pub retention: Duration,
@@ -34,7 +34,7 @@
     fn default() -> Self {
         Self {
             heartbeat_interval: Duration::from_secs(1),
-            watchers: 3,
+            watcher_count: 3,
             probe_after: Duration::from_millis(1_500),
             silence_timeout: Duration::from_millis(2_500),
             suspicion_delay: Duration::from_secs(1),
@@ -42,7 +42,7 @@
             push_interval: Duration::from_millis(50),
             fanout: 3,
             compare_interval: Duration::from_secs(1),
-            send_rate: 12_000,
+            byte_rate: 12_000,
             retention: Duration::from_hours(3),
         }
     }
--- a/coordination/member/src/watches.rs
+++ b/coordination/member/src/watches.rs
@@ -135,20 +135,20 @@
     }
 }
 
-/// Returns whether so many processes are silent that the watcher in zone `own`
+/// Returns whether so many processes are silent that the watcher in `own_zone`
 /// must doubt itself: most of those outside the zone with the most silent ones,
 /// or most of each of two other zones, or most of all where only one zone is
 /// watched. Counts only its own region, since partitions between regions do
 /// happen.
 #[must_use]
-pub fn is_doubtful(own: ZoneId, tallies: &BTreeMap<ZoneId, Tally>) -> bool {
+pub fn is_doubtful(own_zone: ZoneId, tallies: &BTreeMap<ZoneId, Tally>) -> bool {
     let near = tallies
         .iter()
-        .filter(|(zone, _)| region(**zone) == region(own));
+        .filter(|(zone, _)| region(**zone) == region(own_zone));
     let near: BTreeMap<ZoneId, Tally> = near.map(|(zone, tally)| (*zone, *tally)).collect();
     let lost = near
         .iter()
-        .filter(|(zone, tally)| **zone != own && tally.silent * 2 > tally.watched);
+        .filter(|(zone, tally)| **zone != own_zone && tally.silent * 2 > tally.watched);
     let worst = near.iter().max_by_key(|(_, tally)| tally.silent);
     let worst = worst.map(|(zone, _)| *zone);
     let rest = near.iter().filter(|(zone, _)| Some(**zone) != worst);
--- a/coordination/member/tests/cold.rs
+++ b/coordination/member/tests/cold.rs
@@ -80,7 +80,7 @@
         (0..SERVICES).all(|service| has_service(net, 5, service))
     });
     let seconds = net.now.saturating_sub(start).as_secs() + 4;
-    let rate = u64::from(net.settings.send_rate);
+    let rate = u64::from(net.settings.byte_rate);
     let status = net.entries[&entry(5)].status();
     assert!(status.received_bytes <= rate * 2 * seconds);
     net.run(Duration::from_secs(10));
@@ -107,7 +107,7 @@
 fn replies_to_many_peers_at_once_stay_within_the_budget() {
     let mut net = region(1, 1, 1);
     let now = net.now;
-    let rate = u64::from(net.settings.send_rate);
+    let rate = u64::from(net.settings.byte_rate);
     let registry = net.entries.get_mut(&entry(1)).unwrap();
     fill(registry, now);
     let before = registry.status().sent_bytes;
--- a/coordination/member/tests/zones.rs
+++ b/coordination/member/tests/zones.rs
@@ -50,7 +50,7 @@
     let before = sent_bytes(net);
     net.run(time);
     let seconds = time.as_secs() + 3;
-    let limit = u64::from(net.settings.send_rate) * seconds;
+    let limit = u64::from(net.settings.byte_rate) * seconds;
     let after = sent_bytes(net);
     assert!(
         before
