--- a/coordination/member/src/announcer.rs
+++ b/coordination/member/src/announcer.rs
@@ -119,7 +119,7 @@
     }
 
     /// Adds entries that may become watchers. The next heartbeat is due at once
-    /// where no watcher has answered yet.
+    /// if no watcher has answered yet.
     pub fn know(&mut self, now: Duration, entries: &[SocketAddr]) {
         if self.watchers.add_seeds(now, entries, &mut self.rng) {
             self.next_heartbeat = now;
--- a/coordination/member/src/announcer/watchers.rs
+++ b/coordination/member/src/announcer/watchers.rs
@@ -132,7 +132,7 @@
         2 * answered.count() > self.current.len()
     }
 
-    /// Marks the watchers that do not answer as unresponsive. Where no watcher
+    /// Marks the watchers that do not answer as unresponsive. If no watcher
     /// answers, chooses other entries that receive heartbeats too.
     pub fn check_answers(&mut self, now: Duration, rng: &mut Rng) {
         let silence = self.settings.silence_timeout;
@@ -162,7 +162,7 @@
     /// Processes an acknowledgement. The watchers change to the suggested ones
     /// when two different entries in succession suggest the same, or when some
     /// watchers are missing or unresponsive. Returns the new and the former
-    /// watchers where they change, since all of them need a heartbeat.
+    /// watchers if they change, since all of them need a heartbeat.
     pub fn acknowledge(&mut self, now: Duration, from: SocketAddr, ack: Ack) -> Vec<SocketAddr> {
         let count = self.settings.watcher_count;
         self.unresponsive.remove(&from);
@@ -200,7 +200,7 @@
     }
 
     /// Returns the suggested watchers without the unresponsive ones; the entry
-    /// that suggested them is added where they are too few.
+    /// that suggested them is added if they are too few.
     fn wanted(
         &self,
         from: SocketAddr,
--- a/coordination/member/src/directory.rs
+++ b/coordination/member/src/directory.rs
@@ -122,7 +122,7 @@
     observer: SocketAddr,
 }
 
-/// Change of a target, or of the configuration where `target` is `None`.
+/// Change of a target, or of the configuration if `target` is `None`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Change {
     service: ServiceAddress,
@@ -218,7 +218,7 @@
         })))
     }
 
-    /// Returns the record under a key, or its removal where it was removed.
+    /// Returns the record under a key, or its removal if it was removed.
     #[must_use]
     pub fn record(&self, key: Key) -> Option<Record> {
         let Some(indexed) = self.record_index.get(&key) else {
--- a/coordination/member/src/fragment.rs
+++ b/coordination/member/src/fragment.rs
@@ -132,7 +132,7 @@
 
 impl Assembler {
     /// Starts to fetch an offered configuration. Returns the request, or `None`
-    /// where the same or a newer revision is being fetched, or too many
+    /// if the same or a newer revision is being fetched, or too many
     /// services are.
     pub fn start(&mut self, now: Duration, from: SocketAddr, offer: Offer) -> Option<Request> {
         let Offer { address, revision } = offer;
--- a/coordination/member/src/message.rs
+++ b/coordination/member/src/message.rs
@@ -74,7 +74,7 @@
     pub sequence: Sequence,
     /// UDP addresses of the entries that watch the process.
     pub watchers: Vec<SocketAddr>,
-    /// True where the receiver is not a watcher, but observes whether the zone
+    /// True if the receiver is not a watcher, but observes whether the zone
     /// of the process is reachable.
     pub observe: bool,
     /// Digest of the view that an agent has of its service.
@@ -112,7 +112,7 @@
 pub struct Members {
     /// Address of the service.
     pub address: ServiceAddress,
-    /// Configuration of the service, where this message carries it.
+    /// Configuration of the service, if this message carries it.
     pub config: Option<Service>,
     /// Some of its targets.
     pub members: Vec<Member>,
@@ -132,7 +132,7 @@
 /// Records of the sender.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Push {
-    /// True where the receiver is to gossip the records further.
+    /// True if the receiver is to gossip the records further.
     pub hot: bool,
     /// The records.
     pub records: Vec<Record>,
@@ -181,8 +181,8 @@
     ///
     /// # Errors
     ///
-    /// [`Error::TooLarge`] where it exceeds [`MAX_MESSAGE_BYTES`];
-    /// [`Error::Malformed`] where it cannot be encoded.
+    /// [`Error::TooLarge`] if it exceeds [`MAX_MESSAGE_BYTES`];
+    /// [`Error::Malformed`] if it cannot be encoded.
     pub fn encode(&self) -> Result<Bytes, Error> {
         let bytes = postcard::to_stdvec(self).map_err(|_| Error::Malformed)?;
         match bytes.len() {
--- a/coordination/member/src/peers.rs
+++ b/coordination/member/src/peers.rs
@@ -41,7 +41,7 @@
     }
 
     /// Returns up to `count` different peers: one outside the zone, the others
-    /// within it where there are enough.
+    /// within it if there are enough.
     #[must_use]
     pub fn choose(&self, count: usize, rng: &mut Rng) -> Vec<SocketAddr> {
         let mut chosen: Vec<SocketAddr> = self.choose_outside_zone(rng).into_iter().collect();
--- a/coordination/member/src/record.rs
+++ b/coordination/member/src/record.rs
@@ -55,7 +55,7 @@
     pub observer: SocketAddr,
     /// Number of the last heartbeat that the watcher knows of.
     pub sequence: Sequence,
-    /// True where the watcher suspects the process; false where it hears it.
+    /// True if the watcher suspects the process; false if it hears it.
     pub silent: bool,
     /// Watchers that the process named in that heartbeat.
     pub watchers: Vec<SocketAddr>,
--- a/coordination/member/src/registry.rs
+++ b/coordination/member/src/registry.rs
@@ -92,7 +92,7 @@
     last_audited: Key,
     /// Keys of records requested in this comparison interval.
     requested_keys: BTreeSet<Key>,
-    /// True where the last comparison found records missing here.
+    /// True if the last comparison found records missing here.
     is_behind: bool,
     /// Peers that were asked for a service.
     asked_peers: BTreeSet<SocketAddr>,
--- a/coordination/member/src/registry/failure.rs
+++ b/coordination/member/src/registry/failure.rs
@@ -86,7 +86,7 @@
         }
     }
 
-    /// States that this entry hears a process, where others suspect it, this
+    /// States that this entry hears a process, if others suspect it, this
     /// entry suspected it before, or the latest statement names outdated
     /// watchers.
     pub(super) fn state_heard(&mut self, subject: SubjectId) {
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Reports how many processes of each zone are silent, where the zone may
+    /// Reports how many processes of each zone are silent, if the zone may
     /// be lost and this entry is among its observers.
     fn report_zones(&mut self, now: Duration, tallies: &BTreeMap<ZoneId, Tally>) {
         for (zone, tally) in tallies {
--- a/coordination/member/src/registry/heartbeat.rs
+++ b/coordination/member/src/registry/heartbeat.rs
@@ -184,7 +184,7 @@
         watchers.clone()
     }
 
-    /// Sends an agent what its view lacks: the parts that differ where it sent
+    /// Sends an agent what its view lacks: the parts that differ if it sent
     /// their digests, or else the recent changes.
     fn send_view(
         &mut self,
--- a/coordination/member/src/rendezvous.rs
+++ b/coordination/member/src/rendezvous.rs
@@ -28,7 +28,7 @@
 
 /// Returns the best entries for a process in its own region, best first. The
 /// best entry of each zone comes before the others. Falls back to all regions
-/// where the region has no other entry.
+/// if the region has no other entry.
 #[must_use]
 pub fn local(
     subject: SubjectId,
@@ -106,7 +106,7 @@
 }
 
 impl Best {
-    /// Inserts the candidate where it is among the `limit` best.
+    /// Inserts the candidate if it is among the `limit` best.
     fn offer(&mut self, subject: SubjectId, candidate: &Candidate, limit: usize) {
         let score = score(subject, candidate.key);
         let full = self.candidates.len() >= limit;
@@ -125,7 +125,7 @@
         self.candidates.truncate(limit);
     }
 
-    /// Inserts the candidate where it is the first of its zone, or in place of
+    /// Inserts the candidate if it is the first of its zone, or in place of
     /// the one of its zone that scores lower.
     fn offer_per_zone(
         &mut self,
--- a/coordination/member/src/rumors.rs
+++ b/coordination/member/src/rumors.rs
@@ -9,7 +9,7 @@
 /// then delivers it to the remaining entries.
 const BACKLOG_RECORDS: usize = 256;
 
-/// Number of times that a record is sent where there is a backlog.
+/// Number of times that a record is sent if there is a backlog.
 const BACKLOG_SENDS: u32 = 3;
 
 /// Number of times that a record is sent beyond the logarithm of the number of
--- a/coordination/member/src/statements.rs
+++ b/coordination/member/src/statements.rs
@@ -23,7 +23,7 @@
     ///
     /// # Errors
     ///
-    /// [`Refusal::Stale`], or [`Refusal::NotWatcher`] where its observer is not
+    /// [`Refusal::Stale`], or [`Refusal::NotWatcher`] if its observer is not
     /// a watcher of the process.
     pub fn merge(&mut self, new: Statement) -> Result<Vec<Statement>, Refusal> {
         if !new.watchers.contains(&new.observer) {
--- a/coordination/member/src/view.rs
+++ b/coordination/member/src/view.rs
@@ -45,7 +45,7 @@
     /// Its watchers receive its heartbeats.
     Up,
     /// Its watchers do not receive its heartbeats, but too many targets of the
-    /// service are silent for all of them to have failed. For use where no
+    /// service are silent for all of them to have failed. For use if no
     /// other target is up.
     Doubted,
     /// Its watchers do not receive its heartbeats.
@@ -140,7 +140,7 @@
     /// Updates the health of all targets, given which are silent. Returns the
     /// targets whose health changed.
     ///
-    /// At most half of the ready targets count as down for silence. Where more
+    /// At most half of the ready targets count as down for silence. If more
     /// are silent, the observers are more likely at fault than the targets, and
     /// all silent ones become [`Health::Doubted`].
     pub(crate) fn update_health(&mut self, is_silent: impl Fn(&Target) -> bool) -> Vec<TargetId> {
--- a/coordination/member/src/watches.rs
+++ b/coordination/member/src/watches.rs
@@ -15,7 +15,7 @@
 const MIN_WATCHED: usize = 4;
 
 /// Number of other zones of the region that are not expected to fail at once;
-/// the watcher doubts itself where as many are mostly silent.
+/// the watcher doubts itself if as many are mostly silent.
 const MIN_LOST_ZONES: usize = 2;
 
 /// Watch on one process.
@@ -35,7 +35,7 @@
     pub last_probed: Duration,
     /// Watchers that the process named.
     pub watchers: Vec<SocketAddr>,
-    /// False where the process does not name this entry as a watcher, and is
+    /// False if the process does not name this entry as a watcher, and is
     /// only observed to tell whether its zone is reachable.
     pub is_watcher: bool,
 }
@@ -137,7 +137,7 @@
 
 /// Returns whether so many processes are silent that the watcher in `own_zone`
 /// must doubt itself: most of those outside the zone with the most silent ones,
-/// or most of each of two other zones, or most of all where only one zone is
+/// or most of each of two other zones, or most of all if only one zone is
 /// watched. Counts only its own region, since partitions between regions do
 /// happen.
 #[must_use]
--- a/coordination/member/src/zones.rs
+++ b/coordination/member/src/zones.rs
@@ -62,7 +62,7 @@
     ///
     /// # Errors
     ///
-    /// [`Refusal::Stale`], or [`Refusal::NotWatcher`] where enough observers of
+    /// [`Refusal::Stale`], or [`Refusal::NotWatcher`] if enough observers of
     /// higher rank have reported on the zone.
     pub fn merge(&mut self, new: Report) -> Result<Vec<Report>, Refusal> {
         let zone = new.zone;
--- a/coordination/member/tests/failure.rs
+++ b/coordination/member/tests/failure.rs
@@ -147,7 +147,7 @@
     net.run_checked(MINUTE, assert_no_target_is_silent);
 }
 
-/// Where most targets of a service are silent, the observers are more likely at
+/// If most targets of a service are silent, the observers are more likely at
 /// fault, and callers must still find targets.
 #[test]
 fn never_more_than_half_of_a_service_is_down() {
--- a/coordination/member/tests/net/mod.rs
+++ b/coordination/member/tests/net/mod.rs
@@ -37,7 +37,7 @@
     sent: u64,
 }
 
-/// Predicate that is true where a message from the first address to the second
+/// Predicate that is true if a message from the first address to the second
 /// is lost.
 pub type Cut = Box<dyn Fn(SocketAddr, SocketAddr) -> bool>;
 
