--- a/coordination/member/src/directory.rs
+++ b/coordination/member/src/directory.rs
@@ -54,14 +54,19 @@
     zones: Zones,
     record_index: BTreeMap<Key, IndexedRecord>,
     tree: Tree,
+    /// Services whose verdicts are to be updated.
     dirty_services: BTreeSet<ServiceAddress>,
+    /// Services whose views changed since [`Self::take_changes`].
     changed_services: BTreeSet<ServiceAddress>,
+    /// Recent changes, the last one first.
     recent: VecDeque<Change>,
     answer_windows: BTreeMap<SubjectId, AnswerWindow>,
+    /// Start of the silence, or time of the departure, of a target or entry.
     gone_since: BTreeMap<Key, Duration>,
     tombstones: BTreeMap<Key, Tombstone>,
     entries_dirty: bool,
     generation: u64,
+    /// Time of the event that is being processed.
     now: Duration,
 }
 
@@ -117,7 +122,7 @@
     observer: SocketAddr,
 }
 
-/// Change of a target, or of the configuration where `target` is `None`.
+/// Change of a target, or of the configuration if `target` is `None`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Change {
     service: ServiceAddress,
@@ -174,7 +179,7 @@
             Some(held) if held.incarnation > entry.incarnation => {
                 return Err(Refusal::OldIncarnation);
             }
-            Some(held) if held.stamp() >= entry.stamp() => return Err(Refusal::Stale),
+            Some(held) if held.position() >= entry.position() => return Err(Refusal::Stale),
             Some(held) if held.incarnation < entry.incarnation => self.forget_statements(key),
             _ => {}
         }
@@ -213,7 +218,7 @@
         })))
     }
 
-    /// Returns the record under a key, or its removal where it was removed.
+    /// Returns the record under a key, or its removal if it was removed.
     #[must_use]
     pub fn record(&self, key: Key) -> Option<Record> {
         let Some(indexed) = self.record_index.get(&key) else {
@@ -344,7 +349,7 @@
         })
     }
 
-    /// Returns the targets of a service that changed recently, and `None` for
+    /// Returns the targets of a service that changed recently; `None` stands for
     /// its configuration.
     pub fn recent(&self, service: ServiceAddress) -> BTreeSet<Option<TargetId>> {
         let changes = self.recent.iter();
--- a/coordination/member/src/registry.rs
+++ b/coordination/member/src/registry.rs
@@ -86,13 +86,13 @@
     live_set: LiveSet,
     own_heartbeat: OwnHeartbeat,
     seeds: Vec<SocketAddr>,
-    needs: BTreeMap<ServiceAddress, Need>,
+    service_requests: BTreeMap<ServiceAddress, ServiceRequest>,
     last_reports: BTreeMap<ZoneId, Duration>,
     /// Key of the last record that the audit checked.
     last_audited: Key,
     /// Keys of records requested in this comparison interval.
     requested_keys: BTreeSet<Key>,
-    /// True where the last comparison found records missing here.
+    /// True if the last comparison found records missing here.
     is_behind: bool,
     /// Peers that were asked for a service.
     asked_peers: BTreeSet<SocketAddr>,
@@ -114,6 +114,8 @@
     generation: Option<u64>,
     candidates: Vec<Candidate>,
     peers: Peers,
+    /// Zones of the own region with entries that have not left; entries that
+    /// are silent count too.
     zones: BTreeSet<ZoneId>,
     chosen_watchers: BTreeMap<SubjectId, Vec<SocketAddr>>,
 }
@@ -124,12 +126,13 @@
     sequence: Sequence,
     next: Duration,
     watchers: Vec<SocketAddr>,
+    /// Entries in other regions that observe the zone of this one.
     observers: Vec<SocketAddr>,
 }
 
-/// Request to peers for a service.
+/// Pending request to peers for a service.
 #[derive(Debug)]
-struct Need {
+struct ServiceRequest {
     tries: u32,
     next: Duration,
 }
@@ -144,7 +147,7 @@
             directory: Directory::default(),
             watches: Watches::default(),
             rumors: Rumors::default(),
-            link: Link::new(settings.send_rate, now),
+            link: Link::new(settings.byte_rate, now),
             assembler: Assembler::default(),
             live_set: LiveSet::default(),
             own_heartbeat: OwnHeartbeat {
@@ -152,7 +155,7 @@
                 ..OwnHeartbeat::default()
             },
             seeds: Vec::new(),
-            needs: BTreeMap::new(),
+            service_requests: BTreeMap::new(),
             last_reports: BTreeMap::new(),
             last_audited: 0,
             requested_keys: BTreeSet::new(),
@@ -173,11 +176,11 @@
         registry
     }
 
-    /// Sets the seeds to learn from; further entries are learned through them.
-    pub fn join(&mut self, now: Duration, peers: &[SocketAddr]) {
-        let others = peers.iter().copied();
+    /// Sets the entries to learn from; further entries are learned through them.
+    pub fn join(&mut self, now: Duration, seeds: &[SocketAddr]) {
+        let others = seeds.iter().copied();
         self.seeds = others
-            .filter(|peer| *peer != self.identity.address)
+            .filter(|seed| *seed != self.identity.address)
             .collect();
         self.next_round = now;
         self.next_compare = now;
@@ -187,7 +190,7 @@
     /// are done.
     pub fn leave(&mut self, _now: Duration, actions: &mut Vec<Action>) {
         self.publish(&self.own_record(true));
-        for _ in 0..self.settings.watchers {
+        for _ in 0..self.settings.watcher_count {
             self.gossip(actions);
         }
     }
@@ -204,13 +207,15 @@
         let is_held = self
             .service(&address)
             .is_some_and(|view| view.config.is_some());
-        if is_held || self.needs.len() >= anti_entropy::MAX_NEEDS {
+        if is_held || self.service_requests.len() >= anti_entropy::MAX_SERVICE_REQUESTS {
             return;
         }
-        self.needs.entry(address).or_insert(Need {
-            tries: 0,
-            next: now,
-        });
+        self.service_requests
+            .entry(address)
+            .or_insert(ServiceRequest {
+                tries: 0,
+                next: now,
+            });
         self.next_round = self.next_round.min(now);
     }
 
@@ -267,7 +272,7 @@
         self.fetch_overdue(now, actions);
         self.reset_requested(now);
         self.compare_if_due(now, actions);
-        self.request_needed_services(now, actions);
+        self.send_service_requests(now, actions);
         if now >= self.next_expiry {
             self.next_expiry = now + EXPIRY_INTERVAL;
             self.expire(now);
@@ -357,12 +362,12 @@
         }
     }
 
-    fn own_record(&self, left: bool) -> Record {
+    fn own_record(&self, has_left: bool) -> Record {
         Record::Entry(Entry {
             address: self.identity.address,
             zone: self.identity.zone,
             incarnation: self.identity.incarnation,
-            left,
+            left: has_left,
         })
     }
 
--- a/coordination/member/src/registry/failure.rs
+++ b/coordination/member/src/registry/failure.rs
@@ -86,7 +86,7 @@
         }
     }
 
-    /// States that this entry hears a process, where others suspect it, this
+    /// States that this entry hears a process, if others suspect it, this
     /// entry suspected it before, or the latest statement names outdated
     /// watchers.
     pub(super) fn state_heard(&mut self, subject: SubjectId) {
@@ -111,16 +111,16 @@
         }
     }
 
-    /// Reports how many processes of each zone are silent, where the zone may
+    /// Reports how many processes of each zone are silent, if the zone may
     /// be lost and this entry is among its observers.
     fn report_zones(&mut self, now: Duration, tallies: &BTreeMap<ZoneId, Tally>) {
         for (zone, tally) in tallies {
-            let is_open =
+            let may_be_lost =
                 tally.silent * 2 >= tally.watched || self.directory.zones().has_silence(*zone);
             let last = self.last_reports.get(zone);
             let is_due = last.is_none_or(|last| now >= *last + REPORT_INTERVAL);
-            let is_asked = *zone != self.identity.zone && is_open && is_due;
-            if !is_asked || !self.is_report_outdated(*zone, *tally) || !self.observes(*zone) {
+            let should_report = *zone != self.identity.zone && may_be_lost && is_due;
+            if !should_report || !self.is_report_outdated(*zone, *tally) || !self.observes(*zone) {
                 continue;
             }
             self.last_reports.insert(*zone, now);
@@ -153,8 +153,8 @@
         }
     }
 
-    /// Returns whether this entry is among the bounded number of observers of a
-    /// zone in its region.
+    /// Returns whether this entry is among the bounded number of entries of its
+    /// own region that observe a zone.
     fn observes(&self, zone: ZoneId) -> bool {
         let own = score(Key::from(zone), self.key);
         let rivals = self.live_set.candidates.iter().filter(|other| {
--- a/coordination/member/src/registry/heartbeat.rs
+++ b/coordination/member/src/registry/heartbeat.rs
@@ -155,12 +155,13 @@
         self.link.send(from, Message::Members(members), actions);
     }
 
-    /// Renews the watch on a process that names this entry as its watcher or
-    /// observer, or whose zone is lost. Ends the watch otherwise.
-    fn update_watch(&mut self, sender: &Sender, watch: Watch, observe: bool) {
+    /// Starts or renews the watch on a process that names this entry as its
+    /// watcher or observer, and renews it while the zone of the process counts
+    /// as lost. Ends the watch otherwise, and when the process departs.
+    fn update_watch(&mut self, sender: &Sender, watch: Watch, is_observer: bool) {
         let is_watched_in_lost_zone =
             self.watches.get(sender.id).is_some() && self.directory.zones().is_lost(sender.zone);
-        if sender.has_left || !(watch.is_watcher || observe || is_watched_in_lost_zone) {
+        if sender.has_left || !(watch.is_watcher || is_observer || is_watched_in_lost_zone) {
             return self.watches.remove(sender.id);
         }
         self.watches.insert(sender.id, watch);
@@ -174,7 +175,7 @@
         if self.live_set.chosen_watchers.len() >= MAX_CACHED_CHOICES {
             self.live_set.chosen_watchers.clear();
         }
-        let count = self.settings.watchers + SPARE_WATCHERS;
+        let count = self.settings.watcher_count + SPARE_WATCHERS;
         let candidates = &self.live_set.candidates;
         let chosen_watchers = &mut self.live_set.chosen_watchers;
         let watchers = chosen_watchers
@@ -183,7 +184,7 @@
         watchers.clone()
     }
 
-    /// Sends an agent what its view lacks: the parts that differ where it sent
+    /// Sends an agent what its view lacks: the parts that differ if it sent
     /// their digests, or else the recent changes.
     fn send_view(
         &mut self,
@@ -231,7 +232,7 @@
         self.own_heartbeat.next = now + self.settings.heartbeat_interval;
         let candidates = &self.live_set.candidates;
         let zone = self.identity.zone;
-        let watchers = rendezvous::local(self.key, zone, candidates, self.settings.watchers);
+        let watchers = rendezvous::local(self.key, zone, candidates, self.settings.watcher_count);
         let observers =
             rendezvous::remote(self.key, zone, candidates, REMOTE_REGIONS, REMOTE_OBSERVERS);
         let mut receivers = self.own_heartbeat.watchers.clone();
--- a/coordination/member/src/rumors.rs
+++ b/coordination/member/src/rumors.rs
@@ -9,7 +9,7 @@
 /// then delivers it to the remaining entries.
 const BACKLOG_RECORDS: usize = 256;
 
-/// Number of times that a record is sent where there is a backlog.
+/// Number of times that a record is sent if there is a backlog.
 const BACKLOG_SENDS: u32 = 3;
 
 /// Number of times that a record is sent beyond the logarithm of the number of
@@ -65,7 +65,7 @@
 
     /// Returns the keys in the order in which they are to be sent.
     #[must_use]
-    pub fn order(&self) -> Vec<Key> {
+    pub fn keys_by_urgency(&self) -> Vec<Key> {
         let mut keys: Vec<Key> = self.rumors.keys().copied().collect();
         keys.sort_by_key(|key| {
             let rumor = &self.rumors[key];
--- a/coordination/member/src/statements.rs
+++ b/coordination/member/src/statements.rs
@@ -23,7 +23,7 @@
     ///
     /// # Errors
     ///
-    /// [`Refusal::Stale`], or [`Refusal::NotWatcher`] where its observer is not
+    /// [`Refusal::Stale`], or [`Refusal::NotWatcher`] if its observer is not
     /// a watcher of the process.
     pub fn merge(&mut self, new: Statement) -> Result<Vec<Statement>, Refusal> {
         if !new.watchers.contains(&new.observer) {
@@ -31,7 +31,7 @@
         }
         let subject = new.subject;
         match (self.get(subject, new.observer), self.latest(subject)) {
-            (Some(held), _) if held.stamp() >= new.stamp() => return Err(Refusal::Stale),
+            (Some(held), _) if held.position() >= new.position() => return Err(Refusal::Stale),
             (_, Some(latest))
                 if latest.sequence >= new.sequence && !latest.watchers.contains(&new.observer) =>
             {
--- a/coordination/member/src/watches.rs
+++ b/coordination/member/src/watches.rs
@@ -15,7 +15,7 @@
 const MIN_WATCHED: usize = 4;
 
 /// Number of other zones of the region that are not expected to fail at once;
-/// the watcher doubts itself where as many are mostly silent.
+/// the watcher doubts itself if as many are mostly silent.
 const MIN_LOST_ZONES: usize = 2;
 
 /// Watch on one process.
@@ -35,7 +35,7 @@
     pub last_probed: Duration,
     /// Watchers that the process named.
     pub watchers: Vec<SocketAddr>,
-    /// False where the process does not name this entry as a watcher, and is
+    /// False if the process does not name this entry as a watcher, and is
     /// only observed to tell whether its zone is reachable.
     pub is_watcher: bool,
 }
@@ -72,7 +72,7 @@
         self.watches.remove(&subject);
     }
 
-    /// Ends the watches that do not meet a condition.
+    /// Ends the watches that `keep` does not select.
     pub fn retain(&mut self, keep: impl Fn(SubjectId, &Watch) -> bool) {
         self.watches.retain(|subject, watch| keep(*subject, watch));
     }
@@ -89,10 +89,10 @@
         self.watches.len()
     }
 
-    /// Restarts the silences of the processes that `concerns` selects.
-    pub fn reset_silence(&mut self, now: Duration, concerns: impl Fn(&Watch) -> bool) {
+    /// Restarts the silences of the watches that `is_affected` selects.
+    pub fn reset_silence(&mut self, now: Duration, is_affected: impl Fn(&Watch) -> bool) {
         let watches = self.watches.values_mut();
-        for watch in watches.filter(|watch| concerns(watch)) {
+        for watch in watches.filter(|watch| is_affected(watch)) {
             watch.last_heard = now;
         }
     }
@@ -135,19 +135,20 @@
     }
 }
 
-/// Returns whether so many processes are silent that the watcher in zone `own`
+/// Returns whether so many processes are silent that the watcher in `own_zone`
 /// must doubt itself: most of those outside the zone with the most silent ones,
-/// or most of each of two other zones. Counts only its own region, since
-/// partitions between regions do happen.
+/// or most of each of two other zones, or most of all if only one zone is
+/// watched. Counts only its own region, since partitions between regions do
+/// happen.
 #[must_use]
-pub fn is_doubtful(own: ZoneId, tallies: &BTreeMap<ZoneId, Tally>) -> bool {
+pub fn is_doubtful(own_zone: ZoneId, tallies: &BTreeMap<ZoneId, Tally>) -> bool {
     let near = tallies
         .iter()
-        .filter(|(zone, _)| region(**zone) == region(own));
+        .filter(|(zone, _)| region(**zone) == region(own_zone));
     let near: BTreeMap<ZoneId, Tally> = near.map(|(zone, tally)| (*zone, *tally)).collect();
     let lost = near
         .iter()
-        .filter(|(zone, tally)| **zone != own && tally.silent * 2 > tally.watched);
+        .filter(|(zone, tally)| **zone != own_zone && tally.silent * 2 > tally.watched);
     let worst = near.iter().max_by_key(|(_, tally)| tally.silent);
     let worst = worst.map(|(zone, _)| *zone);
     let rest = near.iter().filter(|(zone, _)| Some(**zone) != worst);
