--- a/roles/app/src/agent/control.rs
+++ b/roles/app/src/agent/control.rs
@@ -47,10 +47,11 @@
         /// Learned capacity, as in [`wire::Target::weight`].
         weight: u32,
     },
-    /// The agent is done and exits; the backend server stays.
+    /// The agent is done and exits without an announcement; the backend server
+    /// stays.
     Exit,
-    /// The agent is done and the backend server leaves for good, which is to be
-    /// announced.
+    /// The agent is done and the backend server leaves for good. Its departure is
+    /// announced before the process exits.
     Leave,
 }
 
@@ -99,7 +100,7 @@
             self.announcer.tick(self.origin.elapsed(), &mut actions);
             self.send(&mut actions);
             self.changed |= self.announcer.changed();
-            if self.changed && self.knows_peers() {
+            if self.changed && self.can_publish() {
                 self.changed = false;
                 self.publish().await;
             }
@@ -121,10 +122,10 @@
         let _ = self.worker.send(::agent::Event::Stop.into()).await;
     }
 
-    /// Returns whether the view of the other agents is complete, or the time to
-    /// wait for it has passed. The core asks the peers of its first view for the
-    /// flows of its predecessor, so that view must be complete.
-    fn knows_peers(&self) -> bool {
+    /// Returns true if the view of the other agents is complete or
+    /// [`FIRST_VIEW_TIMEOUT`] has passed. The core asks the peers of its first view
+    /// for the flows of its predecessor, so that view must be complete.
+    fn can_publish(&self) -> bool {
         self.announcer.is_current() || self.origin.elapsed() >= FIRST_VIEW_TIMEOUT
     }
 
--- a/roles/app/src/agent/driver.rs
+++ b/roles/app/src/agent/driver.rs
@@ -214,8 +214,8 @@
     }
 }
 
-/// Returns the core's view of a run's result, which tells whether the request may
-/// have been executed.
+/// Converts the result of a run into a [`Completion`], which tells the core
+/// whether the request may have been executed.
 fn completion(result: Result<bytes::Bytes, backend::Error>) -> Completion {
     match result {
         Ok(answer) => Completion::Completed(answer),
--- a/roles/app/src/agent/peer.rs
+++ b/roles/app/src/agent/peer.rs
@@ -90,7 +90,7 @@
 }
 
 impl Pool {
-    /// Starts without connections.
+    /// Creates a pool without connections.
     #[must_use]
     pub fn new(seal: Arc<Seal>) -> Self {
         Self {
--- a/roles/app/src/carried.rs
+++ b/roles/app/src/carried.rs
@@ -5,4 +5,4 @@
 pub mod link;
 pub mod reader;
 pub mod ready;
-pub mod report;
+pub mod telemetry;
--- a/roles/app/src/carried/link.rs
+++ b/roles/app/src/carried/link.rs
@@ -14,7 +14,7 @@
 use wire::Transit;
 
 use crate::carried::event;
-use crate::carried::report::Report;
+use crate::carried::telemetry::Telemetry;
 use crate::event::Event;
 use crate::metric::Error;
 use crate::metric::Instruments;
@@ -30,8 +30,8 @@
     pub socket: UdpSocket,
     /// UDP port on which callers are reached.
     pub caller_port: u16,
-    /// The log and the metrics.
-    pub report: Report,
+    /// Log, counters and latency histograms.
+    pub telemetry: Telemetry,
 }
 
 impl Link {
@@ -42,12 +42,12 @@
 
     /// Logs an event, at a bounded rate.
     pub fn log(&self, event: &Event) {
-        self.report.limiter.log(self.now(), event);
+        self.telemetry.limiter.log(self.now(), event);
     }
 
     /// Increments a counter of the table of metrics.
     pub fn count(&self, name: &'static str, reason: &'static str) {
-        self.report.counts.add(name, reason);
+        self.telemetry.counts.add(name, reason);
     }
 
     /// Counts and logs a dropped packet.
@@ -103,7 +103,7 @@
     ///
     /// Returns [`Error::Unknown`] if a metric is not in the table.
     pub fn publish(&self, instruments: &mut Instruments, calls: &Calls) -> Result<(), Error> {
-        self.report.counts.publish(instruments)?;
+        self.telemetry.counts.publish(instruments)?;
         publish_calls(instruments, calls)
     }
 }
--- a/roles/app/src/carried/reader.rs
+++ b/roles/app/src/carried/reader.rs
@@ -67,8 +67,8 @@
     Ok(())
 }
 
-/// Returns whether the read timed out or was interrupted, or an earlier datagram
-/// met a closed port.
+/// Returns true if the read timed out or was interrupted, or if an earlier
+/// datagram was sent to a closed port.
 fn is_transient(error: &io::Error) -> bool {
     matches!(
         error.kind(),
--- a/roles/app/src/carried/report.rs
+++ b/roles/app/src/carried/telemetry.rs
@@ -6,22 +6,24 @@
 use crate::metric::Instruments;
 use crate::metric::forwarder::Counts;
 
-/// Log, counters and latency histograms of the decisions.
-pub struct Report {
+/// Log, counters and latency histograms of the decisions on flows and packets.
+pub struct Telemetry {
     /// Rate-limited log.
     pub limiter: Limiter,
     /// The counters.
     pub counts: Counts,
-    /// Microseconds from an opening packet to the holder's confirmation.
+    /// Microseconds from the last copy of an opening packet to the holder's
+    /// confirmation.
     pub open_time: Histogram<u64>,
-    /// Microseconds from the start of a search to the holder's answer.
+    /// Microseconds from the last search message to the holder's answer.
     pub search_time: Histogram<u64>,
     /// Microseconds from a request to the first packet of its answer.
     pub request_time: Histogram<u64>,
 }
 
-impl Report {
-    /// Creates a report whose histograms belong to `instruments`.
+impl Telemetry {
+    /// Creates an empty log limiter and counters, with histograms that belong to
+    /// `instruments`.
     ///
     /// # Errors
     ///
--- a/roles/app/src/entry/config_reader.rs
+++ b/roles/app/src/entry/config_reader.rs
@@ -35,7 +35,7 @@
 }
 
 impl Ranking {
-    /// Starts with the rank among the peers that the settings list.
+    /// Creates a ranking that starts with the rank among the peers in the settings.
     #[must_use]
     pub fn new(settings: &settings::Entry, events: Sender<Event>) -> Self {
         Self {
--- a/roles/app/src/entry/control.rs
+++ b/roles/app/src/entry/control.rs
@@ -147,8 +147,8 @@
         }
     }
 
-    /// Returns whether the service has a configuration that is deleted or cannot be
-    /// decoded.
+    /// Returns true if the configuration of the service marks it as deleted or
+    /// cannot be decoded. Returns false if no configuration is known.
     fn is_deleted(&self, address: &ServiceAddress) -> bool {
         self.registry
             .service(address)
@@ -199,8 +199,8 @@
         self.registry.put(now, service);
     }
 
-    /// Returns the current values of all metrics, or none if they cannot be
-    /// read.
+    /// Returns the current values of all metrics. Logs a warning and returns none if
+    /// they cannot be read.
     fn samples(&mut self) -> Vec<Sample> {
         metric::entry::publish(&mut self.instruments, &self.registry, &self.traffic)
             .and_then(|()| self.instruments.read())
--- a/roles/app/src/entry/discovery.rs
+++ b/roles/app/src/entry/discovery.rs
@@ -31,10 +31,11 @@
     }
 }
 
-/// State change of a query.
+/// Transition of a query that timed out or expired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// No peer answered in time: the service is to be refused.
+    /// The time for peers to answer has passed: a service that is still unknown is
+    /// to be refused.
     Absent(ServiceAddress),
     /// The refusal has expired: the next packet starts a new query.
     Expired(ServiceAddress),
@@ -54,7 +55,7 @@
 }
 
 impl Discovery {
-    /// Starts without queries.
+    /// Creates a discovery without queries.
     #[must_use]
     pub fn new(settings: Settings) -> Self {
         Self {
@@ -77,7 +78,8 @@
         true
     }
 
-    /// Returns whether the time for peers to answer has passed.
+    /// Returns true if a query for the service timed out and its refusal has not
+    /// expired.
     #[must_use]
     pub fn has_timed_out(&self, service: ServiceAddress) -> bool {
         self.queries
--- a/roles/app/src/event.rs
+++ b/roles/app/src/event.rs
@@ -1,8 +1,9 @@
 //! The numbered events of the log. docs/EVENTS.md is generated from this table; a
 //! test compares the two.
 //!
-//! The number of a removed event is never reused. 1xxx the process, 2xxx configuration and the
-//! platform, 3xxx membership, 4xxx traffic, 5xxx backend servers.
+//! The number of a removed event is never reused. 1xxx is the process, 2xxx
+//! configuration and the platform, 3xxx membership, 4xxx traffic, 5xxx backend
+//! servers.
 use std::fmt;
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -144,7 +145,7 @@
     4001 Info FlowOpened { flow: String, first: TargetId, version: Revision, count: usize }
         "flow {flow} was sent to the agent of {first}, with {count} more agents on its path, by configuration version {version}", "nothing";
     4002 Info FlowTaken { flow: String, wait_us: u128, held_us: u128, risk_us: u128, running: u16, held: usize, entry: SocketAddr }
-        "flow {flow} was accepted: expected wait {wait_us} us, later wait through other flows {held_us} us, expected loss through failures {risk_us} us; before it {running} requests and {held} flows; received from entry {entry}",
+        "flow {flow} was accepted: expected wait {wait_us} us, later wait through other flows {held_us} us, loss through failures {risk_us} us; {running} requests and {held} flows before it; from entry {entry}",
         "nothing";
     4003 Info FlowPassed { flow: String, bid: String, to: TargetId, settled: bool }
         "flow {flow} was passed on to the agent of {to}: bid here {bid}, final decision left to that agent: {settled}", "nothing";
@@ -152,9 +153,9 @@
         "flow {flow} was reset: {reason}, {detail}",
         "no_route: check the configuration; no_slot or no_server: check the load";
     4005 Info FlowSought { flow: String, searcher: TargetId, known: usize, may_try: bool, max_age_ms: u32 }
-        "the agent of {searcher} searches for the holder of flow {flow} among {known} known agents; probes allowed: {may_try}, oldest accepted denial of a backend server: {max_age_ms} ms", "nothing";
+        "the agent of {searcher} searches for the holder of flow {flow} among {known} agents; probes allowed: {may_try}, denials count from backend servers up to {max_age_ms} ms old", "nothing";
     4006 Info FlowFound { flow: String, holder: TargetId, took_us: u128 }
-        "flow {flow} is held by the agent of {holder}, found after {took_us} us", "nothing";
+        "the agent of {holder} holds flow {flow}; the last search took {took_us} us", "nothing";
     4007 Warn FlowLost { flow: String, rounds: u8 }
         "no holder of flow {flow} was found in {rounds} searches; its packets are dropped for a short time",
         "look for an agent that stopped while its backend server still runs";
--- a/roles/app/src/exit.rs
+++ b/roles/app/src/exit.rs
@@ -6,5 +6,5 @@
 /// Invalid settings or arguments.
 pub const USAGE: u8 = 2;
 
-/// Wrong results found by `call`.
+/// Violated guarantee found by `call`: a wrong or missing answer, or a broken flow.
 pub const BROKEN: u8 = 3;
--- a/roles/app/src/gateway.rs
+++ b/roles/app/src/gateway.rs
@@ -36,7 +36,7 @@
 use crate::carried::link::Link;
 use crate::carried::reader;
 use crate::carried::ready;
-use crate::carried::report::Report;
+use crate::carried::telemetry::Telemetry;
 use crate::clock;
 use crate::gateway::control::Control;
 use crate::gateway::control::Input;
@@ -87,7 +87,7 @@
         origin.elapsed(),
     );
     let instruments = Instruments::default();
-    let report = Report::new(&instruments).map_err(io::Error::other)?;
+    let telemetry = Telemetry::new(&instruments).map_err(io::Error::other)?;
     let traffic = Arc::new(Traffic {
         core: Mutex::new(core),
         link: Link {
@@ -95,7 +95,7 @@
             port,
             socket: callers.try_clone()?,
             caller_port: host.caller_port(),
-            report,
+            telemetry,
         },
         control: sender.clone(),
     });
@@ -145,7 +145,7 @@
     let settings = member::Settings::default();
     let mut registry = Registry::new(settings, identity, fastrand::u64(..), now);
     registry.join(now, &host.seed_frames());
-    registry.need(now, routes::DOCUMENT);
+    registry.need(now, routes::DOCUMENT_ADDRESS);
     registry
 }
 
--- a/roles/app/src/gateway/control.rs
+++ b/roles/app/src/gateway/control.rs
@@ -109,7 +109,7 @@
         if !changes.is_empty() {
             self.log_changes(&changes);
             let routes = self.builder.update(&self.registry, &changes);
-            if changes.contains(&routes::DOCUMENT) {
+            if changes.contains(&routes::DOCUMENT_ADDRESS) {
                 let version = routes.table.version;
                 let route_count = routes.table.routes.len();
                 LogEvent::ConfigInForce {
@@ -136,7 +136,7 @@
     fn log_changes(&mut self, changes: &[ServiceAddress]) {
         let services = changes
             .iter()
-            .filter(|address| **address != routes::DOCUMENT);
+            .filter(|address| **address != routes::DOCUMENT_ADDRESS);
         for view in services.filter_map(|address| self.registry.service(address)) {
             for event in self.tracker.update(view) {
                 self.traffic.link.log(&event);
@@ -192,7 +192,7 @@
             }
         };
         let service = member::Service {
-            address: routes::DOCUMENT,
+            address: routes::DOCUMENT_ADDRESS,
             revision: version,
             body: bytes.into(),
         };
--- a/roles/app/src/gateway/routes.rs
+++ b/roles/app/src/gateway/routes.rs
@@ -15,7 +15,7 @@
 
 /// Pseudo service address of the record under which entries gossip the whole
 /// configuration.
-pub const DOCUMENT: ServiceAddress = SocketAddr::new(IpAddr::V6(Ipv6Addr::UNSPECIFIED), 1);
+pub const DOCUMENT_ADDRESS: ServiceAddress = SocketAddr::new(IpAddr::V6(Ipv6Addr::UNSPECIFIED), 1);
 
 /// Builder that holds the current routes.
 #[derive(Default)]
@@ -28,7 +28,7 @@
     pub fn update(&mut self, registry: &Registry, changes: &[ServiceAddress]) -> Arc<Routes> {
         for address in changes {
             let view = registry.service(address);
-            if *address == DOCUMENT {
+            if *address == DOCUMENT_ADDRESS {
                 self.update_table(view);
             } else {
                 let targets = view.map(targets).unwrap_or_default();
@@ -56,7 +56,7 @@
         Some(Arc::new(self.routes.clone()))
     }
 
-    /// Returns whether callers can be served: a configuration is known.
+    /// Returns true once a configuration is known, so that callers can be served.
     pub fn is_ready(&self) -> bool {
         self.routes.table.version > 0
     }
@@ -81,7 +81,7 @@
         .collect()
 }
 
-/// Returns whether a backend server is marked down without having announced that
+/// Returns true if a backend server is marked down without having announced that
 /// it left. It may only be unreachable.
 fn has_unreachable(view: &View) -> bool {
     let mut members = view.targets.values();
--- a/roles/app/src/gateway/traffic.rs
+++ b/roles/app/src/gateway/traffic.rs
@@ -139,7 +139,7 @@
                     count: hops.saturating_sub(1),
                 });
             }
-            Action::Accepted { took } => record(&link.report.open_time, took),
+            Action::Accepted { took } => record(&link.telemetry.open_time, took),
             Action::Sought {
                 flow,
                 searcher,
@@ -157,7 +157,7 @@
             }
             Action::Found { flow, holder, took } => {
                 link.count("carried.searches.ended", "found");
-                record(&link.report.search_time, took);
+                record(&link.telemetry.search_time, took);
                 self.link.log(&log::Event::FlowFound {
                     flow: flow_name(&flow),
                     holder,
--- a/roles/app/src/logger/queue.rs
+++ b/roles/app/src/logger/queue.rs
@@ -74,6 +74,8 @@
     fn flush(&self) {}
 }
 
+/// Writes queued lines in batches, and the number of dropped lines if there are
+/// any, until all senders are gone.
 fn write(receiver: &Receiver<Message>, dropped: &AtomicU64) {
     while let Ok(first) = receiver.recv() {
         if let Message::Line(_) = first {
--- a/roles/app/src/metric/table.rs
+++ b/roles/app/src/metric/table.rs
@@ -57,7 +57,7 @@
 /// All metrics.
 #[rustfmt::skip]
 pub const METRICS: &[Metric] = &[
-    // Entries and agents.
+    // Entries; agents report `packets.refused` too.
     counter("port.received", "{datagram}", "UDP datagrams received"),
     counter("port.received_bytes", "By", "size of the UDP datagrams received"),
     counter("port.sent", "{datagram}", "UDP datagrams sent"),
@@ -93,7 +93,7 @@
     gauge("pins", "{flow}", "flows held elsewhere whose home is this agent"),
     gauge("pins.bytes", "By", "memory of the pins"),
     counter("pins.refused", "{flow}", "pins that were not stored, by reason"),
-    gauge("records", "{request}", "request records"),
+    gauge("records", "{request}", "records of requests, kept to answer retransmissions"),
     gauge("records.bytes", "By", "memory of the records and their answers"),
     gauge("requests", "{request}", "requests that are queued, running or passed on"),
     gauge("requests.wait", "ms", "expected wait of a request that arrives now"),
@@ -114,16 +114,16 @@
     counter("carried.searches", "{flow}", "searches for the holder of a flow"),
     counter("carried.searches.ended", "{flow}", "searches that ended, by outcome"),
     counter("carried.tries", "{packet}", "packets of unknown flows delivered to the backend server as probes"),
-    counter("carried.returned", "{packet}", "packets that the backend server returned"),
+    counter("carried.returned", "{packet}", "packets that the backend server returned because it does not hold their flow"),
     counter("carried.packets", "{packet}", "packets forwarded, by direction"),
     counter("carried.dropped", "{packet}", "packets dropped, by reason"),
     counter("carried.servers.ended", "{server}", "backend servers of a sidecar that ended"),
-    gauge("carried.flows", "{flow}", "flows that are remembered or held"),
-    gauge("carried.version", "1", "version of the configuration in force"),
+    gauge("carried.flows", "{flow}", "flows that a gateway remembers or a sidecar holds"),
+    gauge("carried.version", "1", "version of the configuration in force at a gateway"),
     gauge("carried.running", "{request}", "requests that run or wait at the backend server"),
     gauge("store.calls", "{call}", "calls to the store, by kind"),
-    histogram("carried.open.time", "us", "time from an opening packet to the holder's confirmation"),
-    histogram("carried.search.time", "us", "time from a search to the holder's answer"),
+    histogram("carried.open.time", "us", "time from the last copy of an opening packet to the holder's confirmation"),
+    histogram("carried.search.time", "us", "time from the last search message to the holder's answer"),
     histogram("carried.request.time", "us", "time from a request to the first packet of its answer"),
     // Agents.
     gauge("weight", "{request}/s", "learned capacity, as announced"),
--- a/roles/app/src/sidecar.rs
+++ b/roles/app/src/sidecar.rs
@@ -32,7 +32,7 @@
 use crate::carried::link::Link;
 use crate::carried::reader;
 use crate::carried::ready;
-use crate::carried::report::Report;
+use crate::carried::telemetry::Telemetry;
 use crate::metric;
 use crate::metric::Instruments;
 use crate::settings;
@@ -57,7 +57,8 @@
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Upper bound of the announcement timeout, as a fraction of the time after which
-/// the backend server's address may be reused for another service.
+/// the backend server's address may be reused for another service. A silent
+/// backend server must stop getting new flows before that.
 const SILENCE_REUSE_SHARE: f64 = 0.9;
 
 /// Longest time between two announcements, as a multiple of the heartbeat
@@ -98,9 +99,14 @@
         target: host.target().unwrap_or_default(),
         address: host.frames(),
     };
-    let core = Agent::new(core(&host), own, !host.is_first_start, origin.elapsed());
+    let core = Agent::new(
+        core_settings(&host),
+        own,
+        !host.is_first_start,
+        origin.elapsed(),
+    );
     let instruments = Instruments::default();
-    let report = Report::new(&instruments).map_err(io::Error::other)?;
+    let telemetry = Telemetry::new(&instruments).map_err(io::Error::other)?;
     let traffic = Arc::new(Traffic {
         core: Mutex::new(core),
         link: Link {
@@ -108,7 +114,7 @@
             port,
             socket: socket.try_clone()?,
             caller_port: host.caller_port(),
-            report,
+            telemetry,
         },
         backend,
         control: sender.clone(),
@@ -144,8 +150,8 @@
     Ok(())
 }
 
-/// Returns the settings of the core that follow from the platform's settings.
-fn core(host: &platform::Settings) -> Settings {
+/// Returns the core's settings, with the time-outs derived from the settings file.
+fn core_settings(host: &platform::Settings) -> Settings {
     let silence = host.heartbeat_ms.mul_f64(SILENCE_HEARTBEATS);
     Settings {
         assumed: silence,
--- a/roles/app/src/sidecar/traffic.rs
+++ b/roles/app/src/sidecar/traffic.rs
@@ -70,12 +70,12 @@
         }
     }
 
-    /// Returns whether requests are running or waiting.
+    /// Returns true if requests are running or waiting at the backend server.
     pub fn is_busy(&self) -> bool {
         self.lock().is_busy()
     }
 
-    /// Returns whether the backend server takes new flows.
+    /// Returns true if the backend server takes new flows.
     pub fn is_open(&self) -> bool {
         self.lock().is_open(self.link.now())
     }
@@ -153,7 +153,7 @@
                 let detail = format!("bids of the agents asked: {bids:?} ms");
                 link.reset_flow(&flow, sequence, refusal_label(reason), detail);
             }
-            Action::Answered { took } => record(&link.report.request_time, took),
+            Action::Answered { took } => record(&link.telemetry.request_time, took),
             decision => self.report(&decision),
         }
     }
--- a/roles/app/tests/limiter.rs
+++ b/roles/app/tests/limiter.rs
@@ -28,12 +28,12 @@
     fn flush(&self) {}
 }
 
-/// Logs an event `a_second` times a second and returns the number of lines that
+/// Logs an event `per_second` times a second and returns the number of lines that
 /// reached the logger.
-fn lines(limiter: &Limiter, seconds: u64, a_second: u64, event: &Event) -> usize {
+fn lines(limiter: &Limiter, seconds: u64, per_second: u64, event: &Event) -> usize {
     let before = LINES.0.load(Ordering::Relaxed);
-    for number in 0..seconds * a_second {
-        let now = Duration::from_micros(number * 1_000_000 / a_second);
+    for number in 0..seconds * per_second {
+        let now = Duration::from_micros(number * 1_000_000 / per_second);
         limiter.log(now, event);
     }
     LINES.0.load(Ordering::Relaxed) - before
