--- a/roles/app/src/event.rs
+++ b/roles/app/src/event.rs
@@ -155,7 +155,7 @@
     4005 Info FlowSought { flow: String, searcher: TargetId, known: usize, may_try: bool, max_age_ms: u32 }
         "the agent of {searcher} searches for the holder of flow {flow} among {known} agents; probes allowed: {may_try}, denials count from backend servers up to {max_age_ms} ms old", "nothing";
     4006 Info FlowFound { flow: String, holder: TargetId, took_us: u128 }
-        "the agent of {holder} holds flow {flow}; the last search took {took_us} us", "nothing";
+        "the agent of {holder} holds flow {flow}; last search took {took_us} us", "nothing";
     4007 Warn FlowLost { flow: String, rounds: u8 }
         "no holder of flow {flow} was found in {rounds} searches; its packets are dropped for a short time",
         "look for an agent that stopped while its backend server still runs";
