--- a/roles/app/src/gateway/announcements.rs
+++ b/roles/app/src/gateway/announcements.rs
@@ -23,8 +23,7 @@
         Answer {
             status: StatusCode::SERVICE_UNAVAILABLE,
             content_type: "text/plain",
-            body: "a gateway accepts no announcements; send them to the sidecar on your own host\n"
-                .to_owned(),
+            body: "ask the sidecar on your own host\n".to_owned(),
         }
     };
     http::serve(address, executor, answer).await.map(drop)
