--- a/protocol/wire/src/seal.rs
+++ b/protocol/wire/src/seal.rs
@@ -99,7 +99,7 @@
         let mut message = vec![0; PREFIX_LEN];
         message[..HEADER_LEN].copy_from_slice(&[VERSION, key.id, purpose as u8]);
         let mut message = postcard::to_extend(content, message).map_err(|_| Error::Malformed)?;
-        let tag = tag(key, &message);
+        let tag = compute_tag(key, &message);
         message[HEADER_LEN..PREFIX_LEN].copy_from_slice(&tag);
         Ok(message)
     }
@@ -125,18 +125,18 @@
             .iter()
             .find(|key| key.id == message[1])
             .ok_or(Error::UnknownKey)?;
-        let expected = blake3::Hash::from(padded(tag(key, message)));
+        let expected = blake3::Hash::from(pad_tag(compute_tag(key, message)));
         let mut received = [0; TAG_LEN];
         received.copy_from_slice(&message[HEADER_LEN..PREFIX_LEN]);
         // `blake3::Hash` compares in constant time.
-        if expected != blake3::Hash::from(padded(received)) {
+        if expected != blake3::Hash::from(pad_tag(received)) {
             return Err(Error::BadTag);
         }
         postcard::from_bytes(&message[PREFIX_LEN..]).map_err(|_| Error::Malformed)
     }
 }
 
-fn tag(key: &Key, message: &[u8]) -> [u8; TAG_LEN] {
+fn compute_tag(key: &Key, message: &[u8]) -> [u8; TAG_LEN] {
     let mut hasher = blake3::Hasher::new_keyed(&key.secret);
     hasher.update(&message[..HEADER_LEN]);
     hasher.update(&message[PREFIX_LEN..]);
@@ -145,7 +145,7 @@
     tag
 }
 
-fn padded(tag: [u8; TAG_LEN]) -> [u8; blake3::OUT_LEN] {
+fn pad_tag(tag: [u8; TAG_LEN]) -> [u8; blake3::OUT_LEN] {
     let mut bytes = [0; blake3::OUT_LEN];
     bytes[..TAG_LEN].copy_from_slice(&tag);
     bytes
--- a/transport/net/src/backend.rs
+++ b/transport/net/src/backend.rs
@@ -29,7 +29,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Idle connections kept for reuse.
-const MAX_IDLE: usize = 256;
+const MAX_IDLE_CONNECTIONS: usize = 256;
 
 type Sender = http1::SendRequest<Full<Bytes>>;
 
@@ -105,8 +105,8 @@
     }
 
     async fn exchange(&self, run: &Run) -> Result<Bytes, Error> {
-        let mut request = request(self.backend, run);
-        let mut sender = self.sender(run.idempotent).await?;
+        let mut request = build_request(self.backend, run);
+        let mut sender = self.acquire_sender(run.idempotent).await?;
         let response = loop {
             match sender.try_send_request(request).await {
                 Ok(response) => break response,
@@ -118,19 +118,19 @@
             }
             sender = self.connect().await?;
         };
-        let answer = self.read(response).await?;
+        let answer = self.read_answer(response).await?;
         let mut idle = self.idle.borrow_mut();
-        if idle.len() < MAX_IDLE {
+        if idle.len() < MAX_IDLE_CONNECTIONS {
             idle.push(sender);
         }
         Ok(answer)
     }
 
-    async fn read(&self, response: Response<Incoming>) -> Result<Bytes, Error> {
+    async fn read_answer(&self, response: Response<Incoming>) -> Result<Bytes, Error> {
         match response.status() {
             StatusCode::OK => {}
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => {
-                let retry_after = retry_after(&response);
+                let retry_after = parse_retry_after(&response);
                 return Err(Error::Shed { retry_after });
             }
             status => return Err(Error::Status(status.as_u16())),
@@ -148,7 +148,7 @@
     /// The backend server may close an idle connection at the moment it is used
     /// again, which leaves open whether the request ran. A request that must not
     /// run twice gets a connection of its own.
-    async fn sender(&self, idempotent: bool) -> Result<Sender, Error> {
+    async fn acquire_sender(&self, idempotent: bool) -> Result<Sender, Error> {
         while let Some(mut sender) = self.take_idle(idempotent) {
             if sender.ready().await.is_ok() {
                 return Ok(sender);
@@ -185,7 +185,7 @@
     }
 }
 
-fn request(backend: SocketAddr, run: &Run) -> Request<Full<Bytes>> {
+fn build_request(backend: SocketAddr, run: &Run) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(run.payload.clone()));
     *request.method_mut() = http::Method::POST;
     *request.uri_mut() = http::Uri::from_static("/run");
@@ -212,7 +212,7 @@
     request
 }
 
-fn retry_after(response: &Response<Incoming>) -> Duration {
+fn parse_retry_after(response: &Response<Incoming>) -> Duration {
     response
         .headers()
         .get(header::RETRY_AFTER)
--- a/transport/net/src/http.rs
+++ b/transport/net/src/http.rs
@@ -72,12 +72,12 @@
 {
     let listener = TcpListener::bind(address).await?;
     let bound = listener.local_addr()?;
-    let accepting = accept(listener, Arc::clone(executor), answer);
+    let accepting = accept_connections(listener, Arc::clone(executor), answer);
     executor.spawn(accepting).detach();
     Ok(bound)
 }
 
-async fn accept<F>(
+async fn accept_connections<F>(
     listener: TcpListener,
     executor: Arc<Executor<'static>>,
     answer: impl Fn(Question) -> F + Clone + Send + Sync + 'static,
@@ -92,7 +92,7 @@
                 log::warn!(
                     "a connection was not accepted: {error}; raise the limit of descriptors"
                 );
-                Timer::after(ACCEPT_PAUSE).await;
+                Timer::after(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
@@ -110,7 +110,7 @@
 }
 
 /// Pause after a connection could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 async fn serve_connection<F>(stream: TcpStream, answer: impl Fn(Question) -> F + Clone)
 where
@@ -121,12 +121,12 @@
         async move { Ok::<_, Infallible>(respond(request, answer).await) }
     });
     let connection = http1::Builder::new().serve_connection(FuturesIo::new(stream), service);
-    let expire = async {
+    let lifetime = async {
         Timer::after(CONNECTION_LIFETIME).await;
         Ok(())
     };
     // An error here is a client that left.
-    let _ = connection.or(expire).await;
+    let _ = connection.or(lifetime).await;
 }
 
 async fn respond<F>(
--- a/transport/net/src/port.rs
+++ b/transport/net/src/port.rs
@@ -88,7 +88,7 @@
 }
 
 impl Socket {
-    fn get(&self) -> &UdpSocket {
+    fn udp(&self) -> &UdpSocket {
         match self {
             Self::Async(socket) => socket.get_ref(),
             Self::Blocking(socket) => socket,
@@ -111,7 +111,7 @@
     ///
     /// The operating system's error where the address cannot be bound.
     pub fn bind(address: SocketAddr, seal: Arc<Seal>) -> io::Result<Self> {
-        let socket = open(address)?;
+        let socket = open_socket(address)?;
         socket.bind(&address.into())?;
         Ok(Self {
             socket: Socket::Async(Arc::new(Async::new(socket.into())?)),
@@ -140,7 +140,7 @@
     ///
     /// The operating system's error.
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
-        self.socket.get().local_addr()
+        self.socket.udp().local_addr()
     }
 
     /// Returns the counters.
@@ -165,7 +165,7 @@
             add(&self.counters.send_failed, 1);
             return;
         };
-        match self.socket.get().send_to(&datagram, to) {
+        match self.socket.udp().send_to(&datagram, to) {
             Ok(length) => {
                 add(&self.counters.sent, 1);
                 add(&self.counters.sent_bytes, length);
@@ -174,7 +174,7 @@
         }
     }
 
-    fn refusal(&self, error: wire::seal::Error) -> &AtomicU64 {
+    fn refusal_counter(&self, error: wire::seal::Error) -> &AtomicU64 {
         match error {
             wire::seal::Error::Truncated => &self.counters.truncated,
             wire::seal::Error::Version => &self.counters.version,
@@ -234,7 +234,7 @@
     ///
     /// `WouldBlock` where none has arrived, or the operating system's error.
     pub fn try_receive(&mut self) -> io::Result<Option<Received>> {
-        let (length, from) = match self.port.socket.get().recv_from(&mut self.buffer) {
+        let (length, from) = match self.port.socket.udp().recv_from(&mut self.buffer) {
             Ok(received) => received,
             // A former peer's port is closed; UDP reports it on the next call.
             Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => return Ok(None),
@@ -245,7 +245,7 @@
         match self.port.seal.open(&self.buffer[..length]) {
             Ok(frame) => Ok(Some(Received { from, frame })),
             Err(error) => {
-                add(self.port.refusal(error), 1);
+                add(self.port.refusal_counter(error), 1);
                 Ok(None)
             }
         }
@@ -259,7 +259,7 @@
 ///
 /// The operating system's error where the address cannot be bound.
 pub fn blocking(address: SocketAddr, wait: Duration) -> io::Result<UdpSocket> {
-    let socket = open(address)?;
+    let socket = open_socket(address)?;
     socket.set_read_timeout(Some(wait))?;
     socket.set_write_timeout(Some(SEND_TIMEOUT))?;
     socket.bind(&address.into())?;
@@ -273,13 +273,13 @@
 ///
 /// The operating system's error where the host does not own the address.
 pub fn bind_service(address: ServiceAddress) -> io::Result<Async<UdpSocket>> {
-    let socket = open(address)?;
+    let socket = open_socket(address)?;
     socket.set_reuse_port(true)?;
     socket.bind(&address.into())?;
     Async::new(socket.into())
 }
 
-fn open(address: SocketAddr) -> io::Result<socket2::Socket> {
+fn open_socket(address: SocketAddr) -> io::Result<socket2::Socket> {
     let socket = socket2::Socket::new(Domain::for_address(address), Type::DGRAM, None)?;
     // The kernel caps the size at its own limit.
     socket.set_recv_buffer_size(RECEIVE_BUFFER_BYTES)?;
