--- a/protocol/wire/src/gen/greengagelug.caller.v1.rs
+++ b/protocol/wire/src/gen/greengagelug.caller.v1.rs
@@ -2,7 +2,8 @@
 /// One datagram in either direction.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Packet {
-    /// Version of this schema; 1. Others are refused as BAD_VERSION.
+    /// Version of this schema: 1. Packets of any other version are refused with
+    /// BAD_VERSION.
     #[prost(uint32, tag = "1")]
     pub version: u32,
     /// Flow key, chosen at random by the caller, non-zero, and the same for every
@@ -38,60 +39,61 @@
         Closed(super::Closed),
     }
 }
-/// Opens a flow. Repeating it is harmless.
+/// Opens a flow. May be retransmitted: opening an open flow has no effect.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Open {
-    /// 0 for the first transmission, one more for each repeat.
+    /// 0 for the first transmission, one more for each retransmission.
     #[prost(uint32, tag = "1")]
     pub attempt: u32,
 }
-/// Says which backend server holds the flow.
+/// Confirms that a flow is open and names its holder.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Opened {
-    /// Opaque token that names the holder. Requests and closes carry it back.
+    /// Opaque token that names the holder. Requests and closes return it.
     #[prost(bytes = "bytes", tag = "1")]
     pub holder: ::prost::bytes::Bytes,
-    /// Milliseconds without a packet after which the holder forgets the flow.
+    /// Idle timeout in milliseconds: time without a packet after which the holder
+    /// removes the flow.
     #[prost(uint32, tag = "2")]
     pub idle_ms: u32,
 }
 /// Asks the holder to run a request.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Request {
-    /// Identifies the request within its flow; non-zero and never reused. Number
-    /// non-idempotent requests in rising order: of those long past, only the
-    /// largest is remembered, and smaller ids are refused as unknown.
+    /// Id of the request within its flow; non-zero and never reused. Number
+    /// non-idempotent requests in increasing order: of older requests only the
+    /// largest id is stored, and smaller ids are refused as unknown.
     #[prost(fixed64, tag = "1")]
     pub request: u64,
-    /// The token of the Opened packet; repeats carry that of the first
-    /// transmission. May be empty for idempotent requests.
+    /// The token of the Opened packet; retransmissions carry the token of the
+    /// first transmission. May be empty for idempotent requests.
     #[prost(bytes = "bytes", tag = "2")]
     pub holder: ::prost::bytes::Bytes,
-    /// True where running the request twice does no harm.
+    /// True where running the request more than once does no harm.
     #[prost(bool, tag = "3")]
     pub idempotent: bool,
-    /// Milliseconds that the caller will still wait, counted from now; 0 takes the
-    /// default of the service.
+    /// Time that the caller still waits for the answer, in milliseconds from now;
+    /// 0 for the default of the service.
     #[prost(uint32, tag = "4")]
     pub deadline_ms: u32,
-    /// 0 for the first transmission, one more for each repeat.
+    /// 0 for the first transmission, one more for each retransmission.
     #[prost(uint32, tag = "5")]
     pub attempt: u32,
-    /// Passed to the backend server untouched; 16 KiB at most.
+    /// Content for the backend server, delivered unchanged; 16 KiB at most.
     #[prost(bytes = "bytes", tag = "6")]
     pub payload: ::prost::bytes::Bytes,
 }
-/// Withdraws a request. It may have run already.
+/// Cancels a request, which may have run already.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Cancel {
-    /// Id of the request to withdraw.
+    /// Id of the request to cancel.
     #[prost(fixed64, tag = "1")]
     pub request: u64,
-    /// The token that the request carries.
+    /// The token that the request carried.
     #[prost(bytes = "bytes", tag = "2")]
     pub holder: ::prost::bytes::Bytes,
 }
-/// Asks again for chunks of an answer that did not arrive.
+/// Requests retransmission of chunks of an answer that did not arrive.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Fetch {
     /// Id of the request whose answer is incomplete.
@@ -104,57 +106,57 @@
     #[prost(bytes = "bytes", tag = "3")]
     pub holder: ::prost::bytes::Bytes,
 }
-/// Ends a flow. Ignored without the token of the Opened packet.
+/// Closes a flow. Ignored without the token of the Opened packet.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Close {
     /// The token of the Opened packet.
     #[prost(bytes = "bytes", tag = "1")]
     pub holder: ::prost::bytes::Bytes,
 }
-/// One part of an answer.
+/// One chunk of an answer.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Chunk {
-    /// Id of the request that is answered.
+    /// Id of the answered request.
     #[prost(fixed64, tag = "1")]
     pub request: u64,
-    /// Position of this part, from 0.
+    /// Index of this chunk, from 0.
     #[prost(uint32, tag = "2")]
     pub index: u32,
-    /// Number of parts of the whole answer; the same in each of them.
+    /// Number of chunks of the whole answer; the same in each of them.
     #[prost(uint32, tag = "3")]
     pub count: u32,
-    /// Bytes of this part; those of all parts, in order, are the answer.
+    /// Bytes of this chunk; the chunks joined in order are the answer.
     #[prost(bytes = "bytes", tag = "4")]
     pub payload: ::prost::bytes::Bytes,
 }
-/// The final answer to a request or an open that was not served.
+/// Refuses a request or an open; no other answer follows.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Refusal {
-    /// The request refused, or 0 where the open was.
+    /// Id of the refused request, or 0 for an open.
     #[prost(fixed64, tag = "1")]
     pub request: u64,
-    /// Why it was refused.
+    /// Reason of the refusal.
     #[prost(enumeration = "Reason", tag = "2")]
     pub reason: i32,
-    /// What became of the request.
+    /// Whether the request may have run.
     #[prost(enumeration = "Outcome", tag = "3")]
     pub outcome: i32,
-    /// Milliseconds to wait before another try, jittered by the sender.
+    /// Time to wait before a retry, in milliseconds; jittered by the sender.
     #[prost(uint32, tag = "4")]
     pub retry_after_ms: u32,
 }
-/// Confirms the end of a flow.
+/// Confirms that a flow is closed.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Closed {}
-/// What became of a refused request.
+/// Whether a refused request may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, ::prost::Enumeration)]
 #[repr(i32)]
 pub enum Outcome {
-    /// Taken as UNKNOWN.
+    /// Treated as UNKNOWN.
     Unspecified = 0,
-    /// It did not run and never will: a late copy is refused too.
+    /// The request did not run and will not: delayed duplicates are refused too.
     NotRun = 1,
-    /// It may have run, once at most.
+    /// The request may have run, at most once.
     Unknown = 2,
 }
 impl Outcome {
@@ -179,39 +181,39 @@
         }
     }
 }
-/// Why a request or an open was refused.
+/// Reason of a refused request or open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, ::prost::Enumeration)]
 #[repr(i32)]
 pub enum Reason {
-    /// Not sent.
+    /// Never sent.
     Unspecified = 0,
     /// Every backend server that was asked is full.
     Overloaded = 1,
-    /// The wait would exceed the deadline.
+    /// The expected wait exceeds the deadline.
     Deadline = 2,
-    /// No process holds this flow; open it again under a new key.
+    /// No process holds this flow; open a new flow under a new key.
     FlowUnknown = 3,
-    /// The backend server is leaving.
+    /// The backend server is draining.
     Draining = 4,
     /// The backend server failed while the request ran.
     BackendFailed = 5,
-    /// The packet could not be read, or a field is out of range.
+    /// The packet could not be decoded, or a field is out of range.
     Malformed = 6,
     /// The version is not supported.
     BadVersion = 7,
     /// No service has this address.
     NoService = 8,
-    /// The service has no backend server that takes work.
+    /// The service has no backend server that accepts work.
     NoTarget = 9,
     /// The token does not name the holder of this flow.
     WrongHolder = 10,
     /// The request was cancelled by its caller.
     Cancelled = 11,
-    /// A table of the balancer is at its limit.
+    /// A table of the balancer is full.
     TableFull = 12,
     /// The payload or the answer is larger than the limit.
     TooLarge = 13,
-    /// The holder is being replaced; the flow comes back.
+    /// The holder is being replaced; its successor restores the flow. Retry.
     HolderAway = 14,
 }
 impl Reason {
