--- a/protocol/wire/src/caller.rs
+++ b/protocol/wire/src/caller.rs
@@ -18,17 +18,17 @@
 
 pub use schema::*;
 
-/// Version of the schema that this program speaks.
+/// Version of the schema that is sent and accepted.
 pub const VERSION: u32 = 1;
 
-/// Why a caller's packet was not accepted.
+/// Reason for rejecting a caller's packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display, Error)]
 pub enum Error {
-    /// the packet cannot be read; send one Packet of caller.proto in each datagram
+    /// the packet cannot be decoded, or its flow key, request id or body is missing; send one Packet of caller.proto in each datagram
     Malformed,
     /// the packet's version is not supported; use version 1
     Version,
-    /// the payload is larger than 16 KiB; send less in one request
+    /// the payload is larger than 16 KiB; split it over several requests
     TooLarge,
 }
 
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Wraps a refusal in a packet.
+    /// Builds a packet that refuses a request, or an open where `request` is 0.
     #[must_use]
     pub fn refuse(
         flow: FlowKey,
@@ -63,13 +63,13 @@
         )
     }
 
-    /// Wraps the refusal of a packet that was not accepted, naming the flow and
-    /// the request as far as they can be read. Such a packet never runs, nor
-    /// does a copy of it.
+    /// Builds the refusal of a packet that was rejected, with its flow key and
+    /// request id as far as they can be decoded. The outcome is
+    /// [`Outcome::NotRun`]: a retransmission is rejected for the same reason.
     #[must_use]
     pub fn reject(bytes: Bytes, error: Error) -> Self {
         let mut packet = Self::default();
-        // What was read before the error stays.
+        // The fields decoded before an error are kept.
         let _ = packet.merge(bytes);
         let request = match packet.body {
             Some(packet::Body::Request(request)) => request.request,
@@ -89,12 +89,12 @@
         self.encode_to_vec().into()
     }
 
-    /// Reads and checks a packet.
+    /// Decodes and validates a packet.
     ///
     /// # Errors
     ///
-    /// Any [`Error`]; the datagram is then to be counted and, where the sender
-    /// can use it, answered.
+    /// Any [`Error`]; the caller of this function counts the datagram and may
+    /// answer it with [`Packet::reject`].
     pub fn from_bytes(bytes: Bytes) -> Result<Self, Error> {
         let packet = Self::decode(bytes).map_err(|_| Error::Malformed)?;
         match &packet.body {
@@ -104,7 +104,8 @@
                 Err(Error::TooLarge)
             }
             Some(packet::Body::Request(request)) if request.request == 0 => Err(Error::Malformed),
-            // The refusal of a packet whose flow could not be read names none.
+            // The refusal of a packet whose flow key could not be decoded has
+            // flow key 0.
             Some(packet::Body::Refusal(_)) => Ok(packet),
             Some(_) if packet.flow == 0 => Err(Error::Malformed),
             Some(_) => Ok(packet),
@@ -112,16 +113,16 @@
     }
 }
 
-/// Reads the flow key of a packet that [`Packet::from_bytes`] refused, or
-/// `None` where there is none.
+/// Returns the flow key of a packet that [`Packet::from_bytes`] rejected, or
+/// `None` where it has none or cannot be decoded.
 #[must_use]
 pub fn flow_key(bytes: Bytes) -> Option<FlowKey> {
     let packet = Packet::decode(bytes).ok()?;
     (packet.flow != 0).then_some(packet.flow)
 }
 
-/// Reads the request id of a packet that [`Packet::from_bytes`] refused, or 0
-/// where there is none.
+/// Returns the request id of a packet that [`Packet::from_bytes`] rejected, or
+/// 0 where it has none or cannot be decoded.
 #[must_use]
 pub fn request_id(bytes: Bytes) -> RequestId {
     match Packet::decode(bytes).ok().and_then(|packet| packet.body) {
--- a/protocol/wire/src/frame.rs
+++ b/protocol/wire/src/frame.rs
@@ -12,7 +12,7 @@
 use crate::Token;
 use crate::Transit;
 
-/// Largest number of agents that one relayed packet visits.
+/// Largest number of agents on the path of one relayed packet.
 pub const MAX_HOPS: usize = 8;
 
 /// Largest payload of a request, in bytes.
@@ -21,29 +21,31 @@
 /// Largest datagram between processes or with callers, in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 20 * 1024;
 
-/// One datagram between two processes of the system.
+/// Content of one datagram between two processes of the system.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Frame {
-    /// A caller's packet on its way along the agents of a service.
+    /// A caller's packet that an entry or agent relays to an agent.
     Relay(Relay),
-    /// A packet on its way to a caller, through the entry that relayed.
+    /// A packet for a caller, sent through the entry that relayed the request.
     Reply(Reply),
-    /// Tells the home of some flows which agent holds them.
+    /// Tells the home agent of some flows which agent holds them.
     Pin(Pin),
-    /// Tells the home of some flows that they have ended.
+    /// Tells the home agent of some flows that they have ended.
     Unpin(Pin),
     /// A message of the membership protocol, opaque to this layer.
     Control(Bytes),
-    /// A datagram of a caller, handed over by the fabric.
+    /// A datagram between a caller and a service address, encapsulated by or
+    /// for the fabric.
     Sprayed(Sprayed),
-    /// A packet that is carried unread, or a message about its flow.
+    /// A packet that is forwarded without reading its content, or a message
+    /// about its flow.
     Transit(Transit),
 }
 
-/// A caller's packet on its way along the agents of a service.
+/// A caller's packet that is relayed along agents of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Relay {
-    /// Address of the caller, as the entry saw it.
+    /// Address of the caller, as received by the entry.
     pub caller: SocketAddr,
     /// The service that the caller sent to.
     pub service: ServiceAddress,
@@ -51,15 +53,18 @@
     pub entry: SocketAddr,
     /// Revision of the service's configuration that the entry used.
     pub revision: Revision,
-    /// First agent in the order of all targets: keeper of the flow's pin.
+    /// Home agent of the flow, which stores the flow's pin: the first in the
+    /// flow's order of all targets.
     pub home: Hop,
     /// Agents to visit, in order; [`MAX_HOPS`] at most.
     pub path: Vec<Hop>,
     /// Index in `path` of the agent that this frame is addressed to.
     pub position: u8,
-    /// Expected wait in milliseconds at each agent that passed an open on.
+    /// Bid of each agent that forwarded an open, in milliseconds: the expected
+    /// wait there, and the load of the flows that it holds.
     pub waits: Vec<u32>,
-    /// True on the last round: the agent takes the open or refuses it.
+    /// True for a settled open, which has visited all agents of the path: the
+    /// addressed agent accepts or refuses it.
     pub settle: bool,
     /// The caller's packet, as received.
     pub packet: Bytes,
@@ -68,42 +73,43 @@
 /// An agent on the path of a relayed packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Hop {
-    /// The backend server that the agent stands beside.
+    /// Id of the backend server that the agent serves.
     pub target: TargetId,
     /// UDP address of the agent.
     pub address: SocketAddr,
 }
 
-/// A packet on its way to a caller.
+/// A packet for a caller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reply {
     /// Address of the caller.
     pub caller: SocketAddr,
-    /// The service that the caller sent to; the source of the reply.
+    /// The service that the caller sent to; the source address of the reply.
     pub service: ServiceAddress,
     /// The encoded caller packet.
     pub packet: Bytes,
 }
 
-/// Names the holder of some flows.
+/// Pins of some flows: which agent holds them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pin {
     /// The service of the flows.
     pub service: ServiceAddress,
-    /// The incarnation that holds them.
+    /// Backend server and incarnation of the holder.
     pub holder: Token,
     /// UDP address of the holder.
     pub address: SocketAddr,
-    /// The flows.
+    /// Keys of the flows.
     pub flows: Vec<FlowKey>,
 }
 
-/// A datagram of a caller, handed over by the fabric, or one for it to deliver.
+/// A datagram of a caller that the fabric delivers to an entry, or one that an
+/// entry sends to a caller through the fabric.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sprayed {
     /// Address of the caller.
     pub caller: SocketAddr,
-    /// The service address at the other end.
+    /// The service address that the caller sends to or receives from.
     pub service: ServiceAddress,
     /// The datagram's payload.
     pub packet: Bytes,
--- a/protocol/wire/src/id.rs
+++ b/protocol/wire/src/id.rs
@@ -1,26 +1,26 @@
 //! Identifiers shared by all layers.
 use std::net::SocketAddr;
 
-/// Names a flow; chosen by its caller, opaque to the system.
+/// Key of a flow; chosen by its caller, opaque to the system.
 pub type FlowKey = u64;
 
-/// Names a request within its flow; chosen by its caller.
+/// Id of a request within its flow; chosen by its caller.
 pub type RequestId = u64;
 
-/// Names one backend server of one service; see [`target_id`].
+/// Id of one backend server of one service; see [`target_id`].
 pub type TargetId = u64;
 
 /// Start time of a process in microseconds since the Unix epoch. A larger
 /// incarnation of the same process replaces a smaller one.
 pub type Incarnation = u64;
 
-/// Revision of the configuration, as the platform's key-value service counts.
+/// Revision of the configuration, assigned by the platform's key-value service.
 pub type Revision = u64;
 
-/// Names an availability zone. Zones of one region share the upper byte.
+/// Id of an availability zone. Zones of one region have the same upper byte.
 pub type ZoneId = u16;
 
-/// The IP address and UDP port that callers of a service send to.
+/// IP address and UDP port that callers of a service send to.
 pub type ServiceAddress = SocketAddr;
 
 /// Derives the stable id of the backend server at `backend` of `service`.
--- a/protocol/wire/src/lib.rs
+++ b/protocol/wire/src/lib.rs
@@ -1,10 +1,10 @@
 //! Identifiers, caller packets and the frames that the system's processes
 //! exchange.
 //!
-//! * [`caller`] holds the schema of the datagrams that callers send.
-//! * [`Frame`] is one datagram between two processes of the system, encoded by
-//!   [`Seal`], which authenticates it.
-//! * [`Segment`] is what is read of a packet that is carried unchanged.
+//! * [`caller`] holds the schema of the datagrams between callers and services.
+//! * [`Frame`] is one datagram between two processes of the system; [`Seal`]
+//!   encodes and authenticates it.
+//! * [`Segment`] is the parsed header of a packet that is forwarded unchanged.
 //! * [`Target`] describes one backend server as its agent announces it.
 pub mod caller;
 pub mod frame;
--- a/protocol/wire/src/seal.rs
+++ b/protocol/wire/src/seal.rs
@@ -17,16 +17,17 @@
 const HEADER_LEN: usize = 3;
 const PREFIX_LEN: usize = HEADER_LEN + TAG_LEN;
 
-/// A key that the processes of one installation share.
+/// A secret key that the processes of one installation share.
 #[derive(Clone)]
 pub struct Key {
-    /// Names the key in a datagram.
+    /// Id that a message names its key by.
     pub id: u8,
-    /// The secret.
+    /// Key of the BLAKE3 tag.
     pub secret: [u8; KEY_LEN],
 }
 
-/// What a sealed message is for; one purpose is never taken for another.
+/// Kind of a sealed message. The tag covers it, so that a message of one kind is
+/// never accepted as another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[repr(u8)]
 pub enum Purpose {
@@ -38,32 +39,32 @@
     Answer,
 }
 
-/// Seals messages with the first key and opens those of every key.
+/// Signs messages with the first key and verifies them with any key.
 #[derive(Clone)]
 pub struct Seal {
     keys: Vec<Key>,
 }
 
-/// Why a message was not accepted.
+/// Reason for rejecting a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display, Error)]
 pub enum Error {
-    /// the message is shorter than its header; check what else sends to this port
+    /// the message is shorter than its header and tag of 19 bytes; check what else sends to this port
     Truncated,
-    /// the message's version is not supported; upgrade the older process
+    /// the message's version is not 1; upgrade the older process
     Version,
-    /// the message has another purpose; check that the address is of the right port
+    /// the message was sealed for another purpose; check that the sender's address names the right port
     Purpose,
-    /// the message's key id is unknown; give both processes a key in common
+    /// no configured key has the message's key id; give both processes a key in common
     UnknownKey,
-    /// the message's tag does not match; check that both processes have the same secret
+    /// the message's tag does not match; check that both processes have the same secret for this key id
     BadTag,
-    /// the message's content cannot be read; upgrade the older process
+    /// the message's content cannot be encoded or decoded; upgrade the older process
     Malformed,
 }
 
 impl Seal {
-    /// Uses `sign` for what is sent, and `sign` or any of `accept` for what is
-    /// received. Two keys in force allow rotation.
+    /// Signs with `sign`, and verifies with `sign` and all keys of `accept`.
+    /// Accepting a second key allows rotation without an interruption.
     #[must_use]
     pub fn new(sign: Key, accept: Vec<Key>) -> Self {
         let mut keys = vec![sign];
@@ -80,16 +81,16 @@
         self.seal_as(Purpose::Frame, frame)
     }
 
-    /// Checks and decodes a datagram.
+    /// Verifies and decodes a datagram.
     ///
     /// # Errors
     ///
-    /// Any [`Error`]; the datagram is then to be dropped and counted.
+    /// Any [`Error`]; the caller counts and drops the datagram.
     pub fn open(&self, datagram: &[u8]) -> Result<Frame, Error> {
         self.open_as(Purpose::Frame, datagram)
     }
 
-    /// Encodes and signs content of any kind.
+    /// Encodes and signs content for a purpose.
     ///
     /// # Errors
     ///
@@ -104,11 +105,11 @@
         Ok(message)
     }
 
-    /// Checks and decodes content of any kind.
+    /// Verifies and decodes content that was sealed for a purpose.
     ///
     /// # Errors
     ///
-    /// Any [`Error`]; the message is then to be dropped and counted.
+    /// Any [`Error`]; the caller counts and drops the message.
     pub fn open_as<T: DeserializeOwned>(
         &self,
         purpose: Purpose,
--- a/protocol/wire/src/segment.rs
+++ b/protocol/wire/src/segment.rs
@@ -1,5 +1,5 @@
-//! What the system reads of a packet that it carries unchanged between a caller
-//! and a backend server.
+//! The parsed header of packets that the system forwards unchanged between a
+//! caller and a backend server.
 use std::net::SocketAddrV4;
 
 use serde::Deserialize;
@@ -7,30 +7,30 @@
 
 use crate::FlowKey;
 
-/// The header of a carried packet. Its content is never read.
+/// Header of a forwarded packet. The system never reads the content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Segment {
-    /// Address of the end that sent it.
+    /// Address of the sender.
     pub source: SocketAddrV4,
-    /// Address of the end that it is for.
+    /// Address of the receiver.
     pub destination: SocketAddrV4,
-    /// What it does to the flow.
+    /// Effect on the flow.
     pub kind: Kind,
-    /// True where the backend server handed it back because it does not hold
-    /// the flow, or does not accept it.
+    /// True where the backend server returned the packet because it does not
+    /// hold the flow or refuses to accept it.
     pub is_returned: bool,
-    /// Position of the content in the sender's stream.
+    /// Sequence number: position of the content in the sender's stream.
     pub sequence: u32,
-    /// Position up to which the sender has received; for an opening packet the
-    /// number of earlier copies.
+    /// Acknowledgement number: position up to which the sender has received.
+    /// In an opening packet, the number of earlier transmissions.
     pub acknowledged: u32,
-    /// Bytes of content.
+    /// Length of the content in bytes.
     pub length: u16,
-    /// A word that a backend server hands back unchanged.
+    /// Echo value, which a backend server returns unchanged.
     pub mark: u32,
 }
 
-/// What a packet does to its flow.
+/// Effect of a packet on its flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Kind {
     /// The caller opens the flow.
@@ -39,13 +39,13 @@
     Accept,
     /// Content, or an acknowledgement without any.
     Data,
-    /// The sender has no more content after this packet's.
+    /// The sender has no more content after that of this packet.
     Close,
-    /// The sender gives the flow up.
+    /// The sender aborts the flow.
     Reset,
 }
 
-/// Names a carried flow: its two ends.
+/// Id of a forwarded flow: the addresses of its two ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct FlowId {
     /// Address of the caller.
@@ -55,7 +55,7 @@
 }
 
 impl Segment {
-    /// The flow of a packet that a caller sent.
+    /// Returns the flow of a packet that a caller sent.
     #[must_use]
     pub const fn from_caller(&self) -> FlowId {
         FlowId {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The flow of a packet that a backend server sent.
+    /// Returns the flow of a packet that a backend server sent.
     #[must_use]
     pub const fn from_server(&self) -> FlowId {
         FlowId {
@@ -73,7 +73,7 @@
         }
     }
 
-    /// True for an opening packet that the caller sent again.
+    /// Returns true for a retransmitted opening packet.
     #[must_use]
     pub fn is_copy(&self) -> bool {
         self.kind == Kind::Open && self.acknowledged > 0
@@ -81,7 +81,7 @@
 }
 
 impl FlowId {
-    /// The caller's address and port as a number; not mixed.
+    /// Returns the caller's address and port as one number, without hashing.
     #[must_use]
     pub fn caller_key(&self) -> FlowKey {
         u64::from(self.caller.ip().to_bits()) << u16::BITS | u64::from(self.caller.port())
--- a/protocol/wire/src/target.rs
+++ b/protocol/wire/src/target.rs
@@ -1,4 +1,4 @@
-//! What an agent announces of the backend server beside it.
+//! The announcement that an agent makes of its backend server.
 use std::net::SocketAddr;
 
 use serde::Deserialize;
@@ -10,7 +10,7 @@
 use crate::TargetId;
 use crate::ZoneId;
 
-/// One backend server of one service, as announced by the agent beside it.
+/// One backend server of one service, as announced by its agent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
     /// Stable id; see [`crate::id::target_id`].
@@ -25,29 +25,29 @@
     pub zone: ZoneId,
     /// Start time of the agent; orders the announcements of one target.
     pub incarnation: Incarnation,
-    /// Counts the changes of this announcement within one incarnation.
+    /// Number of changes of this announcement within one incarnation.
     pub version: u32,
     /// Learned capacity in requests a second, in coarse steps; at least 1.
     pub weight: u32,
-    /// Requests that the backend server runs at a time.
+    /// Number of requests that the backend server runs concurrently.
     pub slots: u16,
-    /// Whether it takes new flows.
+    /// Whether the backend server accepts new flows.
     pub state: State,
 }
 
-/// Whether a backend server takes new work.
+/// Whether a backend server accepts new flows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum State {
-    /// Takes new flows.
+    /// Accepts new flows.
     Ready,
-    /// Finishes the flows it holds and takes no new ones.
+    /// Completes the flows it holds and accepts no new ones.
     Draining,
-    /// Has left for good.
+    /// Has left the system.
     Left,
 }
 
 impl Target {
-    /// Its agent, on the path of a packet.
+    /// Returns its agent as a hop on the path of a packet.
     #[must_use]
     pub const fn hop(&self) -> Hop {
         Hop {
@@ -56,7 +56,8 @@
         }
     }
 
-    /// Orders two announcements of the same target: the larger one is newer.
+    /// Returns the stamp of this announcement. Of two announcements of one
+    /// target, the one with the larger stamp is newer.
     #[must_use]
     pub const fn stamp(&self) -> Stamp {
         Stamp {
--- a/protocol/wire/src/token.rs
+++ b/protocol/wire/src/token.rs
@@ -1,4 +1,4 @@
-//! The token that names the holder of a flow.
+//! The token that identifies the holder of a flow.
 use serde::Deserialize;
 use serde::Serialize;
 
@@ -8,8 +8,8 @@
 /// Number of bytes of an encoded token.
 pub const TOKEN_LEN: usize = 16;
 
-/// Names the process that holds a flow: a backend server and the incarnation
-/// of the agent beside it.
+/// Identity of the process that holds a flow: a backend server and the
+/// incarnation of its agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Token {
     /// The backend server.
@@ -26,8 +26,8 @@
         value.to_be_bytes()
     }
 
-    /// Reads a token that a caller sent back, or `None` where its length is
-    /// wrong.
+    /// Decodes a token that a caller returned; `None` where it does not have
+    /// [`TOKEN_LEN`] bytes.
     #[must_use]
     pub fn from_bytes(bytes: &[u8]) -> Option<Self> {
         let bytes: [u8; TOKEN_LEN] = bytes.try_into().ok()?;
--- a/protocol/wire/src/transit.rs
+++ b/protocol/wire/src/transit.rs
@@ -1,4 +1,5 @@
-//! Frames that carry the packets of callers unread between entries and agents.
+//! Frames about forwarded flows, whose packets entries and agents relay without
+//! reading the content.
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -12,41 +13,44 @@
 
 const MICROS_PER_SECOND: u32 = 1_000_000;
 
-/// A frame about a carried flow.
+/// A frame about a forwarded flow.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Transit {
-    /// An opening packet on its way along some agents.
+    /// Offers an opening packet to agents, one after another.
     Open(Open),
-    /// A packet for the agent that is believed to hold its flow.
+    /// Forwards a packet to the agent that is believed to hold its flow.
     Carry(Carry),
-    /// A packet whose holder an agent is to find among those of its service.
+    /// Asks one agent to search all agents of its service for the holder of a
+    /// packet's flow.
     Search(Search),
-    /// A packet whose holder is not known: only the holder delivers it.
+    /// Lookup of the holder: asks one agent to deliver a packet only if it
+    /// holds the flow.
     Seek(Seek),
-    /// Names the holder of a flow.
+    /// Reports the holder of a flow.
     Held(Held),
-    /// Says that an agent does not hold a flow, or returns its packet.
+    /// Reports that an agent does not hold a flow, or returns its packet.
     Absent(Absent),
-    /// Says that no agent of a service holds a flow.
+    /// Reports that no agent of a service holds a flow.
     Unheld(Unheld),
-    /// Tells the load of a backend server that did not take a flow.
+    /// Reports the load of a backend server that did not accept a flow.
     Busy(Busy),
 }
 
-/// An opening packet on its way along some agents.
+/// An opening packet that is offered to agents, one after another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Open {
-    /// The entry that is told who holds the flow.
+    /// The entry that the holder of the flow reports to.
     pub entry: SocketAddr,
     /// Agents to visit, in order.
     pub path: Vec<Hop>,
     /// Index in `path` of the agent that this frame is addressed to.
     pub position: u8,
-    /// Bid of each agent that passed the packet on, in milliseconds.
+    /// Bid of each agent that forwarded the packet, in milliseconds.
     pub bids: Vec<u32>,
-    /// True once all agents have bid: this one takes the flow or refuses it.
+    /// True once all agents have bid: the open goes to the lowest bidder, or to
+    /// the next lowest where that one can no longer accept it.
     pub is_settled: bool,
-    /// Longest wait for a slot that is of use to the caller, in milliseconds.
+    /// Longest wait for a slot that is useful to the caller, in milliseconds.
     pub patience_ms: u32,
     /// The caller's packet.
     pub packet: Bytes,
@@ -55,133 +59,136 @@
 /// A packet for a flow that is open or opening.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Carry {
-    /// The backend server that the frame is meant for.
+    /// The backend server that the frame is addressed to.
     pub target: TargetId,
-    /// The entry that the packet came through.
+    /// The entry that received the packet.
     pub entry: SocketAddr,
     /// The caller's packet.
     pub packet: Bytes,
 }
 
-/// A packet whose holder an agent is to find among those of its service, so that
-/// the entry sends one frame and not one to each of them.
+/// A packet of a flow whose holder is unknown to the entry. One agent looks the
+/// holder up among all agents of its service, so that the entry sends one frame
+/// instead of one to each agent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Search {
     /// The backend server whose agent searches.
     pub target: TargetId,
-    /// The entry that the packet came through; the holder names itself to it.
+    /// The entry that received the packet; the holder reports itself to it.
     pub entry: SocketAddr,
-    /// How the agents are asked.
+    /// Options of the lookups.
     pub terms: Terms,
-    /// Agents of the service that the entry knows.
+    /// Number of agents of the service that the entry knows.
     pub known: u16,
     /// The caller's packet.
     pub packet: Bytes,
 }
 
-/// A packet whose holder is not known: only the holder delivers it.
+/// A packet of a flow whose holder is unknown; only the holder delivers it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Seek {
-    /// The backend server that the frame is meant for.
+    /// The backend server that the frame is addressed to.
     pub target: TargetId,
-    /// The entry that the packet came through; the holder names itself to it.
+    /// The entry that received the packet; the holder reports itself to it.
     pub entry: SocketAddr,
-    /// The agent that searches; who surely does not hold the flow says so to it.
+    /// The agent that searches; agents that are certain not to hold the flow
+    /// report so to it.
     pub asker: SocketAddr,
-    /// How the agent is asked.
+    /// Options of the lookup.
     pub terms: Terms,
     /// The caller's packet.
     pub packet: Bytes,
 }
 
-/// How agents are asked whether they hold a flow.
+/// Options of a lookup for the holder of a flow.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Terms {
-    /// Whether an agent that cannot know may try the packet at its backend
-    /// server, which hands back what it does not hold.
+    /// Whether an agent that cannot tell may probe its backend server: deliver
+    /// the packet, which the server returns if it does not hold the flow.
     pub may_try: bool,
-    /// An agent that surely does not hold the flow says so where its backend
-    /// server has run for this time at most, in milliseconds.
+    /// Largest age of a backend server, in milliseconds since its start, at
+    /// which its agent reports that it is certain not to hold the flow.
     pub max_age_ms: u32,
 }
 
-/// Names the holder of a flow.
+/// Report of the holder of a flow.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Held {
     /// The flow.
     pub flow: FlowId,
-    /// The holder, and where its agent is.
+    /// The holder, with the address of its agent.
     pub holder: Hop,
-    /// When the holder's backend server started, by its own clock, if known.
+    /// Start time of the holder's backend server in milliseconds since the Unix
+    /// epoch, by the server's own clock; `None` where unknown.
     pub start: Option<u64>,
-    /// The holder's load, where it says so itself.
+    /// Load of the holder, where the holder itself sends the report.
     pub load: Option<Load>,
 }
 
-/// Says that an agent does not hold a flow.
+/// Report that an agent does not hold a flow.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Absent {
     /// The flow.
     pub flow: FlowId,
     /// The backend server that does not hold the flow.
     pub target: TargetId,
-    /// Position up to which the caller has received.
+    /// Position in its incoming stream up to which the caller has received.
     pub acknowledged: u32,
-    /// Longest time for which the backend server can have run, in milliseconds,
-    /// where it surely does not hold the flow.
+    /// Upper bound of the time since the backend server started, in
+    /// milliseconds; `None` unless it is certain not to hold the flow.
     pub age_ms: Option<u32>,
-    /// When it started, by its own clock, likewise.
+    /// Start time of the backend server in milliseconds since the Unix epoch,
+    /// by its own clock; `None` in the same case.
     pub start: Option<u64>,
-    /// The caller's packet; empty in the answer to a [`Seek`].
+    /// The caller's packet; empty in the reply to a [`Seek`].
     pub packet: Bytes,
 }
 
-/// Says that no agent of a service holds a flow, which has ended therefore.
+/// Report that no agent of a service holds a flow, which has therefore ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Unheld {
     /// The flow.
     pub flow: FlowId,
     /// The backend server whose agent has searched.
     pub target: TargetId,
-    /// Position up to which the caller has received.
+    /// Position in its incoming stream up to which the caller has received.
     pub acknowledged: u32,
 }
 
-/// Tells the load of a backend server that did not take a flow.
+/// Load of a backend server that did not accept a flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Busy {
     /// The backend server.
     pub target: TargetId,
-    /// Its load.
+    /// Load of the backend server.
     pub load: Load,
 }
 
-/// Load of a backend server, as its agent sees it.
+/// Load of a backend server, as measured by its agent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// Requests that run or wait.
+    /// Number of requests that run or wait.
     pub running: u16,
-    /// Requests that run at a time.
+    /// Number of requests that the backend server runs concurrently.
     pub slots: u16,
     /// Mean service time of a request, in microseconds.
     pub service_us: u32,
-    /// Work that the held flows are expected to bring, as a wait in
-    /// microseconds.
+    /// Additional wait that requests of the held flows are expected to cause,
+    /// in microseconds.
     pub held_us: u32,
-    /// What a request is expected to lose through failures, as a wait in
-    /// microseconds.
+    /// Expected cost of failures to a request, as a wait in microseconds.
     pub risk_us: u32,
 }
 
 impl Load {
-    /// Expected wait of a request that comes now, before it begins to run.
+    /// Returns the expected time in the queue of a request that arrives now.
     #[must_use]
     pub fn wait(&self) -> Duration {
         let ahead = self.running.saturating_add(1).saturating_sub(self.slots);
         self.service_time() * u32::from(ahead) / u32::from(self.slots.max(1))
     }
 
-    /// Requests that can be served in a second, at least 1.
+    /// Returns the service rate in requests a second; at least 1.
     #[must_use]
     pub fn rate(&self) -> u32 {
         let service_us = self.service_us.max(1);
@@ -190,19 +197,20 @@
             .max(1)
     }
 
-    /// Mean service time of a request.
+    /// Returns the mean service time of a request.
     #[must_use]
     pub const fn service_time(&self) -> Duration {
         Duration::from_micros(self.service_us as u64)
     }
 
-    /// What a request is expected to lose through failures, as a wait.
+    /// Returns the expected cost of failures to a request, as a wait.
     #[must_use]
     pub const fn risk(&self) -> Duration {
         Duration::from_micros(self.risk_us as u64)
     }
 
-    /// Work that the held flows are expected to bring, as a wait.
+    /// Returns the additional wait that requests of the held flows are expected
+    /// to cause.
     #[must_use]
     pub const fn held(&self) -> Duration {
         Duration::from_micros(self.held_us as u64)
--- a/protocol/wire/tests/caller.rs
+++ b/protocol/wire/tests/caller.rs
@@ -1,4 +1,4 @@
-//! What is accepted of a caller's packet.
+//! Encoding and validation of callers' packets and of tokens.
 use bytes::Bytes;
 use cases::cases;
 use proptest::collection::vec;
@@ -23,31 +23,31 @@
     Packet::new(FLOW, Body::Request(request))
 }
 
-/// A packet and the verdict on it.
-struct Checked {
+/// A packet and the expected error of its validation, if any.
+struct Validation {
     packet: Packet,
     error: Option<Error>,
 }
 
-fn checks(case: &Checked) {
-    let verdict = Packet::from_bytes(case.packet.to_bytes());
-    assert_eq!(verdict.err(), case.error);
+fn validates(case: &Validation) {
+    let result = Packet::from_bytes(case.packet.to_bytes());
+    assert_eq!(result.err(), case.error);
 }
 
-cases! { checks;
-    the_largest_payload: &Checked { packet: request(1, MAX_PAYLOAD_BYTES), error: None },
-    a_larger_payload:
-        &Checked { packet: request(1, MAX_PAYLOAD_BYTES + 1), error: Some(Error::TooLarge) },
-    a_request_id_of_zero: &Checked { packet: request(0, 1), error: Some(Error::Malformed) },
-    a_flow_key_of_zero: &Checked {
+cases! { validates;
+    the_largest_payload_is_accepted: &Validation { packet: request(1, MAX_PAYLOAD_BYTES), error: None },
+    a_larger_payload_is_too_large:
+        &Validation { packet: request(1, MAX_PAYLOAD_BYTES + 1), error: Some(Error::TooLarge) },
+    a_zero_request_id_is_malformed: &Validation { packet: request(0, 1), error: Some(Error::Malformed) },
+    a_zero_flow_key_is_malformed: &Validation {
         packet: Packet::new(0, Body::Open(Open::default())),
         error: Some(Error::Malformed)
     },
-    no_body: &Checked {
+    a_missing_body_is_malformed: &Validation {
         packet: Packet { version: 1, flow: FLOW, body: None },
         error: Some(Error::Malformed)
     },
-    version_zero: &Checked {
+    version_zero_is_not_supported: &Validation {
         packet: Packet { version: 0, ..request(1, 1) },
         error: Some(Error::Version)
     },
@@ -55,12 +55,12 @@
 
 proptest! {
     #[test]
-    fn noise_never_panics(noise in vec(any::<u8>(), 0..300)) {
-        let _ = Packet::from_bytes(noise.into());
+    fn no_bytes_make_the_decoder_panic(bytes in vec(any::<u8>(), 0..300)) {
+        let _ = Packet::from_bytes(bytes.into());
     }
 
     #[test]
-    fn a_cut_packet_is_never_taken_for_another(length in 0usize..40) {
+    fn a_truncated_packet_never_decodes_to_another_flow(length in 0usize..40) {
         let whole = request(9, 20).to_bytes();
         let cut = whole.slice(..length.min(whole.len() - 1));
         if let Ok(packet) = Packet::from_bytes(cut) {
@@ -69,13 +69,13 @@
     }
 
     #[test]
-    fn a_token_survives_its_encoding(target: u64, incarnation: u64) {
+    fn a_token_decodes_to_what_was_encoded(target: u64, incarnation: u64) {
         let token = Token { target, incarnation };
         assert_eq!(Token::from_bytes(&token.to_bytes()), Some(token));
     }
 }
 
 #[test]
-fn a_token_of_another_length_is_none() {
+fn a_token_of_wrong_length_is_rejected() {
     assert_eq!(Token::from_bytes(&Bytes::from_static(b"short")), None);
 }
--- a/protocol/wire/tests/seal.rs
+++ b/protocol/wire/tests/seal.rs
@@ -1,4 +1,4 @@
-//! What a sealed message proves.
+//! Authentication of sealed messages.
 use bytes::Bytes;
 use cases::cases;
 use proptest::collection::vec;
@@ -27,26 +27,26 @@
 }
 
 #[test]
-fn either_key_opens_during_a_rotation() {
+fn messages_of_both_keys_are_accepted_during_a_key_rotation() {
     let receiver = Seal::new(key(2), vec![key(1)]);
     assert_eq!(receiver.open(&sealed()), Ok(frame()));
     let sent = receiver.seal(&frame()).expect("sealed");
     assert_eq!(Seal::new(key(2), vec![]).open(&sent), Ok(frame()));
 }
 
-/// A change of a sealed message and the reason it is refused for.
+/// A change to a sealed message and the expected error.
 struct Tampered {
     change: fn(&mut Vec<u8>),
     error: Error,
 }
 
-fn refuses(case: &Tampered) {
+fn is_rejected(case: &Tampered) {
     let mut message = sealed();
     (case.change)(&mut message);
     assert_eq!(Seal::new(key(1), vec![]).open(&message), Err(case.error));
 }
 
-cases! { refuses;
+cases! { is_rejected;
     an_empty_message: &Tampered { change: Vec::clear, error: Error::Truncated },
     another_version: &Tampered { change: |message| message[0] ^= 1, error: Error::Version },
     an_unknown_key: &Tampered { change: |message| message[1] = 9, error: Error::UnknownKey },
@@ -54,11 +54,11 @@
     a_changed_tag: &Tampered { change: |message| message[3] ^= 1, error: Error::BadTag },
     a_changed_content:
         &Tampered { change: |message| *message.last_mut().expect("content") ^= 1, error: Error::BadTag },
-    a_cut_content: &Tampered { change: |message| message.truncate(message.len() - 1), error: Error::BadTag },
+    a_truncated_content: &Tampered { change: |message| message.truncate(message.len() - 1), error: Error::BadTag },
 }
 
 #[test]
-fn the_same_id_with_another_secret_is_refused() {
+fn a_key_with_the_same_id_and_another_secret_is_rejected() {
     let mut other = key(1);
     other.secret[0] ^= 1;
     let receiver = Seal::new(other, vec![]);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_frame_is_not_taken_for_a_call() {
+fn a_frame_is_not_accepted_as_a_call() {
     let seal = Seal::new(key(1), vec![]);
     let opened: Result<Frame, Error> = seal.open_as(Purpose::Call, &sealed());
     assert_eq!(opened, Err(Error::Purpose));
@@ -74,7 +74,7 @@
 
 proptest! {
     #[test]
-    fn noise_is_refused(noise in vec(any::<u8>(), 0..300)) {
-        assert!(Seal::new(key(1), vec![]).open(&noise).is_err());
+    fn random_bytes_are_rejected(bytes in vec(any::<u8>(), 0..300)) {
+        assert!(Seal::new(key(1), vec![]).open(&bytes).is_err());
     }
 }
--- a/transport/net/src/backend.rs
+++ b/transport/net/src/backend.rs
@@ -21,20 +21,20 @@
 use thiserror::Error;
 use wire::RequestId;
 
-/// Time to wait before a shedding backend server is asked again, where it does
-/// not say.
+/// Time to wait before a retry at a backend server that sheds load without a
+/// `Retry-After` header in seconds.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// Longest wait for a connection to the backend server.
+/// Longest time to establish a connection to the backend server.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Idle connections kept for reuse.
+/// Largest number of idle connections that are kept for reuse.
 const MAX_IDLE_CONNECTIONS: usize = 256;
 
 type Sender = http1::SendRequest<Full<Bytes>>;
 
-/// Runs requests on one backend server. Dropping the future of a run closes its
-/// connection, which cancels the request.
+/// HTTP client that runs requests on one backend server. Dropping the future of
+/// [`Client::run`] closes the connection, which cancels the request.
 pub struct Client {
     backend: SocketAddr,
     max_answer_bytes: usize,
@@ -43,41 +43,41 @@
 
 /// One run of a request.
 pub struct Run {
-    /// The caller's id of the request.
+    /// Id of the request, chosen by its caller.
     pub request: RequestId,
-    /// True where running twice does no harm.
+    /// True where running the request more than once does no harm.
     pub idempotent: bool,
-    /// Time left until the caller gives up.
+    /// Time left until the deadline.
     pub timeout: Duration,
-    /// What the caller sent.
+    /// Payload of the request.
     pub payload: Bytes,
 }
 
-/// Why a request has no answer.
+/// Failure of a request that got no complete answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, Error)]
 pub enum Error {
-    /// the backend server cannot be reached; start it or correct the backend address
+    /// cannot connect to the backend server; start it or correct the backend address
     Unreachable,
-    /// the deadline passed before the request was sent; allow more time
+    /// the deadline passed before the request was sent; set a longer deadline
     Expired,
-    /// the backend server sheds load; ask again later
+    /// the backend server sheds load; retry after a delay
     Shed {
-        /// When to come back.
+        /// Time to wait before a retry.
         retry_after: Duration,
     },
-    /// the connection broke while the request ran; its outcome is unknown
+    /// the connection closed before the whole answer arrived, so the request may have run; see the log of the backend server
     Broken,
-    /// the backend server did not answer within the deadline
+    /// the backend server did not answer within the deadline, so the request may have run; set a longer deadline
     Timeout,
-    /// the backend server answered with status {0}; see its own log
+    /// the backend server answered with HTTP status {0}; see its log
     Status(u16),
-    /// the answer is larger than the service's limit; raise the limit or send less
+    /// the answer is larger than the limit in bytes; raise the limit or answer with less
     TooLarge,
 }
 
 impl Client {
-    /// Runs requests on the backend server at `backend`, which may answer with
-    /// `max_answer_bytes` at most.
+    /// Creates a client of the backend server at `backend` that accepts answers
+    /// of up to `max_answer_bytes`.
     #[must_use]
     pub const fn new(backend: SocketAddr, max_answer_bytes: usize) -> Self {
         Self {
@@ -91,8 +91,8 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Unreachable`], [`Error::Expired`] and [`Error::Shed`] say that
-    /// the request did not run; after any other error it may have run.
+    /// After [`Error::Unreachable`], [`Error::Expired`] and [`Error::Shed`] the
+    /// request did not run; after any other error it may have run.
     pub async fn run(&self, run: Run) -> Result<Bytes, Error> {
         if run.timeout.is_zero() {
             return Err(Error::Expired);
@@ -111,7 +111,8 @@
             match sender.try_send_request(request).await {
                 Ok(response) => break response,
                 Err(mut error) => match error.take_message() {
-                    // The connection closed before the request was sent.
+                    // The connection closed before the request was sent; send
+                    // it on a new one.
                     Some(unsent) => request = unsent,
                     None => return Err(Error::Broken),
                 },
@@ -143,11 +144,11 @@
         }
     }
 
-    /// Takes an idle connection that is still open, or makes a new one.
+    /// Returns an idle connection that is still open, or a new one.
     ///
-    /// The backend server may close an idle connection at the moment it is used
-    /// again, which leaves open whether the request ran. A request that must not
-    /// run twice gets a connection of its own.
+    /// The backend server may close an idle connection just as it is reused, and
+    /// then it is unknown whether the request ran. Requests that must not run
+    /// twice therefore always use a new connection.
     async fn acquire_sender(&self, idempotent: bool) -> Result<Sender, Error> {
         while let Some(mut sender) = self.take_idle(idempotent) {
             if sender.ready().await.is_ok() {
--- a/transport/net/src/http.rs
+++ b/transport/net/src/http.rs
@@ -1,4 +1,4 @@
-//! Serves small HTTP requests.
+//! HTTP/1.1 server for small requests: probes, metrics and announcements.
 use std::convert::Infallible;
 use std::future::Future;
 use std::io;
@@ -24,40 +24,42 @@
 use smol::net::TcpStream;
 use smol_hyper::rt::FuturesIo;
 
-/// Largest body that is read, in bytes.
+/// Largest request body, in bytes.
 const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// Time that a connection may stay open.
+/// Longest time that a connection stays open.
 const CONNECTION_LIFETIME: Duration = Duration::from_secs(20);
 
-/// Connections that are served at a time; more wait in the kernel's queue.
+/// Largest number of concurrent connections; further ones are closed once they
+/// are accepted.
 const MAX_CONNECTIONS: usize = 256;
 
-/// A request.
+/// An HTTP request whose body has been read completely.
 #[derive(Clone, Debug)]
 pub struct Question {
     /// HTTP method.
     pub method: Method,
-    /// Path without its query.
+    /// Path without the query.
     pub path: String,
-    /// Query, empty for none.
+    /// Query string, empty for none.
     pub query: String,
     /// Body.
     pub body: Bytes,
 }
 
-/// The answer to a request.
+/// An HTTP response.
 #[derive(Clone, Debug)]
 pub struct Answer {
     /// HTTP status.
     pub status: StatusCode,
-    /// Type of the body.
+    /// Content type of the body.
     pub content_type: &'static str,
     /// Body.
     pub body: String,
 }
 
-/// Serves an address on an executor; the address that was bound.
+/// Listens on `address`, answers requests with `answer` on the executor, and
+/// returns the bound address.
 ///
 /// # Errors
 ///
@@ -90,7 +92,8 @@
             Ok(accepted) => accepted,
             Err(error) => {
                 log::warn!(
-                    "a connection was not accepted: {error}; raise the limit of descriptors"
+                    "cannot accept an HTTP connection: {error}; retrying in \
+                     {ACCEPT_RETRY_DELAY:?}; raise the limit of open files if it is reached"
                 );
                 Timer::after(ACCEPT_RETRY_DELAY).await;
                 continue;
@@ -109,7 +112,8 @@
     }
 }
 
-/// Pause after a connection could not be accepted.
+/// Delay after a failed accept. Without it, accepting would spin while the
+/// process has no free file descriptor.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 async fn serve_connection<F>(stream: TcpStream, answer: impl Fn(Question) -> F + Clone)
@@ -125,7 +129,7 @@
         Timer::after(CONNECTION_LIFETIME).await;
         Ok(())
     };
-    // An error here is a client that left.
+    // An error here means that the client closed the connection.
     let _ = connection.or(lifetime).await;
 }
 
--- a/transport/net/src/port.rs
+++ b/transport/net/src/port.rs
@@ -1,4 +1,4 @@
-//! A UDP port that carries authenticated frames.
+//! A UDP socket for authenticated frames.
 use std::io;
 use std::net::SocketAddr;
 use std::net::UdpSocket;
@@ -15,13 +15,14 @@
 use wire::ServiceAddress;
 use wire::frame::MAX_DATAGRAM_BYTES;
 
-/// Bytes of the kernel's buffer for datagrams not yet read.
+/// Size of the socket's receive buffer, in bytes.
 const RECEIVE_BUFFER_BYTES: usize = 4 * 1024 * 1024;
 
-/// Longest time that sending a datagram may wait for room in the kernel.
+/// Longest time that a blocking send waits for room in the send buffer.
 const SEND_TIMEOUT: Duration = Duration::from_millis(1);
 
-/// A UDP port that carries authenticated frames. Clones share the socket.
+/// A UDP socket that sends and receives authenticated frames. Clones share the
+/// socket and the counters.
 #[derive(Clone)]
 pub struct Port {
     socket: Socket,
@@ -29,25 +30,25 @@
     counters: Arc<Counters>,
 }
 
-/// How the socket of a port is waited for.
+/// The UDP socket of a port, by how its reader waits for datagrams.
 #[derive(Clone)]
 enum Socket {
-    /// By the executor's reactor.
+    /// Non-blocking; the reactor wakes the reader.
     Async(Arc<Async<UdpSocket>>),
-    /// By the thread that reads, for some time at most.
+    /// Blocking; the read itself waits, up to the socket's timeout.
     Blocking(Arc<UdpSocket>),
 }
 
-/// Reads the frames of a port into a buffer of its own, one for each thread.
+/// Reader of a port's frames with its own buffer; each thread has one.
 pub struct Receiver {
     port: Port,
     buffer: Box<[u8]>,
 }
 
-/// Counts what a port dropped or sent, by reason.
+/// Counters of a port: datagrams received, sent and refused, by reason.
 #[derive(Default)]
 pub struct Counters {
-    /// Datagrams received, good or bad.
+    /// Datagrams received, including refused ones.
     pub received: AtomicU64,
     /// Bytes received.
     pub received_bytes: AtomicU64,
@@ -55,27 +56,27 @@
     pub sent: AtomicU64,
     /// Bytes sent.
     pub sent_bytes: AtomicU64,
-    /// Datagrams that were shorter than their header.
+    /// Datagrams refused because they were shorter than header and tag.
     pub truncated: AtomicU64,
-    /// Datagrams of another version.
+    /// Datagrams refused for their version.
     pub version: AtomicU64,
-    /// Datagrams of another purpose.
+    /// Datagrams refused because they were sealed for another purpose.
     pub purpose: AtomicU64,
-    /// Datagrams under a key that is not configured.
+    /// Datagrams refused because their key is not configured.
     pub unknown_key: AtomicU64,
-    /// Datagrams whose tag did not match.
+    /// Datagrams refused because their tag did not match.
     pub bad_tag: AtomicU64,
-    /// Datagrams whose frame could not be read.
+    /// Datagrams refused because their frame could not be decoded.
     pub malformed: AtomicU64,
-    /// Frames that the kernel did not take.
+    /// Frames that could not be encoded or that the kernel did not accept.
     pub send_failed: AtomicU64,
 }
 
-/// A counter and its name.
+/// A counter with its metric name.
 pub struct Named<'a> {
-    /// Its name, with the reason.
+    /// Metric name, followed by the reason where there is one.
     pub name: &'static str,
-    /// Its value.
+    /// The counter.
     pub value: &'a AtomicU64,
 }
 
@@ -98,14 +99,14 @@
     async fn readable(&self) -> io::Result<()> {
         match self {
             Self::Async(socket) => socket.readable().await,
-            // The next read waits.
+            // The next read blocks until a datagram arrives.
             Self::Blocking(_) => Ok(()),
         }
     }
 }
 
 impl Port {
-    /// Binds `address`.
+    /// Binds a non-blocking socket to `address`.
     ///
     /// # Errors
     ///
@@ -120,8 +121,8 @@
         })
     }
 
-    /// Binds `address` for a thread that does nothing else than read it, which
-    /// costs one system call a datagram. A read returns after `wait` at most.
+    /// Binds a blocking socket to `address`, for a thread that only reads from
+    /// it: one system call per datagram. A read times out after `wait`.
     ///
     /// # Errors
     ///
@@ -158,8 +159,8 @@
         }
     }
 
-    /// Sends a frame. A datagram that the kernel does not take is lost, as on
-    /// any network, and counted.
+    /// Sends a frame. A frame that the kernel does not accept is dropped and
+    /// counted; protocols recover from it as from loss on the network.
     pub fn send(&self, to: SocketAddr, frame: &Frame) {
         let Ok(datagram) = self.seal.seal(frame) else {
             add(&self.counters.send_failed, 1);
@@ -187,7 +188,7 @@
 }
 
 impl Counters {
-    /// Returns every counter with its name.
+    /// Returns all counters with their metric names.
     #[must_use]
     pub fn all(&self) -> [Named<'_>; 11] {
         [
@@ -227,16 +228,18 @@
         }
     }
 
-    /// Reads a frame that has arrived already; `None` where the datagram was
-    /// skipped.
+    /// Reads one datagram; `None` where it was refused, or where the kernel
+    /// reported that an earlier datagram did not reach an open port.
     ///
     /// # Errors
     ///
-    /// `WouldBlock` where none has arrived, or the operating system's error.
+    /// `WouldBlock` where no datagram has arrived, or the operating system's
+    /// error.
     pub fn try_receive(&mut self) -> io::Result<Option<Received>> {
         let (length, from) = match self.port.socket.udp().recv_from(&mut self.buffer) {
             Ok(received) => received,
-            // A former peer's port is closed; UDP reports it on the next call.
+            // The port of an earlier destination is closed; the kernel reports
+            // this on the socket's next call.
             Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => return Ok(None),
             Err(error) => return Err(error),
         };
@@ -252,8 +255,8 @@
     }
 }
 
-/// Binds an address for a thread that does nothing else than read it. A read
-/// returns after `wait` at most.
+/// Binds a blocking UDP socket for a thread that only reads from it. A read
+/// times out after `wait`, a send after 1 ms.
 ///
 /// # Errors
 ///
@@ -266,8 +269,8 @@
     Ok(socket.into())
 }
 
-/// Binds a service address for the datagrams of callers. Several processes may
-/// bind it, so that one can take over from another.
+/// Binds a service address for the datagrams of callers, with `SO_REUSEPORT`:
+/// several processes may bind it, so that one can take over from another.
 ///
 /// # Errors
 ///
@@ -281,7 +284,7 @@
 
 fn open_socket(address: SocketAddr) -> io::Result<socket2::Socket> {
     let socket = socket2::Socket::new(Domain::for_address(address), Type::DGRAM, None)?;
-    // The kernel caps the size at its own limit.
+    // The kernel limits the size to `net.core.rmem_max`.
     socket.set_recv_buffer_size(RECEIVE_BUFFER_BYTES)?;
     Ok(socket)
 }
--- a/transport/net/tests/backend.rs
+++ b/transport/net/tests/backend.rs
@@ -1,4 +1,4 @@
-//! What the client makes of a backend server's behaviour.
+//! Results of the client for answers and failures of a backend server.
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 use smol::net::TcpListener;
 use smol::net::TcpStream;
 
-/// Largest answer that the client takes, in bytes.
+/// Largest answer that the client accepts, in bytes.
 const MAX_ANSWER_BYTES: usize = 8;
 
 fn run(timeout: Duration) -> Run {
@@ -25,11 +25,11 @@
     }
 }
 
-/// Long enough for any answer that comes.
-const PATIENT: Duration = Duration::from_mins(1);
+/// Deadline that no test reaches.
+const LONG_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// Reads until the end of a request's payload; false where the connection was
-/// closed before.
+/// Reads up to the end of a request's payload; returns false if the connection
+/// closes first.
 async fn read_request(stream: &mut TcpStream) -> bool {
     let mut read = Vec::new();
     let mut buffer = [0; 512];
@@ -42,7 +42,7 @@
     true
 }
 
-/// Answers the first request of each connection, and closes the connection.
+/// Answers the first request of each connection, then closes the connection.
 async fn serve(listener: TcpListener, answer: &str) {
     while let Ok((mut stream, _)) = listener.accept().await {
         if read_request(&mut stream).await {
@@ -52,7 +52,7 @@
 }
 
 /// Answers the first request of each connection, and closes the connection
-/// when a second one comes on it.
+/// without an answer when a second request arrives on it.
 async fn serve_once(listener: TcpListener, answer: &'static str) {
     let mut connections = Vec::new();
     while let Ok((mut stream, _)) = listener.accept().await {
@@ -71,17 +71,17 @@
     (listener, address)
 }
 
-/// A backend server's answer and what the client says of it.
+/// A backend server's answer and the expected result of the client.
 struct Answered {
     answer: &'static str,
     result: Result<Bytes, Error>,
 }
 
-fn says(case: &Answered) {
+fn maps_answer_to_result(case: &Answered) {
     smol::block_on(async {
         let (listener, address) = listen().await;
         let client = Client::new(address, MAX_ANSWER_BYTES);
-        let asked = async { Some(client.run(run(PATIENT)).await) };
+        let asked = async { Some(client.run(run(LONG_TIMEOUT)).await) };
         let served = async {
             serve(listener, case.answer).await;
             None
@@ -90,7 +90,7 @@
     });
 }
 
-cases! { says;
+cases! { maps_answer_to_result;
     an_answer_is_returned_whole: &Answered {
         answer: "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nNina",
         result: Ok(Bytes::from_static(b"Nina")),
@@ -104,32 +104,32 @@
         result: Err(Error::Broken),
     },
     no_answer_at_all_is_broken: &Answered { answer: "", result: Err(Error::Broken) },
-    a_shed_request_says_when_to_come_back: &Answered {
+    status_503_returns_its_retry_after: &Answered {
         answer: "HTTP/1.1 503 Busy\r\nretry-after: 2\r\ncontent-length: 0\r\n\r\n",
         result: Err(Error::Shed { retry_after: Duration::from_secs(2) }),
     },
-    a_shed_request_without_a_time_gets_the_default: &Answered {
+    status_429_without_retry_after_uses_the_default: &Answered {
         answer: "HTTP/1.1 429 Busy\r\ncontent-length: 0\r\n\r\n",
         result: Err(Error::Shed { retry_after: Duration::from_millis(200) }),
     },
-    another_status_may_have_run: &Answered {
+    another_status_is_returned_as_an_error: &Answered {
         answer: "HTTP/1.1 500 Oops\r\ncontent-length: 0\r\n\r\n",
         result: Err(Error::Status(500)),
     },
 }
 
 #[test]
-fn a_closed_port_is_unreachable() {
+fn a_refused_connection_is_unreachable() {
     smol::block_on(async {
         let (listener, address) = listen().await;
         drop(listener);
         let client = Client::new(address, MAX_ANSWER_BYTES);
-        assert_eq!(client.run(run(PATIENT)).await, Err(Error::Unreachable));
+        assert_eq!(client.run(run(LONG_TIMEOUT)).await, Err(Error::Unreachable));
     });
 }
 
 #[test]
-fn a_run_whose_deadline_has_passed_is_not_sent() {
+fn a_request_whose_deadline_has_passed_is_not_sent() {
     smol::block_on(async {
         let (listener, address) = listen().await;
         let client = Client::new(address, MAX_ANSWER_BYTES);
@@ -143,14 +143,16 @@
     });
 }
 
+/// Guards against an unknown outcome of a non-idempotent request: the backend
+/// server may close an idle connection just as the client reuses it.
 #[test]
-fn a_run_that_must_not_repeat_meets_no_connection_that_is_about_to_close() {
+fn a_non_idempotent_request_does_not_reuse_a_connection() {
     smol::block_on(async {
         let (listener, address) = listen().await;
         let client = Client::new(address, MAX_ANSWER_BYTES);
         let asked = async {
             for _ in 0..3 {
-                let answer = client.run(run(PATIENT)).await;
+                let answer = client.run(run(LONG_TIMEOUT)).await;
                 assert_eq!(answer, Ok(Bytes::from_static(b"Nina")));
             }
         };
@@ -159,8 +161,9 @@
     });
 }
 
+/// Dropping the future is how a request is cancelled at the backend server.
 #[test]
-fn a_dropped_run_closes_its_connection() {
+fn dropping_a_run_closes_its_connection() {
     smol::block_on(async {
         let (listener, address) = listen().await;
         let client = Client::new(address, MAX_ANSWER_BYTES);
@@ -170,10 +173,10 @@
             Some(stream)
         };
         let asked = async {
-            let _ = client.run(run(PATIENT)).await;
+            let _ = client.run(run(LONG_TIMEOUT)).await;
             None
         };
         let mut stream = begun.or(asked).await.expect("the request arrived");
-        assert!(!read_request(&mut stream).await, "closed without an answer");
+        assert!(!read_request(&mut stream).await, "a second request arrived");
     });
 }
--- a/transport/net/tests/port.rs
+++ b/transport/net/tests/port.rs
@@ -1,4 +1,4 @@
-//! What a port lets through and what it counts.
+//! Authentication of received frames, and the counters of a port.
 use std::net::SocketAddr;
 use std::net::UdpSocket;
 use std::sync::Arc;
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn what_is_not_authentic_is_counted_and_passed_over() {
+fn unauthenticated_datagrams_are_counted_and_skipped() {
     smol::block_on(async {
         let receiving = port(1);
         let to = receiving.local_addr().expect("an address");
@@ -44,8 +44,10 @@
     });
 }
 
+/// A datagram to a closed port makes the next receive fail with
+/// `ConnectionRefused`, which must not end the reader.
 #[test]
-fn a_port_goes_on_after_it_sent_to_a_closed_one() {
+fn a_port_receives_after_sending_to_a_closed_port() {
     smol::block_on(async {
         let sending = port(1);
         let closed = port(1).local_addr().expect("an address");
