--- a/protocol/wire/src/frame.rs
+++ b/protocol/wire/src/frame.rs
@@ -103,8 +103,8 @@
     pub flows: Vec<FlowKey>,
 }
 
-/// A datagram of a caller that the fabric delivers to an entry, or one that an
-/// entry sends to a caller through the fabric.
+/// A datagram from or to a caller, with the addresses of both ends. The fabric
+/// exchanges these with entries.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sprayed {
     /// Address of the caller.
--- a/protocol/wire/src/seal.rs
+++ b/protocol/wire/src/seal.rs
@@ -26,8 +26,8 @@
     pub secret: [u8; KEY_LEN],
 }
 
-/// Kind of a sealed message. The tag covers it, so that a message of one kind is
-/// never accepted as another.
+/// Kind of a sealed message. The tag covers it, so that a message of one kind
+/// is never accepted as another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[repr(u8)]
 pub enum Purpose {
--- a/transport/net/src/backend.rs
+++ b/transport/net/src/backend.rs
@@ -146,7 +146,7 @@
 
     /// Returns an idle connection that is still open, or a new one.
     ///
-    /// The backend server may close an idle connection just as it is reused, and
+    /// The backend server may close an idle connection just as it is reused;
     /// then it is unknown whether the request ran. Requests that must not run
     /// twice therefore always use a new connection.
     async fn acquire_sender(&self, idempotent: bool) -> Result<Sender, Error> {
