--- a/protocol/api/src/gen/greengagelug.operator.v1.rs
+++ b/protocol/api/src/gen/greengagelug.operator.v1.rs
@@ -13,7 +13,7 @@
     /// Whether requests must run at the backend server of their flow.
     #[prost(enumeration = "Binding", tag = "3")]
     pub binding: i32,
-    /// Largest number of agents that an opening packet is forwarded to: 1 to 3;
+    /// Largest number of agents that an opening packet is offered to: 1 to 3;
     /// default 3.
     #[prost(uint32, tag = "4")]
     pub hunt: u32,
@@ -319,8 +319,7 @@
     /// Start time in microseconds since the Unix epoch.
     #[prost(uint64, tag = "4")]
     pub incarnation: u64,
-    /// Time since the last sign of life that reached the entry that answers, in
-    /// milliseconds.
+    /// Time since the entry that answers last heard from it, in milliseconds.
     #[prost(uint64, tag = "5")]
     pub silent_ms: u64,
     /// Revisions in force at the process, where known.
--- a/protocol/wire/src/frame.rs
+++ b/protocol/wire/src/frame.rs
@@ -61,7 +61,7 @@
     /// Index in `path` of the agent that this frame is addressed to.
     pub position: u8,
     /// Bid of each agent that forwarded an open, in milliseconds: the expected
-    /// wait there, and the load of the flows that it holds.
+    /// wait there plus the load of the flows that it holds; `u32::MAX` for none.
     pub waits: Vec<u32>,
     /// True for a settled open, which has visited all agents of the path: the
     /// addressed agent accepts or refuses it.
--- a/protocol/wire/src/gen/greengagelug.caller.v1.rs
+++ b/protocol/wire/src/gen/greengagelug.caller.v1.rs
@@ -61,8 +61,8 @@
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Request {
     /// Id of the request within its flow; non-zero and never reused. Number
-    /// non-idempotent requests in increasing order: of older requests only the
-    /// largest id is stored, and smaller ids are refused as unknown.
+    /// non-idempotent requests in increasing order: of requests that ended long
+    /// ago only the largest id is stored, and smaller ids are refused as unknown.
     #[prost(fixed64, tag = "1")]
     pub request: u64,
     /// The token of the Opened packet; retransmissions carry the token of the
--- a/transport/net/src/port.rs
+++ b/transport/net/src/port.rs
@@ -99,7 +99,7 @@
     async fn readable(&self) -> io::Result<()> {
         match self {
             Self::Async(socket) => socket.readable().await,
-            // The next read blocks until a datagram arrives.
+            // The next read blocks, up to the socket's timeout.
             Self::Blocking(_) => Ok(()),
         }
     }
