--- a/protocol/wire/src/frame.rs
+++ b/protocol/wire/src/frame.rs
@@ -60,8 +60,9 @@
     pub path: Vec<Hop>,
     /// Index in `path` of the agent that this frame is addressed to.
     pub position: u8,
-    /// Bid of each agent that forwarded an open, in milliseconds: the expected
-    /// wait there plus the load of the flows that it holds; `u32::MAX` for none.
+    /// Bid of each agent that an open has visited, in the order of `path`, in
+    /// milliseconds: the expected wait there plus the load of the flows that it
+    /// holds; `u32::MAX` from an agent that makes no bid.
     pub waits: Vec<u32>,
     /// True for a settled open, which has visited all agents of the path: the
     /// addressed agent accepts or refuses it.
--- a/protocol/wire/src/seal.rs
+++ b/protocol/wire/src/seal.rs
@@ -9,7 +9,7 @@
 
 use crate::Frame;
 
-/// Number of bytes of a key.
+/// Length of a key in bytes.
 pub const KEY_LEN: usize = 32;
 
 const VERSION: u8 = 1;
@@ -20,7 +20,7 @@
 /// A secret key that the processes of one installation share.
 #[derive(Clone)]
 pub struct Key {
-    /// Id that a message names its key by.
+    /// Id of the key, which each message carries in its header.
     pub id: u8,
     /// Key of the BLAKE3 tag.
     pub secret: [u8; KEY_LEN],
@@ -39,7 +39,8 @@
     Answer,
 }
 
-/// Signs messages with the first key and verifies them with any key.
+/// Signer and verifier of messages. It signs with the first key and verifies
+/// with the key whose id the message carries.
 #[derive(Clone)]
 pub struct Seal {
     keys: Vec<Key>,
@@ -63,8 +64,9 @@
 }
 
 impl Seal {
-    /// Signs with `sign`, and verifies with `sign` and all keys of `accept`.
-    /// Accepting a second key allows rotation without an interruption.
+    /// Creates a seal that signs with `sign`, and verifies with `sign` and all
+    /// keys of `accept`. Accepting a second key allows rotation without an
+    /// interruption.
     #[must_use]
     pub fn new(sign: Key, accept: Vec<Key>) -> Self {
         let mut keys = vec![sign];
@@ -85,7 +87,7 @@
     ///
     /// # Errors
     ///
-    /// Any [`Error`]; the caller counts and drops the datagram.
+    /// Any [`Error`]; the receiving process counts and drops the datagram.
     pub fn open(&self, datagram: &[u8]) -> Result<Frame, Error> {
         self.open_as(Purpose::Frame, datagram)
     }
@@ -109,7 +111,7 @@
     ///
     /// # Errors
     ///
-    /// Any [`Error`]; the caller counts and drops the message.
+    /// Any [`Error`]; the receiving process counts and drops the message.
     pub fn open_as<T: DeserializeOwned>(
         &self,
         purpose: Purpose,
--- a/protocol/wire/src/token.rs
+++ b/protocol/wire/src/token.rs
@@ -5,7 +5,7 @@
 use crate::Incarnation;
 use crate::TargetId;
 
-/// Number of bytes of an encoded token.
+/// Length of an encoded token in bytes.
 pub const TOKEN_LEN: usize = 16;
 
 /// Identity of the process that holds a flow: a backend server and the
--- a/protocol/wire/src/transit.rs
+++ b/protocol/wire/src/transit.rs
@@ -45,7 +45,8 @@
     pub path: Vec<Hop>,
     /// Index in `path` of the agent that this frame is addressed to.
     pub position: u8,
-    /// Bid of each agent that forwarded the packet, in milliseconds.
+    /// Bid of each agent that the packet has visited, in the order of `path`, in
+    /// milliseconds; `u32::MAX` from an agent that accepts no flows.
     pub bids: Vec<u32>,
     /// True once all agents have bid: the open goes to the lowest bidder, or to
     /// the next lowest where that one can no longer accept it.
@@ -107,7 +108,8 @@
     /// the packet, which the server returns if it does not hold the flow.
     pub may_try: bool,
     /// Largest age of a backend server, in milliseconds since its start, at
-    /// which its agent reports that it is certain not to hold the flow.
+    /// which its agent reports that it is certain not to hold the flow; agents
+    /// of older backend servers do not reply.
     pub max_age_ms: u32,
 }
 
@@ -138,7 +140,7 @@
     /// milliseconds; `None` unless it is certain not to hold the flow.
     pub age_ms: Option<u32>,
     /// Start time of the backend server in milliseconds since the Unix epoch,
-    /// by its own clock; `None` in the same case.
+    /// by its own clock; `None` where `age_ms` is `None`.
     pub start: Option<u64>,
     /// The caller's packet; empty in the reply to a [`Seek`].
     pub packet: Bytes,
