--- a/protocol/wire/src/segment.rs
+++ b/protocol/wire/src/segment.rs
@@ -35,7 +35,7 @@
 pub enum Kind {
     /// The caller opens the flow.
     Open,
-    /// The backend server accepts it.
+    /// The backend server accepts the flow.
     Accept,
     /// Content, or an acknowledgement without any.
     Data,
--- a/transport/net/src/backend.rs
+++ b/transport/net/src/backend.rs
@@ -21,8 +21,8 @@
 use thiserror::Error;
 use wire::RequestId;
 
-/// Time to wait before a retry at a backend server that sheds load without a
-/// `Retry-After` header in seconds.
+/// Time to wait before a retry where a backend server sheds load and its response
+/// has no `Retry-After` header, or one that is not a number of seconds.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(200);
 
 /// Longest time to establish a connection to the backend server.
