--- a/protocol/wire/src/seal.rs
+++ b/protocol/wire/src/seal.rs
@@ -9,7 +9,7 @@
 
 use crate::Frame;
 
-/// Number of bytes of a key.
+/// Length of a key in bytes.
 pub const KEY_LEN: usize = 32;
 
 const VERSION: u8 = 1;
@@ -17,16 +17,17 @@
 const HEADER_LEN: usize = 3;
 const PREFIX_LEN: usize = HEADER_LEN + TAG_LEN;
 
-/// A key that the processes of one installation share.
+/// A secret key that the processes of one installation share.
 #[derive(Clone)]
 pub struct Key {
-    /// Names the key in a datagram.
+    /// Id of the key, which each message carries in its header.
     pub id: u8,
-    /// The secret.
+    /// Key of the BLAKE3 tag.
     pub secret: [u8; KEY_LEN],
 }
 
-/// What a sealed message is for; one purpose is never taken for another.
+/// Kind of a sealed message. The tag covers it, so that a message of one kind
+/// is never accepted as another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[repr(u8)]
 pub enum Purpose {
@@ -38,32 +39,34 @@
     Answer,
 }
 
-/// Seals messages with the first key and opens those of every key.
+/// Signer and verifier of messages. It signs with the first key and verifies
+/// with the key whose id the message carries.
 #[derive(Clone)]
 pub struct Seal {
     keys: Vec<Key>,
 }
 
-/// Why a message was not accepted.
+/// Reason for rejecting a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display, Error)]
 pub enum Error {
-    /// the message is shorter than its header; check what else sends to this port
+    /// the message is shorter than its header and tag of 19 bytes; check what else sends to this port
     Truncated,
-    /// the message's version is not supported; upgrade the older process
+    /// the message's version is not 1; upgrade the older process
     Version,
-    /// the message has another purpose; check that the address is of the right port
+    /// the message was sealed for another purpose; check that the sender's address names the right port
     Purpose,
-    /// the message's key id is unknown; give both processes a key in common
+    /// no configured key has the message's key id; give both processes a key in common
     UnknownKey,
-    /// the message's tag does not match; check that both processes have the same secret
+    /// the message's tag does not match; check that both processes have the same secret for this key id
     BadTag,
-    /// the message's content cannot be read; upgrade the older process
+    /// the message's content cannot be encoded or decoded; upgrade the older process
     Malformed,
 }
 
 impl Seal {
-    /// Uses `sign` for what is sent, and `sign` or any of `accept` for what is
-    /// received. Two keys in force allow rotation.
+    /// Creates a seal that signs with `sign`, and verifies with `sign` and all
+    /// keys of `accept`. Accepting a second key allows rotation without an
+    /// interruption.
     #[must_use]
     pub fn new(sign: Key, accept: Vec<Key>) -> Self {
         let mut keys = vec![sign];
@@ -80,16 +83,16 @@
         self.seal_as(Purpose::Frame, frame)
     }
 
-    /// Checks and decodes a datagram.
+    /// Verifies and decodes a datagram.
     ///
     /// # Errors
     ///
-    /// Any [`Error`]; the datagram is then to be dropped and counted.
+    /// Any [`Error`]; the receiving process counts and drops the datagram.
     pub fn open(&self, datagram: &[u8]) -> Result<Frame, Error> {
         self.open_as(Purpose::Frame, datagram)
     }
 
-    /// Encodes and signs content of any kind.
+    /// Encodes and signs content for a purpose.
     ///
     /// # Errors
     ///
@@ -99,16 +102,16 @@
         let mut message = vec![0; PREFIX_LEN];
         message[..HEADER_LEN].copy_from_slice(&[VERSION, key.id, purpose as u8]);
         let mut message = postcard::to_extend(content, message).map_err(|_| Error::Malformed)?;
-        let tag = tag(key, &message);
+        let tag = compute_tag(key, &message);
         message[HEADER_LEN..PREFIX_LEN].copy_from_slice(&tag);
         Ok(message)
     }
 
-    /// Checks and decodes content of any kind.
+    /// Verifies and decodes content that was sealed for a purpose.
     ///
     /// # Errors
     ///
-    /// Any [`Error`]; the message is then to be dropped and counted.
+    /// Any [`Error`]; the receiving process counts and drops the message.
     pub fn open_as<T: DeserializeOwned>(
         &self,
         purpose: Purpose,
@@ -125,18 +128,18 @@
             .iter()
             .find(|key| key.id == message[1])
             .ok_or(Error::UnknownKey)?;
-        let expected = blake3::Hash::from(padded(tag(key, message)));
+        let expected = blake3::Hash::from(pad_tag(compute_tag(key, message)));
         let mut received = [0; TAG_LEN];
         received.copy_from_slice(&message[HEADER_LEN..PREFIX_LEN]);
         // `blake3::Hash` compares in constant time.
-        if expected != blake3::Hash::from(padded(received)) {
+        if expected != blake3::Hash::from(pad_tag(received)) {
             return Err(Error::BadTag);
         }
         postcard::from_bytes(&message[PREFIX_LEN..]).map_err(|_| Error::Malformed)
     }
 }
 
-fn tag(key: &Key, message: &[u8]) -> [u8; TAG_LEN] {
+fn compute_tag(key: &Key, message: &[u8]) -> [u8; TAG_LEN] {
     let mut hasher = blake3::Hasher::new_keyed(&key.secret);
     hasher.update(&message[..HEADER_LEN]);
     hasher.update(&message[PREFIX_LEN..]);
@@ -145,7 +148,7 @@
     tag
 }
 
-fn padded(tag: [u8; TAG_LEN]) -> [u8; blake3::OUT_LEN] {
+fn pad_tag(tag: [u8; TAG_LEN]) -> [u8; blake3::OUT_LEN] {
     let mut bytes = [0; blake3::OUT_LEN];
     bytes[..TAG_LEN].copy_from_slice(&tag);
     bytes
--- a/transport/net/src/port.rs
+++ b/transport/net/src/port.rs
@@ -1,4 +1,4 @@
-//! A UDP port that carries authenticated frames.
+//! A UDP socket for authenticated frames.
 use std::io;
 use std::net::SocketAddr;
 use std::net::UdpSocket;
@@ -15,13 +15,14 @@
 use wire::ServiceAddress;
 use wire::frame::MAX_DATAGRAM_BYTES;
 
-/// Bytes of the kernel's buffer for datagrams not yet read.
+/// Size of the socket's receive buffer, in bytes.
 const RECEIVE_BUFFER_BYTES: usize = 4 * 1024 * 1024;
 
-/// Longest time that sending a datagram may wait for room in the kernel.
+/// Longest time that a blocking send waits for room in the send buffer.
 const SEND_TIMEOUT: Duration = Duration::from_millis(1);
 
-/// A UDP port that carries authenticated frames. Clones share the socket.
+/// A UDP socket that sends and receives authenticated frames. Clones share the
+/// socket and the counters.
 #[derive(Clone)]
 pub struct Port {
     socket: Socket,
@@ -29,25 +30,25 @@
     counters: Arc<Counters>,
 }
 
-/// How the socket of a port is waited for.
+/// The UDP socket of a port, by how its reader waits for datagrams.
 #[derive(Clone)]
 enum Socket {
-    /// By the executor's reactor.
+    /// Non-blocking; the reactor wakes the reader.
     Async(Arc<Async<UdpSocket>>),
-    /// By the thread that reads, for some time at most.
+    /// Blocking; the read itself waits, up to the socket's timeout.
     Blocking(Arc<UdpSocket>),
 }
 
-/// Reads the frames of a port into a buffer of its own, one for each thread.
+/// Reader of a port's frames with its own buffer; each thread has one.
 pub struct Receiver {
     port: Port,
     buffer: Box<[u8]>,
 }
 
-/// Counts what a port dropped or sent, by reason.
+/// Counters of a port: datagrams received, sent and refused, by reason.
 #[derive(Default)]
 pub struct Counters {
-    /// Datagrams received, good or bad.
+    /// Datagrams received, including refused ones.
     pub received: AtomicU64,
     /// Bytes received.
     pub received_bytes: AtomicU64,
@@ -55,27 +56,27 @@
     pub sent: AtomicU64,
     /// Bytes sent.
     pub sent_bytes: AtomicU64,
-    /// Datagrams that were shorter than their header.
+    /// Datagrams refused because they were shorter than header and tag.
     pub truncated: AtomicU64,
-    /// Datagrams of another version.
+    /// Datagrams refused for their version.
     pub version: AtomicU64,
-    /// Datagrams of another purpose.
+    /// Datagrams refused because they were sealed for another purpose.
     pub purpose: AtomicU64,
-    /// Datagrams under a key that is not configured.
+    /// Datagrams refused because their key is not configured.
     pub unknown_key: AtomicU64,
-    /// Datagrams whose tag did not match.
+    /// Datagrams refused because their tag did not match.
     pub bad_tag: AtomicU64,
-    /// Datagrams whose frame could not be read.
+    /// Datagrams refused because their frame could not be decoded.
     pub malformed: AtomicU64,
-    /// Frames that the kernel did not take.
+    /// Frames that could not be encoded or that the kernel did not accept.
     pub send_failed: AtomicU64,
 }
 
-/// A counter and its name.
+/// A counter with its metric name.
 pub struct Named<'a> {
-    /// Its name, with the reason.
+    /// Metric name, followed by the reason where there is one.
     pub name: &'static str,
-    /// Its value.
+    /// The counter.
     pub value: &'a AtomicU64,
 }
 
@@ -88,7 +89,7 @@
 }
 
 impl Socket {
-    fn get(&self) -> &UdpSocket {
+    fn udp(&self) -> &UdpSocket {
         match self {
             Self::Async(socket) => socket.get_ref(),
             Self::Blocking(socket) => socket,
@@ -98,20 +99,20 @@
     async fn readable(&self) -> io::Result<()> {
         match self {
             Self::Async(socket) => socket.readable().await,
-            // The next read waits.
+            // The next read blocks, up to the socket's timeout.
             Self::Blocking(_) => Ok(()),
         }
     }
 }
 
 impl Port {
-    /// Binds `address`.
+    /// Binds a non-blocking socket to `address`.
     ///
     /// # Errors
     ///
     /// The operating system's error where the address cannot be bound.
     pub fn bind(address: SocketAddr, seal: Arc<Seal>) -> io::Result<Self> {
-        let socket = open(address)?;
+        let socket = open_socket(address)?;
         socket.bind(&address.into())?;
         Ok(Self {
             socket: Socket::Async(Arc::new(Async::new(socket.into())?)),
@@ -120,8 +121,8 @@
         })
     }
 
-    /// Binds `address` for a thread that does nothing else than read it, which
-    /// costs one system call a datagram. A read returns after `wait` at most.
+    /// Binds a blocking socket to `address`, for a thread that only reads from
+    /// it: one system call per datagram. A read times out after `wait`.
     ///
     /// # Errors
     ///
@@ -140,7 +141,7 @@
     ///
     /// The operating system's error.
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
-        self.socket.get().local_addr()
+        self.socket.udp().local_addr()
     }
 
     /// Returns the counters.
@@ -158,14 +159,14 @@
         }
     }
 
-    /// Sends a frame. A datagram that the kernel does not take is lost, as on
-    /// any network, and counted.
+    /// Sends a frame. A frame that the kernel does not accept is dropped and
+    /// counted; protocols recover from it as from loss on the network.
     pub fn send(&self, to: SocketAddr, frame: &Frame) {
         let Ok(datagram) = self.seal.seal(frame) else {
             add(&self.counters.send_failed, 1);
             return;
         };
-        match self.socket.get().send_to(&datagram, to) {
+        match self.socket.udp().send_to(&datagram, to) {
             Ok(length) => {
                 add(&self.counters.sent, 1);
                 add(&self.counters.sent_bytes, length);
@@ -174,7 +175,7 @@
         }
     }
 
-    fn refusal(&self, error: wire::seal::Error) -> &AtomicU64 {
+    fn refusal_counter(&self, error: wire::seal::Error) -> &AtomicU64 {
         match error {
             wire::seal::Error::Truncated => &self.counters.truncated,
             wire::seal::Error::Version => &self.counters.version,
@@ -187,7 +188,7 @@
 }
 
 impl Counters {
-    /// Returns every counter with its name.
+    /// Returns all counters with their metric names.
     #[must_use]
     pub fn all(&self) -> [Named<'_>; 11] {
         [
@@ -227,16 +228,18 @@
         }
     }
 
-    /// Reads a frame that has arrived already; `None` where the datagram was
-    /// skipped.
+    /// Reads one datagram; `None` where it was refused, or where the kernel
+    /// reported that an earlier datagram did not reach an open port.
     ///
     /// # Errors
     ///
-    /// `WouldBlock` where none has arrived, or the operating system's error.
+    /// `WouldBlock` where no datagram has arrived, or the operating system's
+    /// error.
     pub fn try_receive(&mut self) -> io::Result<Option<Received>> {
-        let (length, from) = match self.port.socket.get().recv_from(&mut self.buffer) {
+        let (length, from) = match self.port.socket.udp().recv_from(&mut self.buffer) {
             Ok(received) => received,
-            // A former peer's port is closed; UDP reports it on the next call.
+            // The port of an earlier destination is closed; the kernel reports
+            // this on the socket's next call.
             Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => return Ok(None),
             Err(error) => return Err(error),
         };
@@ -245,43 +248,43 @@
         match self.port.seal.open(&self.buffer[..length]) {
             Ok(frame) => Ok(Some(Received { from, frame })),
             Err(error) => {
-                add(self.port.refusal(error), 1);
+                add(self.port.refusal_counter(error), 1);
                 Ok(None)
             }
         }
     }
 }
 
-/// Binds an address for a thread that does nothing else than read it. A read
-/// returns after `wait` at most.
+/// Binds a blocking UDP socket for a thread that only reads from it. A read
+/// times out after `wait`, a send after 1 ms.
 ///
 /// # Errors
 ///
 /// The operating system's error where the address cannot be bound.
 pub fn blocking(address: SocketAddr, wait: Duration) -> io::Result<UdpSocket> {
-    let socket = open(address)?;
+    let socket = open_socket(address)?;
     socket.set_read_timeout(Some(wait))?;
     socket.set_write_timeout(Some(SEND_TIMEOUT))?;
     socket.bind(&address.into())?;
     Ok(socket.into())
 }
 
-/// Binds a service address for the datagrams of callers. Several processes may
-/// bind it, so that one can take over from another.
+/// Binds a service address for the datagrams of callers, with `SO_REUSEPORT`:
+/// several processes may bind it, so that one can take over from another.
 ///
 /// # Errors
 ///
 /// The operating system's error where the host does not own the address.
 pub fn bind_service(address: ServiceAddress) -> io::Result<Async<UdpSocket>> {
-    let socket = open(address)?;
+    let socket = open_socket(address)?;
     socket.set_reuse_port(true)?;
     socket.bind(&address.into())?;
     Async::new(socket.into())
 }
 
-fn open(address: SocketAddr) -> io::Result<socket2::Socket> {
+fn open_socket(address: SocketAddr) -> io::Result<socket2::Socket> {
     let socket = socket2::Socket::new(Domain::for_address(address), Type::DGRAM, None)?;
-    // The kernel caps the size at its own limit.
+    // The kernel limits the size to `net.core.rmem_max`.
     socket.set_recv_buffer_size(RECEIVE_BUFFER_BYTES)?;
     Ok(socket)
 }
