--- a/coordination/config/src/change.rs
+++ b/coordination/config/src/change.rs
@@ -76,7 +76,7 @@
     /// Whether a write of this operation may have been applied.
     maybe_applied: bool,
     writes: u8,
-    /// Successful reads since the last failed write.
+    /// Successful reads since the start or the last failed write.
     reads: u8,
 }
 
@@ -188,7 +188,7 @@
         })
     }
 
-    /// Returns whether this change could have produced `service`.
+    /// Returns `true` if this change could have produced `service`.
     fn could_result_in(&self, service: &Service) -> bool {
         match &self.request.edit {
             Edit::Create(wanted) | Edit::Update(wanted) => {
@@ -273,7 +273,7 @@
         service.check().map(|()| service)
     }
 
-    /// Decides how to go on after a failed write, given the record read back.
+    /// Returns the action that follows a failed write, given the record read back.
     fn after_read_back(&mut self, draft: Draft, fault: Fault, current: &Current) -> Action {
         match current.revision {
             revision if revision > draft.base => self.conflict(draft.base, current),
@@ -286,8 +286,8 @@
         }
     }
 
-    /// Ends the change with a conflict; its effect is unknown if the stored record
-    /// cannot show every write since `base`.
+    /// Ends the change with a conflict. The effect is unknown if a write may have
+    /// been applied and the stored record does not show every write since `base`.
     fn conflict(&self, base: Revision, current: &Current) -> Action {
         let covered = current
             .record
@@ -316,7 +316,7 @@
         })
     }
 
-    /// Returns the effect of the change where reading back did not determine it.
+    /// Returns the effect of the change if the stored record does not show it.
     fn effect(&self) -> Effect {
         if self.maybe_applied {
             Effect::Unknown
--- a/coordination/config/src/change/outcome.rs
+++ b/coordination/config/src/change/outcome.rs
@@ -9,7 +9,7 @@
 use crate::Update;
 use crate::diff::Line;
 
-/// The next call to make for the service's key.
+/// The next call to make for the service's key, or the outcome.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Read the key and pass the answer to [`Change::on_read`](super::Change::on_read).
@@ -40,7 +40,7 @@
     Accepted {
         /// Revision of the record that the change wrote.
         revision: Revision,
-        /// The store's present revision, if a later write replaced that record.
+        /// Current revision in the store, if a later write replaced that record.
         replaced_by: Option<Revision>,
         /// Fields changed; empty if an earlier attempt wrote the change.
         differences: Vec<Line>,
--- a/coordination/config/src/fault.rs
+++ b/coordination/config/src/fault.rs
@@ -33,7 +33,7 @@
 }
 
 impl Fault {
-    /// Returns whether the store may have applied the call despite the failure.
+    /// Returns `true` if the store may have applied the call despite the failure.
     #[must_use]
     pub const fn maybe_applied(self) -> bool {
         match self {
--- a/coordination/config/src/feed.rs
+++ b/coordination/config/src/feed.rs
@@ -33,7 +33,8 @@
 pub use settings::Settings;
 
 /// Number of successive steps without newer data after which the feed watches
-/// the markers instead of listing an outdated bucket once more.
+/// the markers instead of listing an outdated bucket once more. A bucket whose
+/// marker is newer than all its services would otherwise be listed without end.
 const MAX_STALLED_STEPS: u8 = 3;
 
 /// State machine that reads the configuration while it is running.
@@ -70,7 +71,7 @@
     ListAll,
     /// List the services of one bucket.
     ListBucket(Bucket),
-    /// Watch the change markers since the given time.
+    /// Watch the change markers; holds the time at which the call was sent.
     Watch(Duration),
 }
 
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Returns whether the feed is running.
+    /// Returns `true` if the feed is running.
     #[must_use]
     pub fn is_running(&self) -> bool {
         self.step != Step::Stopped
@@ -259,8 +260,8 @@
         self.due = Some(due);
     }
 
-    /// Records the revisions of the listed services; returns whether a bucket
-    /// has a newer one.
+    /// Records the revisions of the listed services; returns `true` if one is
+    /// newer than all listed before in its bucket.
     fn record_listed(&mut self, listing: &Listing) -> bool {
         let mut newer = false;
         for item in &listing.items {
--- a/coordination/config/src/feed/action.rs
+++ b/coordination/config/src/feed/action.rs
@@ -55,8 +55,8 @@
     pub failures: u64,
     /// Records that could not be decoded or that failed validation.
     pub malformed: u64,
-    /// Records older than the newest one published of their service.
+    /// Records older than the newest published record of their service.
     pub stale: u64,
-    /// Answers whose index was lower than the previous one.
+    /// Watches answered with a lower index than the one they started from.
     pub index_resets: u64,
 }
--- a/coordination/config/src/feed/bucket.rs
+++ b/coordination/config/src/feed/bucket.rs
@@ -23,7 +23,8 @@
         }
     }
 
-    /// Records the revisions of change markers; returns whether one is newer.
+    /// Records the revisions of change markers; returns `true` if one is newer
+    /// than before.
     pub(super) fn record_markers(&mut self, listing: &Listing) -> bool {
         let mut changed = false;
         for item in &listing.items {
@@ -34,8 +35,8 @@
         changed
     }
 
-    /// Records the revision of a service listed in the bucket; returns whether it
-    /// is newer.
+    /// Records the revision of a service listed in the bucket; returns `true` if
+    /// it is newer than all listed before.
     pub(super) fn record_listed(&mut self, bucket: Bucket, revision: Revision) -> bool {
         raise(&mut self.listed[usize::from(bucket)], revision)
     }
@@ -51,7 +52,7 @@
     }
 }
 
-/// Raises `known` to `revision` if that is newer; returns whether it was.
+/// Raises `known` to `revision` and returns `true` if `revision` is newer.
 fn raise(known: &mut Revision, revision: Revision) -> bool {
     let newer = revision > *known;
     *known = revision.max(*known);
--- a/coordination/config/src/follow.rs
+++ b/coordination/config/src/follow.rs
@@ -20,8 +20,8 @@
     pub wait: Duration,
     /// Backoff after failed calls.
     pub backoff: backoff::Settings,
-    /// Time after an answer during which the value counts as confirmed; later it
-    /// may have changed unnoticed.
+    /// Time after a successful answer during which the value counts as confirmed;
+    /// later it may have changed unnoticed.
     pub confirmation_ttl: Duration,
 }
 
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Returns whether the store has confirmed the value within
+    /// Returns `true` if the last successful answer is younger than
     /// [`Settings::confirmation_ttl`].
     #[must_use]
     pub fn is_confirmed(&self, now: Duration) -> bool {
--- a/coordination/config/src/lease.rs
+++ b/coordination/config/src/lease.rs
@@ -142,8 +142,8 @@
         self.wanted = wanted;
     }
 
-    /// Returns the fence for a write at `now`, or `None` unless a key is certainly
-    /// held.
+    /// Returns the fence for a write at `now`, or `None` if no key is held or its
+    /// lease may have expired.
     #[must_use]
     pub fn fence(&self, now: Duration) -> Option<&Fence> {
         match &self.state {
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Returns whether a key is certainly held.
+    /// Returns `true` if a key is held and its lease cannot have expired at `now`.
     #[must_use]
     pub fn holds(&self, now: Duration) -> bool {
         self.fence(now).is_some()
--- a/coordination/config/src/presence.rs
+++ b/coordination/config/src/presence.rs
@@ -85,8 +85,8 @@
 }
 
 impl Presence {
-    /// Creates the registration of a process under `key`; `seed` determines the
-    /// backoff's jitter.
+    /// Creates the state machine that registers a process under `key`; `seed`
+    /// determines the backoff's jitter.
     #[must_use]
     pub fn new(settings: Settings, key: impl Into<String>, seed: u64, now: Duration) -> Self {
         Self {
@@ -122,8 +122,8 @@
         }
     }
 
-    /// Handles the answer to a call; returns the registered keys if it was a
-    /// list.
+    /// Handles the answer to a call; returns the registered keys after a list,
+    /// otherwise nothing.
     pub fn handle(&mut self, now: Duration, event: Event) -> Vec<String> {
         let result = match event {
             Event::Listed(listed) => return self.on_listed(now, listed),
--- a/coordination/config/src/reader.rs
+++ b/coordination/config/src/reader.rs
@@ -45,9 +45,9 @@
     pub readers: u8,
     /// Number of entries of a zone, by rank, that search for a free reader lock.
     pub candidates: usize,
-    /// Lease of a reader lock.
+    /// Settings of the lease of a reader lock.
     pub lease: lease::Settings,
-    /// Feed that reads the store.
+    /// Settings of the feed that reads the store.
     pub feed: feed::Settings,
 }
 
@@ -107,8 +107,8 @@
 }
 
 impl Reader {
-    /// Creates a reader for an entry with the presumed [`rank`]; `seed` determines
-    /// the jitter of its calls.
+    /// Creates a reader for an entry with this initial [`rank`], which
+    /// [`Event::Rank`] updates; `seed` determines the jitter of its calls.
     #[must_use]
     pub fn new(settings: Settings, rank: usize, seed: u64) -> Self {
         let keys = (0..settings.readers)
@@ -162,7 +162,8 @@
             .min()
     }
 
-    /// Returns whether this entry certainly holds a reader lock.
+    /// Returns `true` if this entry holds a reader lock whose lease cannot have
+    /// expired at `now`.
     #[must_use]
     pub fn is_reading(&self, now: Duration) -> bool {
         self.lease.holds(now)
--- a/coordination/config/src/record.rs
+++ b/coordination/config/src/record.rs
@@ -69,8 +69,8 @@
             .map(|past| past.revision)
     }
 
-    /// Returns whether the history of this record, stored at `revision`, contains
-    /// every write since `base`.
+    /// Returns `true` if the history of this record, stored at `revision`,
+    /// contains every write since `base`.
     #[must_use]
     pub fn has_history_since(&self, base: Revision, revision: Revision) -> bool {
         revision <= base
@@ -108,8 +108,8 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Problem::Malformed`] if the JSON is no record; the caller should
-    /// keep the configuration in force and count the record as malformed.
+    /// Returns [`Problem::Malformed`] if the JSON cannot be decoded; the caller
+    /// should keep the configuration in force and count the record as malformed.
     pub fn from_json(json: &[u8]) -> Result<Self, Problem> {
         serde_json::from_slice(json).map_err(|_| Problem::Malformed)
     }
--- a/coordination/config/src/service.rs
+++ b/coordination/config/src/service.rs
@@ -186,13 +186,13 @@
         }
     }
 
-    /// Returns whether the service is not deleted.
+    /// Returns `true` if the service is not deleted.
     #[must_use]
     pub fn is_active(&self) -> bool {
         self.state == State::Active
     }
 
-    /// Returns whether an operator has drained `target` or its `zone`.
+    /// Returns `true` if an operator has drained `target` or its `zone`.
     #[must_use]
     pub fn is_drained(&self, target: TargetId, zone: ZoneId) -> bool {
         self.drained.contains(&Drained::Target(target))
@@ -287,8 +287,8 @@
     }
 }
 
-/// Returns whether `text` is 1 to `max_bytes` printable ASCII characters without
-/// spaces.
+/// Returns `true` if `text` is 1 to `max_bytes` printable ASCII characters
+/// without spaces.
 fn is_valid_name(text: &str, max_bytes: usize) -> bool {
     !text.is_empty() && text.len() <= max_bytes && text.bytes().all(|byte| byte.is_ascii_graphic())
 }
--- a/coordination/config/tests/change.rs
+++ b/coordination/config/tests/change.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn an_own_write_is_recognised_after_its_answer_was_lost() {
+fn a_write_is_recognised_after_its_answer_was_lost() {
     let mut store = store_with_service();
     let outcome = store.run(update(1, 1, "a"), &[Failure::None, Failure::AnswerLost]);
     assert_eq!(accepted(&outcome), (2, None));
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn an_own_write_is_recognised_after_another_operator_wrote_over_it() {
+fn a_write_is_recognised_on_retry_after_another_operator_replaced_it() {
     let mut store = store_with_service();
     let lost = [Failure::None, Failure::AnswerLost, Failure::Unreachable];
     let outcome = store.run(update(1, 1, "a"), &lost);
@@ -114,7 +114,7 @@
             assert_eq!((fault, effect), (Fault::Unreachable, Effect::NotApplied));
             assert!(!retry_after.is_zero());
         }
-        other => panic!("not refused: {other:?}"),
+        other => panic!("not unavailable: {other:?}"),
     }
     assert_eq!(store.operations(), ["create"]);
 }
--- a/coordination/config/tests/faulty_store/mod.rs
+++ b/coordination/config/tests/faulty_store/mod.rs
@@ -96,7 +96,7 @@
         records.collect()
     }
 
-    /// Returns whether the update's service was stored at its revision.
+    /// Returns `true` if the service was ever stored at the update's revision.
     pub fn had_version(&self, update: &Update) -> bool {
         self.versions.iter().any(|item| {
             let record = Record::from_json(&item.value).expect("a record");
--- a/coordination/config/tests/feed.rs
+++ b/coordination/config/tests/feed.rs
@@ -196,7 +196,7 @@
         );
     }
 
-    /// Returns whether the feed watches for a change after the latest one.
+    /// Returns `true` if the feed watches for a change after the latest one.
     fn is_caught_up(&self) -> bool {
         let since = self.call.as_ref().and_then(|call| call.since);
         since.is_some_and(|since| since + 1 >= self.store.next_revision())
--- a/coordination/config/tests/lease.rs
+++ b/coordination/config/tests/lease.rs
@@ -108,7 +108,8 @@
     assert!(!lease.holds(last));
 }
 
-/// The process is paused while the grant is in flight.
+/// The process is paused while the grant is in flight, and the lease may have
+/// expired meanwhile.
 #[test]
 fn a_lease_granted_after_its_usable_time_is_revoked() {
     let mut lease = lease();
--- a/coordination/config/tests/presence.rs
+++ b/coordination/config/tests/presence.rs
@@ -32,8 +32,8 @@
     Event::Listed(Ok(listing(keys)))
 }
 
-/// Returns the state of a process that registered at the start.
-fn listed_presence() -> Presence {
+/// Returns a process that registered at the start.
+fn registered_presence() -> Presence {
     let mut presence = Presence::new(Settings::default(), OWN, 1, ms(0));
     assert_eq!(presence.next(ms(0)), Action::List);
     presence.handle(ms(0), listed(&["entries/other"]));
@@ -54,7 +54,7 @@
 
 #[test]
 fn a_lease_is_renewed_in_time() {
-    let mut presence = listed_presence();
+    let mut presence = registered_presence();
     let due = Settings::default().ttl / 2;
     presence.handle(due, listed(&[OWN]));
     assert_eq!(presence.next(due), Action::Renew("lease".to_owned()));
@@ -65,7 +65,7 @@
 /// The store may lose the key although the lease can still be renewed.
 #[test]
 fn a_key_that_vanished_is_acquired_again() {
-    let mut presence = listed_presence();
+    let mut presence = registered_presence();
     let check = Settings::default().list_interval + ms(10);
     assert_eq!(presence.next(check), Action::List);
     presence.handle(check, listed(&["entries/other"]));
@@ -74,7 +74,7 @@
 
 #[test]
 fn an_expired_lease_is_replaced() {
-    let mut presence = listed_presence();
+    let mut presence = registered_presence();
     presence.handle(ms(5), Event::Renewed(Err(Fault::Lapsed)));
     assert_eq!(presence.next(ms(5)), Action::Grant(Settings::default().ttl));
 }
@@ -83,7 +83,7 @@
 /// The process must nevertheless register again within two seconds of the end.
 #[test]
 fn a_process_registers_again_within_two_seconds_of_an_outage() {
-    let mut presence = listed_presence();
+    let mut presence = registered_presence();
     let mut now = ms(0);
     let end = ms(60_000);
     while now < end {
--- a/coordination/config/tests/reader.rs
+++ b/coordination/config/tests/reader.rs
@@ -230,7 +230,7 @@
     }
 }
 
-/// Carries out an action; returns the event with its answer, if that comes now.
+/// Carries out an action; returns the answer of a call that does not wait.
 fn carry_out(store: &mut Store, entry: &mut Entry, now: Duration, action: Action) -> Option<Event> {
     match action {
         Action::Lease(action) => {
@@ -283,9 +283,9 @@
 }
 
 /// The paused entry keeps the state of its feed. When it continues after its lease
-/// has expired, it must not watch on but leave reading to its replacement.
+/// has expired, it must stop watching and leave reading to its replacement.
 #[test]
-fn a_paused_reader_is_replaced_and_does_not_read_on() {
+fn a_paused_reader_is_replaced_and_stops_reading() {
     let mut zone = Zone::new(4);
     zone.store.write("one");
     zone.advance(10 * SECOND);
--- a/coordination/config/tests/service.rs
+++ b/coordination/config/tests/service.rs
@@ -68,6 +68,7 @@
     assert_eq!(record, Record::create(service()));
 }
 
+/// Target ids are strings because JSON decoders may round integers over 2^53.
 #[test]
 fn a_record_has_units_in_field_names_and_target_ids_as_strings() {
     let drained = [Drained::Target(u64::MAX), Drained::Zone(2)];
@@ -134,7 +135,7 @@
 
 proptest! {
     #[test]
-    fn arbitrary_bytes_panic_no_decoder(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn no_decoder_panics_on_arbitrary_bytes(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let _ = Service::from_bytes(&bytes);
         let _ = Record::from_json(&bytes);
         let mut framed = vec![1];
@@ -143,7 +144,7 @@
     }
 
     #[test]
-    fn a_configuration_survives_both_codecs(
+    fn a_configuration_is_unchanged_by_encoding_and_decoding(
         hunt: u8,
         queue_ms: u32,
         target: u64,
--- a/transport/store/examples/reading.rs
+++ b/transport/store/examples/reading.rs
@@ -187,10 +187,11 @@
         delays.push(start.elapsed());
     }
     delays.sort();
-    let at = |share: usize| delays[(delays.len() - 1) * share / 100].as_secs_f64() * 1000.0;
-    println!("change: p50 ms to all readers  {:.1}", at(50));
-    println!("change: p99 ms to all readers  {:.1}", at(99));
-    println!("change: max ms to all readers  {:.1}", at(100));
+    let percentile_ms =
+        |percent: usize| delays[(delays.len() - 1) * percent / 100].as_secs_f64() * 1000.0;
+    println!("change: p50 ms to all readers  {:.1}", percentile_ms(50));
+    println!("change: p99 ms to all readers  {:.1}", percentile_ms(99));
+    println!("change: max ms to all readers  {:.1}", percentile_ms(100));
     let bytes = (received_bytes(entries) - before) / u64::from(plan.changes) / readers.len() as u64;
     println!("change: bytes a reader         {bytes}");
     Ok(())
--- a/transport/store/src/count.rs
+++ b/transport/store/src/count.rs
@@ -11,7 +11,7 @@
     pub writes: u64,
     /// Watches started.
     pub watches: u64,
-    /// Calls about leases.
+    /// Calls that grant, renew or revoke a lease, or acquire a key under one.
     pub leases: u64,
     /// Failed calls, except conflicts.
     pub failures: u64,
@@ -30,7 +30,7 @@
     Write,
     /// Read that waits for a change.
     Watch,
-    /// Call about a lease.
+    /// Grant, renewal or revocation of a lease, or acquisition of a key.
     Lease,
 }
 
--- a/transport/store/src/http.rs
+++ b/transport/store/src/http.rs
@@ -79,7 +79,7 @@
 pub struct Answer {
     /// HTTP status.
     pub status: StatusCode,
-    /// Index from the headers; 0 if they name none.
+    /// Index from the headers; 0 if it is missing or malformed.
     pub index: Revision,
     /// Body.
     pub body: Bytes,
--- a/transport/store/src/lib.rs
+++ b/transport/store/src/lib.rs
@@ -44,7 +44,7 @@
 /// A failed call returns a [`Fault`]; [`Fault::maybe_applied`] tells whether the
 /// store may have applied the call despite the failure.
 pub trait Store: Clone + Send + Sync + 'static {
-    /// Reads one key.
+    /// Reads one key; returns `None` if it does not exist.
     fn get(&self, key: &str) -> impl Future<Output = Result<Option<Item>, Fault>> + Send;
 
     /// Reads all keys under a prefix.
@@ -54,7 +54,7 @@
     /// [`Self::list`], but the answer may be seconds old.
     fn list_stale(&self, prefix: &str) -> impl Future<Output = Result<Listing, Fault>> + Send;
 
-    /// Waits until a key under a prefix changes after index `since`, at most for
+    /// Waits until a key under a prefix changes after index `since`, for at most
     /// `wait`, then reads all keys under the prefix.
     fn watch(
         &self,
@@ -77,7 +77,7 @@
     /// Revokes a lease and releases the keys it holds.
     fn revoke(&self, lease: &LeaseId) -> impl Future<Output = Result<(), Fault>> + Send;
 
-    /// Acquires a key under a lease; returns whether the lease now holds it.
+    /// Acquires a key under a lease; returns `true` if the lease now holds it.
     fn acquire(
         &self,
         key: &str,
