--- a/coordination/config/src/change.rs
+++ b/coordination/config/src/change.rs
@@ -270,7 +270,7 @@
             }
         };
         let service = self.with_ids(service);
-        service.check().map(|()| service)
+        service.validate().map(|()| service)
     }
 
     /// Returns the action that follows a failed write, given the record read back.
--- a/coordination/config/src/lease/call.rs
+++ b/coordination/config/src/lease/call.rs
@@ -14,8 +14,8 @@
     pub lease: LeaseId,
 }
 
-/// Sequence number of a call of one state machine; the answer to an earlier call
-/// is ignored.
+/// Sequence number of a call of one state machine; answers to earlier calls are
+/// ignored.
 pub type CallId = u64;
 
 /// A call of the store.
--- a/coordination/config/src/record.rs
+++ b/coordination/config/src/record.rs
@@ -89,7 +89,7 @@
         if item.key != key::service(record.service.address) {
             return Err(Problem::WrongKey);
         }
-        match record.service.check() {
+        match record.service.validate() {
             Ok(()) => Ok(record),
             Err(problems) => Err(problems.first().copied().unwrap_or(Problem::Malformed)),
         }
--- a/coordination/config/src/service.rs
+++ b/coordination/config/src/service.rs
@@ -214,7 +214,7 @@
     /// # Errors
     ///
     /// Returns all problems found, in the order of the fields.
-    pub fn check(&self) -> Result<(), Vec<Problem>> {
+    pub fn validate(&self) -> Result<(), Vec<Problem>> {
         let checks = [
             (
                 !self.address.ip().is_unspecified(),
--- a/coordination/config/tests/follow.rs
+++ b/coordination/config/tests/follow.rs
@@ -24,7 +24,7 @@
     }
 }
 
-fn follow() -> Follow {
+fn follower() -> Follow {
     Follow::new(Settings::default(), KEY, 1)
 }
 
@@ -43,17 +43,17 @@
 }
 
 /// Returns a follower that has read revision 5.
-fn follow_at_5() -> Follow {
-    let mut follow = follow();
-    assert_eq!(follow.next(), Action::Read);
-    let outcome = follow.handle(ms(0), Event::Read(Ok(Some(item(5)))));
+fn follower_at_5() -> Follow {
+    let mut follower = follower();
+    assert_eq!(follower.next(), Action::Read);
+    let outcome = follower.handle(ms(0), Event::Read(Ok(Some(item(5)))));
     assert_eq!(outcome.value, Some(item(5)));
-    follow
+    follower
 }
 
 /// Returns the index after which the follower watches, or `None` if it reads.
-fn watched_since(follow: &Follow) -> Option<u64> {
-    match follow.next() {
+fn watched_since(follower: &Follow) -> Option<u64> {
+    match follower.next() {
         Action::Watch { since, .. } => Some(since),
         Action::Read => None,
     }
@@ -61,28 +61,28 @@
 
 #[test]
 fn a_change_is_returned_once() {
-    let mut follow = follow_at_5();
-    assert_eq!(watched_since(&follow), Some(5));
-    assert_eq!(follow.handle(ms(1), changed(8)).value, Some(item(8)));
-    assert_eq!(watched_since(&follow), Some(8));
-    assert_eq!(follow.handle(ms(2), changed(8)).value, None);
+    let mut follower = follower_at_5();
+    assert_eq!(watched_since(&follower), Some(5));
+    assert_eq!(follower.handle(ms(1), changed(8)).value, Some(item(8)));
+    assert_eq!(watched_since(&follower), Some(8));
+    assert_eq!(follower.handle(ms(2), changed(8)).value, None);
 }
 
 #[test]
 fn a_watch_without_a_change_advances_the_index() {
-    let mut follow = follow_at_5();
-    assert_eq!(follow.handle(ms(1), unchanged(40)).value, None);
-    assert_eq!(watched_since(&follow), Some(40));
+    let mut follower = follower_at_5();
+    assert_eq!(follower.handle(ms(1), unchanged(40)).value, None);
+    assert_eq!(watched_since(&follower), Some(40));
 }
 
 #[test]
 fn an_older_value_is_never_returned() {
-    let mut follow = follow_at_5();
-    follow.handle(ms(1), changed(9));
-    assert_eq!(follow.handle(ms(2), changed(7)).value, None);
-    follow.handle(ms(3), Event::Watched(Err(Fault::Unreachable)));
+    let mut follower = follower_at_5();
+    follower.handle(ms(1), changed(9));
+    assert_eq!(follower.handle(ms(2), changed(7)).value, None);
+    follower.handle(ms(3), Event::Watched(Err(Fault::Unreachable)));
     assert_eq!(
-        follow.handle(ms(4), Event::Read(Ok(Some(item(6))))).value,
+        follower.handle(ms(4), Event::Read(Ok(Some(item(6))))).value,
         None
     );
 }
@@ -91,44 +91,44 @@
 /// again.
 #[test]
 fn a_failed_watch_is_followed_by_a_read() {
-    let mut follow = follow_at_5();
-    let outcome = follow.handle(ms(1), Event::Watched(Err(Fault::Malformed)));
+    let mut follower = follower_at_5();
+    let outcome = follower.handle(ms(1), Event::Watched(Err(Fault::Malformed)));
     assert_eq!(outcome.change, Some(Change::Lost(Fault::Malformed)));
     assert!(outcome.pause > Duration::ZERO);
-    assert_eq!(follow.next(), Action::Read);
+    assert_eq!(follower.next(), Action::Read);
 }
 
 #[test]
 fn pauses_grow_to_their_maximum_and_recovery_is_reported_once() {
-    let mut follow = follow_at_5();
+    let mut follower = follower_at_5();
     let mut longest = Duration::ZERO;
     for _ in 0..20 {
-        let outcome = follow.handle(ms(1), Event::Read(Err(Fault::Unreachable)));
+        let outcome = follower.handle(ms(1), Event::Read(Err(Fault::Unreachable)));
         longest = longest.max(outcome.pause);
     }
     let settings = Settings::default();
     assert!(longest > settings.backoff.max / 2 && longest <= settings.backoff.max);
-    let back = follow.handle(ms(2), Event::Read(Ok(Some(item(5)))));
+    let back = follower.handle(ms(2), Event::Read(Ok(Some(item(5)))));
     assert_eq!(
         (back.change, back.pause),
         (Some(Change::Regained), Duration::ZERO)
     );
-    assert_eq!(follow.handle(ms(3), unchanged(6)).change, None);
+    assert_eq!(follower.handle(ms(3), unchanged(6)).change, None);
 }
 
 #[test]
 fn a_value_is_confirmed_only_for_the_confirmation_ttl() {
-    let mut follow = follow_at_5();
-    assert!(follow.is_confirmed(ms(100)));
-    assert!(!follow.is_confirmed(Settings::default().confirmation_ttl));
-    follow.handle(ms(5_000), unchanged(6));
-    assert!(follow.is_confirmed(ms(5_100)));
+    let mut follower = follower_at_5();
+    assert!(follower.is_confirmed(ms(100)));
+    assert!(!follower.is_confirmed(Settings::default().confirmation_ttl));
+    follower.handle(ms(5_000), unchanged(6));
+    assert!(follower.is_confirmed(ms(5_100)));
 }
 
 #[test]
 fn a_missing_key_is_read_again_after_a_pause() {
-    let mut follow = follow();
-    let outcome = follow.handle(ms(0), Event::Read(Ok(None)));
+    let mut follower = follower();
+    let outcome = follower.handle(ms(0), Event::Read(Ok(None)));
     assert!(outcome.pause > Duration::ZERO && outcome.value.is_none());
-    assert_eq!(follow.next(), Action::Read);
+    assert_eq!(follower.next(), Action::Read);
 }
--- a/coordination/config/tests/lease.rs
+++ b/coordination/config/tests/lease.rs
@@ -176,7 +176,8 @@
     assert_eq!(lease.tick(1000 * SECOND), []);
 }
 
-/// Checks that the lease is revoked and another attempt is made later.
+/// Checks that the lease of a failed acquisition is revoked and that another
+/// attempt is made later.
 fn acquisition_fails(answer: Answer) {
     let mut lease = lease();
     let list = single(lease.tick(SECOND));
--- a/coordination/config/tests/presence.rs
+++ b/coordination/config/tests/presence.rs
@@ -33,85 +33,97 @@
 }
 
 /// Returns a process that registered at the start.
-fn registered_presence() -> Presence {
-    let mut presence = Presence::new(Settings::default(), OWN, 1, ms(0));
-    assert_eq!(presence.next(ms(0)), Action::List);
-    presence.handle(ms(0), listed(&["entries/other"]));
-    assert_eq!(presence.next(ms(0)), Action::Grant(Settings::default().ttl));
-    presence.handle(ms(1), Event::Granted(Ok("lease".to_owned())));
-    assert_eq!(presence.next(ms(1)), Action::Acquire("lease".to_owned()));
-    presence.handle(ms(2), Event::Acquired(Ok(true)));
-    assert!(matches!(presence.next(ms(2)), Action::Sleep(_)));
-    presence
+fn registered_process() -> Presence {
+    let mut registration = Presence::new(Settings::default(), OWN, 1, ms(0));
+    assert_eq!(registration.next(ms(0)), Action::List);
+    registration.handle(ms(0), listed(&["entries/other"]));
+    assert_eq!(
+        registration.next(ms(0)),
+        Action::Grant(Settings::default().ttl)
+    );
+    registration.handle(ms(1), Event::Granted(Ok("lease".to_owned())));
+    assert_eq!(
+        registration.next(ms(1)),
+        Action::Acquire("lease".to_owned())
+    );
+    registration.handle(ms(2), Event::Acquired(Ok(true)));
+    assert!(matches!(registration.next(ms(2)), Action::Sleep(_)));
+    registration
 }
 
 #[test]
 fn a_list_returns_the_registered_keys() {
-    let mut presence = Presence::new(Settings::default(), OWN, 1, ms(0));
-    let keys = presence.handle(ms(0), listed(&["entries/a", "entries/b"]));
+    let mut registration = Presence::new(Settings::default(), OWN, 1, ms(0));
+    let keys = registration.handle(ms(0), listed(&["entries/a", "entries/b"]));
     assert_eq!(keys, ["entries/a", "entries/b"]);
 }
 
 #[test]
 fn a_lease_is_renewed_in_time() {
-    let mut presence = registered_presence();
+    let mut registration = registered_process();
     let due = Settings::default().ttl / 2;
-    presence.handle(due, listed(&[OWN]));
-    assert_eq!(presence.next(due), Action::Renew("lease".to_owned()));
-    presence.handle(due, Event::Renewed(Ok(())));
-    assert!(matches!(presence.next(due), Action::Sleep(_)));
+    registration.handle(due, listed(&[OWN]));
+    assert_eq!(registration.next(due), Action::Renew("lease".to_owned()));
+    registration.handle(due, Event::Renewed(Ok(())));
+    assert!(matches!(registration.next(due), Action::Sleep(_)));
 }
 
 /// The store may lose the key although the lease can still be renewed.
 #[test]
 fn a_key_that_vanished_is_acquired_again() {
-    let mut presence = registered_presence();
+    let mut registration = registered_process();
     let check = Settings::default().list_interval + ms(10);
-    assert_eq!(presence.next(check), Action::List);
-    presence.handle(check, listed(&["entries/other"]));
-    assert_eq!(presence.next(check), Action::Acquire("lease".to_owned()));
+    assert_eq!(registration.next(check), Action::List);
+    registration.handle(check, listed(&["entries/other"]));
+    assert_eq!(
+        registration.next(check),
+        Action::Acquire("lease".to_owned())
+    );
 }
 
 #[test]
 fn an_expired_lease_is_replaced() {
-    let mut presence = registered_presence();
-    presence.handle(ms(5), Event::Renewed(Err(Fault::Lapsed)));
-    assert_eq!(presence.next(ms(5)), Action::Grant(Settings::default().ttl));
+    let mut registration = registered_process();
+    registration.handle(ms(5), Event::Renewed(Err(Fault::Lapsed)));
+    assert_eq!(
+        registration.next(ms(5)),
+        Action::Grant(Settings::default().ttl)
+    );
 }
 
 /// During a long outage the lease expires and the backoff grows to its maximum.
 /// The process must nevertheless register again within two seconds of the end.
 #[test]
 fn a_process_registers_again_within_two_seconds_of_an_outage() {
-    let mut presence = registered_presence();
+    let mut registration = registered_process();
     let mut now = ms(0);
     let end = ms(60_000);
     while now < end {
-        now += if let Action::Sleep(pause) = presence.next(now) {
+        now += if let Action::Sleep(pause) = registration.next(now) {
             pause
         } else {
-            presence.handle(now, Event::Listed(Err(Fault::Unreachable)));
+            registration.handle(now, Event::Listed(Err(Fault::Unreachable)));
             ms(1)
         };
     }
     let mut is_acquired = false;
     while !is_acquired {
-        now += match presence.next(now) {
+        now += match registration.next(now) {
             Action::Sleep(pause) => pause,
             Action::List => {
-                presence.handle(now, listed(&[]));
+                registration.handle(now, listed(&[]));
                 ms(4)
             }
             Action::Renew(_) => {
-                presence.handle(now, Event::Renewed(Err(Fault::Lapsed)));
+                registration.handle(now, Event::Renewed(Err(Fault::Lapsed)));
                 ms(4)
             }
             Action::Grant(_) => {
-                presence.handle(now, Event::Granted(Ok("new".to_owned())));
+                registration.handle(now, Event::Granted(Ok("new".to_owned())));
                 ms(4)
             }
             Action::Acquire(lease) if lease == "lease" => {
-                presence.handle(now, Event::Acquired(Err(Fault::Lapsed)));
+                registration.handle(now, Event::Acquired(Err(Fault::Lapsed)));
                 ms(4)
             }
             Action::Acquire(_) => {
@@ -130,18 +142,18 @@
 /// kept and the key acquired again under it.
 #[test]
 fn an_acquisition_is_repeated_after_a_lost_answer() {
-    let mut presence = Presence::new(Settings::default(), OWN, 1, ms(0));
-    presence.handle(ms(0), listed(&[]));
-    presence.handle(ms(1), Event::Granted(Ok("lease".to_owned())));
+    let mut registration = Presence::new(Settings::default(), OWN, 1, ms(0));
+    registration.handle(ms(0), listed(&[]));
+    registration.handle(ms(1), Event::Granted(Ok("lease".to_owned())));
     let lost = Fault::Lost {
         maybe_applied: true,
     };
-    presence.handle(ms(2), Event::Acquired(Err(lost)));
-    let Action::Sleep(pause) = presence.next(ms(2)) else {
+    registration.handle(ms(2), Event::Acquired(Err(lost)));
+    let Action::Sleep(pause) = registration.next(ms(2)) else {
         panic!("no pause");
     };
     assert_eq!(
-        presence.next(ms(2) + pause),
+        registration.next(ms(2) + pause),
         Action::Acquire("lease".to_owned())
     );
 }
--- a/coordination/config/tests/reader.rs
+++ b/coordination/config/tests/reader.rs
@@ -324,8 +324,8 @@
     assert_eq!(updated.count(), 2);
 }
 
-/// Each answer takes 2 s. A lease counts from when a call was sent, but must still
-/// be acquired and renewed in time.
+/// Each answer takes 2 s. A lease's time to live counts from when its grant or
+/// renewal was sent, so slow answers shorten the time left to renew it.
 #[test]
 fn a_store_with_slow_answers_is_read() {
     let mut zone = Zone::new(4);
--- a/coordination/config/tests/service.rs
+++ b/coordination/config/tests/service.rs
@@ -21,9 +21,12 @@
 
 #[test]
 fn the_defaults_lack_only_a_name_and_an_operation_id() {
-    assert_eq!(service().check(), Ok(()));
+    assert_eq!(service().validate(), Ok(()));
     let bare = Service::new(service().address);
-    assert_eq!(bare.check(), Err(vec![Problem::Name, Problem::Operation]));
+    assert_eq!(
+        bare.validate(),
+        Err(vec![Problem::Name, Problem::Operation])
+    );
 }
 
 #[test]
@@ -41,7 +44,7 @@
         operation: "x".repeat(65),
         ..service()
     };
-    let problems = wrong.check().expect_err("problems");
+    let problems = wrong.validate().expect_err("problems");
     let expected = [
         Problem::AddressUnspecified,
         Problem::PortZero,
--- a/transport/store/src/http.rs
+++ b/transport/store/src/http.rs
@@ -1,8 +1,8 @@
-//! HTTP client of the platform's key-value service.
+//! [`Store`] over Consul's HTTP API.
 //!
-//! Uses the public HTTP API of Consul for its key-value store, sessions and
-//! transactions: long polls by `index` and `wait`, and compare-and-swap with a
-//! session check in one transaction.
+//! Uses the public API of the key-value store, sessions and transactions: long
+//! polls by `index` and `wait`, and compare-and-swap with a session check in one
+//! transaction.
 //!
 //! Each call opens its own connection: a write sent on an idle connection that
 //! the server has just closed may or may not have been applied.
@@ -67,7 +67,7 @@
     }
 }
 
-/// HTTP client of the store. Clones share their counts.
+/// Client of Consul's HTTP API. Clones share their counts.
 #[derive(Clone, Debug)]
 pub struct Http {
     settings: Settings,
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Returns a client with another timeout that shares this client's counts.
+    /// Returns a client with this timeout that shares its counts with `self`.
     #[must_use]
     pub fn with_timeout(&self, timeout: Duration) -> Self {
         let mut client = self.clone();
@@ -214,7 +214,8 @@
         receive.or(drive).await
     }
 
-    /// Reads key-value pairs and the answer's index; an unknown path has no pairs.
+    /// Reads key-value pairs and the answer's index; a path without keys (status
+    /// 404) returns no pairs.
     async fn read(
         &self,
         kind: Kind,
@@ -345,7 +346,7 @@
     }
 }
 
-/// Returns the answer, or a fault if its status is neither 200, 404 nor 409.
+/// Returns the answer, or a fault if its status is none of 200, 404 and 409.
 fn check_status(answer: Answer, maybe_applied: bool) -> Result<Answer, Fault> {
     match answer.status {
         StatusCode::OK | StatusCode::NOT_FOUND | StatusCode::CONFLICT => Ok(answer),
--- a/transport/store/src/lib.rs
+++ b/transport/store/src/lib.rs
@@ -1,7 +1,7 @@
 //! Client of the platform's key-value service, the store.
 //!
 //! * [`Store`] is the trait that the rest of the system uses.
-//! * [`Http`] implements it over HTTP.
+//! * [`Http`] implements it over Consul's HTTP API.
 //! * [`reader`] keeps an entry's configuration up to date.
 //! * [`change`] applies an operator's change.
 pub mod change;
