--- a/coordination/config/src/follow.rs
+++ b/coordination/config/src/follow.rs
@@ -13,7 +13,7 @@
 use crate::Item;
 use crate::Listing;
 
-/// Settings of a [`Follow`].
+/// Settings of a follower of one key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// Maximum time that a watch waits for a change.
--- a/coordination/config/src/presence.rs
+++ b/coordination/config/src/presence.rs
@@ -12,7 +12,7 @@
 use crate::LeaseId;
 use crate::Listing;
 
-/// Settings of a [`Presence`].
+/// Settings of a registration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// Time to live of the lease, and so the time that a key outlives its
