--- a/coordination/config/tests/lease.rs
+++ b/coordination/config/tests/lease.rs
@@ -108,7 +108,8 @@
     assert!(!lease.holds(last));
 }
 
-/// The process is paused while the grant is in flight.
+/// The process is paused while the grant is in flight, and the lease may have
+/// expired meanwhile.
 #[test]
 fn a_lease_granted_after_its_usable_time_is_revoked() {
     let mut lease = lease();
@@ -175,7 +176,8 @@
     assert_eq!(lease.tick(1000 * SECOND), []);
 }
 
-/// Checks that the lease is revoked and another attempt is made later.
+/// Checks that the lease of a failed acquisition is revoked and that another
+/// attempt is made later.
 fn acquisition_fails(answer: Answer) {
     let mut lease = lease();
     let list = single(lease.tick(SECOND));
--- a/coordination/config/tests/service.rs
+++ b/coordination/config/tests/service.rs
@@ -21,9 +21,12 @@
 
 #[test]
 fn the_defaults_lack_only_a_name_and_an_operation_id() {
-    assert_eq!(service().check(), Ok(()));
+    assert_eq!(service().validate(), Ok(()));
     let bare = Service::new(service().address);
-    assert_eq!(bare.check(), Err(vec![Problem::Name, Problem::Operation]));
+    assert_eq!(
+        bare.validate(),
+        Err(vec![Problem::Name, Problem::Operation])
+    );
 }
 
 #[test]
@@ -41,7 +44,7 @@
         operation: "x".repeat(65),
         ..service()
     };
-    let problems = wrong.check().expect_err("problems");
+    let problems = wrong.validate().expect_err("problems");
     let expected = [
         Problem::AddressUnspecified,
         Problem::PortZero,
@@ -68,6 +71,7 @@
     assert_eq!(record, Record::create(service()));
 }
 
+/// Target ids are strings because JSON decoders may round integers over 2^53.
 #[test]
 fn a_record_has_units_in_field_names_and_target_ids_as_strings() {
     let drained = [Drained::Target(u64::MAX), Drained::Zone(2)];
@@ -134,7 +138,7 @@
 
 proptest! {
     #[test]
-    fn arbitrary_bytes_panic_no_decoder(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn no_decoder_panics_on_arbitrary_bytes(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let _ = Service::from_bytes(&bytes);
         let _ = Record::from_json(&bytes);
         let mut framed = vec![1];
@@ -143,7 +147,7 @@
     }
 
     #[test]
-    fn a_configuration_survives_both_codecs(
+    fn a_configuration_is_unchanged_by_encoding_and_decoding(
         hunt: u8,
         queue_ms: u32,
         target: u64,
