--- a/tools/soak/src/address.rs
+++ b/tools/soak/src/address.rs
@@ -8,19 +8,19 @@
 use std::net::SocketAddrV4;
 
 /// Port of callers, and of the packets that are meant for callers.
-pub const PACKETS: u16 = 8172;
+pub const PACKET_PORT: u16 = 8172;
 /// Port of the question whether a process takes traffic.
-pub const READY: u16 = 8167;
+pub const READY_PORT: u16 = 8167;
 /// Port of announcements.
-pub const ANNOUNCEMENTS: u16 = 8166;
+pub const ANNOUNCEMENT_PORT: u16 = 8166;
 /// Port of frames between processes.
-pub const FRAMES: u16 = 7720;
+pub const FRAME_PORT: u16 = 7720;
 /// Port that a backend server sends to.
-pub const OUTGOING: u16 = 8173;
+pub const OUTGOING_PORT: u16 = 8173;
 /// Port of a backend server.
-pub const SERVER: u16 = 8080;
+pub const SERVER_PORT: u16 = 8080;
 /// Port of the store.
-pub const STORE: u16 = 8169;
+pub const STORE_PORT: u16 = 8169;
 
 /// First address that callers send to, and its port.
 const SERVICES: Ipv4Addr = Ipv4Addr::new(198, 18, 0, 1);
@@ -33,7 +33,7 @@
 impl Network {
     /// What a host itself binds.
     #[must_use]
-    pub fn own(self, host: usize) -> Ipv4Addr {
+    pub fn process(self, host: usize) -> Ipv4Addr {
         self.ip(1, host)
     }
 
@@ -46,7 +46,7 @@
     /// Where a host reaches the store.
     #[must_use]
     pub fn store_link(self, host: usize) -> SocketAddr {
-        socket(self.ip(3, host), STORE)
+        socket(self.ip(3, host), STORE_PORT)
     }
 
     /// A host that callers run on.
@@ -58,12 +58,12 @@
     /// The store itself.
     #[must_use]
     pub fn store(self) -> SocketAddr {
-        socket(self.ip(0, 0), STORE)
+        socket(self.ip(0, 0), STORE_PORT)
     }
 
     /// The number within its kind of an address.
     #[must_use]
-    pub fn number(address: Ipv4Addr) -> usize {
+    pub fn index(address: Ipv4Addr) -> usize {
         usize::from(address.octets()[3]).saturating_sub(1)
     }
 
--- a/tools/soak/src/caller.rs
+++ b/tools/soak/src/caller.rs
@@ -12,19 +12,19 @@
 
 use crate::address;
 use crate::address::Network;
-use crate::address::PACKETS;
-use crate::judge::Promise;
+use crate::address::PACKET_PORT;
+use crate::checker::Invariant;
+use crate::harness::Harness;
 use crate::request::Answer;
 use crate::request::Request;
 use crate::request::TaskId;
 use crate::stream::Stream;
-use crate::world::World;
 
 /// Times after its first at which an opening packet is sent again.
-const COPIES: [Duration; 2] = [Duration::from_millis(200), Duration::from_millis(600)];
+const RETRANSMIT_AFTER: [Duration; 2] = [Duration::from_millis(200), Duration::from_millis(600)];
 
 /// Time after which an opening that was not answered is given up.
-const OPENING: Duration = Duration::from_millis(1_400);
+const OPEN_TIMEOUT: Duration = Duration::from_millis(1_400);
 
 /// Distance from what a caller has acknowledged within which it takes a reset.
 const RESET_WINDOW: u32 = 76_800;
@@ -33,13 +33,13 @@
 const MAX_ATTEMPTS: u32 = 3;
 
 /// Pause before another attempt, and before a long flow is opened again.
-const PAUSE: Duration = Duration::from_millis(100);
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// First port of callers.
 const FIRST_PORT: u16 = 20_000;
 
 /// Flows that one host of callers opens at most before ports repeat.
-const PORTS: u32 = 40_000;
+const PORT_COUNT: u32 = 40_000;
 
 /// All callers.
 #[derive(Debug, Default)]
@@ -48,14 +48,14 @@
     flows: HashMap<FlowId, Flow>,
     /// When a flow was opened and through which gateway, also after its end.
     openings: HashMap<FlowId, (Duration, usize)>,
-    /// Tasks to be asked for again.
-    again: Vec<(Duration, Task)>,
+    /// Tasks to be pending for again.
+    retries: Vec<(Duration, Task)>,
     /// Next arrival of each service.
     arrivals: Vec<Duration>,
     /// Ends of tasks: when they began, and whether they were served.
     pub outcomes: Vec<(Duration, bool)>,
     /// Ports used so far.
-    ports: u32,
+    ports_used: u32,
     next_task: TaskId,
     is_stopped: bool,
 }
@@ -73,16 +73,16 @@
 #[derive(Debug)]
 struct Flow {
     service: usize,
-    own: u32,
+    initial_sequence: u32,
     /// When the opening packet was first sent.
     begun: Duration,
-    copies: usize,
+    retransmissions: usize,
     /// Its stream, once it is open.
     stream: Option<Stream>,
     inbox: Vec<u8>,
     task: Option<Task>,
     /// When it last carried a request.
-    asked: Duration,
+    last_request: Duration,
     is_long: bool,
 }
 
@@ -93,17 +93,17 @@
     }
 }
 
-impl World {
+impl Harness {
     /// Lets all callers ask and send.
     pub fn callers_tick(&mut self) {
         let now = self.now();
-        self.arrive(now);
-        let again = std::mem::take(&mut self.callers.again);
-        for (at, task) in again {
+        self.start_due_tasks(now);
+        let retries = std::mem::take(&mut self.callers.retries);
+        for (at, task) in retries {
             if now >= at {
-                self.ask(now, task);
+                self.dispatch(now, task);
             } else {
-                self.callers.again.push((at, task));
+                self.callers.retries.push((at, task));
             }
         }
         let flows: Vec<FlowId> = self.callers.flows.keys().copied().collect();
@@ -119,12 +119,12 @@
     }
 
     /// Takes a packet that reached a host of callers.
-    pub fn caller_packet(&mut self, from: SocketAddr, packet: &[u8]) {
+    pub fn receive_at_caller(&mut self, from: SocketAddr, packet: &[u8]) {
         let now = self.now();
         let Ok(segment) = platform::packet::decode(packet) else {
             return self
-                .judge
-                .breach(Promise::Genuine, now, "unreadable".into());
+                .checker
+                .record_violation(Invariant::Genuine, now, "unreadable".into());
         };
         let id = segment.from_server();
         if segment.kind == Kind::Reset && is_system_reset(packet) {
@@ -132,7 +132,7 @@
         }
         if !self.key.is_genuine(packet, &segment) || segment.is_returned {
             let text = format!("a caller got a changed packet of {from}: {segment:?}");
-            return self.judge.breach(Promise::Genuine, now, text);
+            return self.checker.record_violation(Invariant::Genuine, now, text);
         }
         let Some(flow) = self.callers.flows.get_mut(&id) else {
             return;
@@ -140,12 +140,12 @@
         match (segment.kind, &mut flow.stream) {
             (Kind::Reset, stream) => {
                 let was_open = stream.is_some();
-                self.judge.count("flows reset by servers");
-                self.flow_failed(now, id, was_open, "its server reset it");
+                self.checker.count("flows reset by servers");
+                self.fail_flow(now, id, was_open, "its server reset it");
             }
             (Kind::Accept, None) => {
-                flow.stream = Some(Stream::new(flow.own, segment.sequence));
-                self.judge.count("flows opened");
+                flow.stream = Some(Stream::new(flow.initial_sequence, segment.sequence));
+                self.checker.count("flows opened");
                 self.send_acknowledgement(&id);
                 self.write_request(now, &id);
             }
@@ -155,25 +155,25 @@
                 }
             }
             (_, Some(stream)) => {
-                let content = stream.take(now, &segment, &packet[HEADER_LEN..]);
+                let content = stream.receive(now, &segment, &packet[HEADER_LEN..]);
                 flow.inbox.extend(content);
                 if segment.length > 0 || segment.kind == Kind::Close {
                     self.send_acknowledgement(&id);
                 }
-                self.answers(now, id);
+                self.receive_answers(now, id);
             }
             (_, None) => {}
         }
     }
 
     /// Begins what is due.
-    fn arrive(&mut self, now: Duration) {
-        let services = self.shape.services.clone();
+    fn start_due_tasks(&mut self, now: Duration) {
+        let services = self.topology.services.clone();
         self.callers.arrivals.resize(services.len(), Duration::ZERO);
         for (number, service) in services.iter().enumerate() {
             while !self.callers.is_stopped && self.callers.arrivals[number] <= now {
                 let gap = -(1.0 - self.random.f64()).ln() / f64::from(service.rate);
-                let last = self.callers.arrivals[number].max(now.saturating_sub(PAUSE));
+                let last = self.callers.arrivals[number].max(now.saturating_sub(RETRY_PAUSE));
                 self.callers.arrivals[number] = last + Duration::from_secs_f64(gap);
                 if let Some(route) = self.route_to(number) {
                     self.callers.next_task += 1;
@@ -184,7 +184,7 @@
                         attempt: 1,
                         begun: now,
                     };
-                    self.ask(now, task);
+                    self.dispatch(now, task);
                 }
             }
             let held = self.callers.flows.values();
@@ -209,25 +209,25 @@
             return None;
         }
         let address = leading[self.random.usize(..leading.len())];
-        let routes = 0..2 * self.shape.services.len();
+        let routes = 0..2 * self.topology.services.len();
         routes
             .into_iter()
             .find(|route| address::service(*route) == address)
     }
 
     /// Asks for a task on a long flow that is idle, or on a flow of its own.
-    fn ask(&mut self, now: Duration, task: Task) {
+    fn dispatch(&mut self, now: Duration, task: Task) {
         let idle = self.callers.flows.iter().filter(|(_, flow)| {
-            let is_open = flow.stream.as_ref().is_some_and(|s| !s.is_closed_there());
+            let is_open = flow.stream.as_ref().is_some_and(|s| !s.is_closed_by_peer());
             flow.is_long && is_open && flow.task.is_none() && flow.service == task.service
         });
-        let longest = idle.min_by_key(|(_, flow)| flow.asked);
+        let longest = idle.min_by_key(|(_, flow)| flow.last_request);
         let idle = longest.map(|(id, _)| *id);
         match idle {
             Some(id) => {
                 if let Some(flow) = self.callers.flows.get_mut(&id) {
                     flow.task = Some(task);
-                    flow.asked = now;
+                    flow.last_request = now;
                 }
                 self.write_request(now, &id);
             }
@@ -237,25 +237,25 @@
 
     fn open(&mut self, now: Duration, service: usize, route: usize, task: Option<Task>) {
         let caller = self.random.usize(..self.sockets.callers.len());
-        let port = FIRST_PORT + u16::try_from(self.callers.ports % PORTS).unwrap_or(0);
-        self.callers.ports += 1;
+        let port = FIRST_PORT + u16::try_from(self.callers.ports_used % PORT_COUNT).unwrap_or(0);
+        self.callers.ports_used += 1;
         let id = FlowId {
             caller: SocketAddrV4::new(self.network.caller(caller), port),
             service: address::service(route),
         };
         let flow = Flow {
             service,
-            own: self.random.u32(..),
+            initial_sequence: self.random.u32(..),
             begun: now,
-            copies: 0,
+            retransmissions: 0,
             stream: None,
             inbox: Vec::new(),
             is_long: task.is_none(),
-            asked: now,
+            last_request: now,
             task,
         };
         self.callers.flows.insert(id, flow);
-        self.judge.closed(&id);
+        self.checker.record_close(&id);
         let gateway = self.gateway_of(&id, caller);
         self.callers.openings.insert(id, (now, gateway));
         self.send_opening(&id, 0);
@@ -265,39 +265,41 @@
         let Some(flow) = self.callers.flows.get_mut(&id) else {
             return;
         };
-        let deadline = self.shape.services[flow.service].deadline;
+        let deadline = self.topology.services[flow.service].deadline;
         let is_late = flow.task.is_some_and(|task| now > task.begun + deadline);
         let Some(stream) = &mut flow.stream else {
-            if now > flow.begun + OPENING {
-                self.judge.count("openings without answer");
-                return self.flow_failed(now, id, false, "its opening was not answered");
+            if now > flow.begun + OPEN_TIMEOUT {
+                self.checker.count("openings without answer");
+                return self.fail_flow(now, id, false, "its opening was not answered");
             }
-            let copies = flow.copies;
-            if copies < COPIES.len() && now > flow.begun + COPIES[copies] {
-                flow.copies += 1;
-                self.send_opening(&id, copies + 1);
+            let retransmissions = flow.retransmissions;
+            if retransmissions < RETRANSMIT_AFTER.len()
+                && now > flow.begun + RETRANSMIT_AFTER[retransmissions]
+            {
+                flow.retransmissions += 1;
+                self.send_opening(&id, retransmissions + 1);
             }
             return;
         };
-        if stream.is_over() {
+        if stream.is_finished() {
             self.callers.flows.remove(&id);
             return;
         }
-        if is_late || stream.is_given_up() {
+        if is_late || stream.has_timed_out() {
             let sequence = stream.position();
             let received = stream.received;
             let segment = from_caller(&id, Kind::Reset, sequence, received);
             self.caller_send(&id, &segment, &[]);
-            self.judge.closed(&id);
-            return self.flow_failed(now, id, true, "its deadline passed");
+            self.checker.record_close(&id);
+            return self.fail_flow(now, id, true, "its deadline passed");
         }
-        if stream.is_closed_there() {
+        if stream.is_closed_by_peer() {
             stream.close();
         }
         let received = stream.received;
-        for out in stream.poll(now) {
-            let segment = from_caller(&id, out.kind, out.sequence, received);
-            self.caller_send(&id, &segment, &out.content);
+        for packet in stream.poll(now) {
+            let segment = from_caller(&id, packet.kind, packet.sequence, received);
+            self.caller_send(&id, &segment, &packet.content);
         }
     }
 
@@ -306,35 +308,36 @@
             return;
         };
         let Some(stream) = &flow.stream else {
-            self.judge.count("flows refused");
-            return self.flow_failed(now, *id, false, "its flow was refused");
+            self.checker.count("flows refused");
+            return self.fail_flow(now, *id, false, "its flow was refused");
         };
         let distance = segment.sequence.wrapping_sub(stream.received);
         if distance.min(distance.wrapping_neg()) > RESET_WINDOW {
-            return self.judge.count("resets out of place");
+            return self.checker.count("resets out of place");
         }
-        self.judge.count("open flows reset");
-        self.judge_reset(now, from, id);
-        self.flow_failed(now, *id, true, "the system reset it");
+        self.checker.count("open flows reset");
+        self.check_reset(now, from, id);
+        self.fail_flow(now, *id, true, "the system reset it");
     }
 
-    fn answers(&mut self, now: Duration, id: FlowId) {
+    fn receive_answers(&mut self, now: Duration, id: FlowId) {
         let Some(flow) = self.callers.flows.get_mut(&id) else {
             return;
         };
         loop {
-            let (answer, is_whole) = match Answer::take(&mut flow.inbox) {
+            let (answer, is_intact) = match Answer::decode(&mut flow.inbox) {
                 Ok(None) => return,
                 Ok(Some(answer)) => (answer, true),
                 Err(answer) => (answer, false),
             };
-            let asked = flow.task.take();
-            let fits = asked.is_some_and(|task| {
-                (task.id, task.attempt) == (answer.task, answer.attempt) && is_whole
+            let pending = flow.task.take();
+            let fits = pending.is_some_and(|task| {
+                (task.id, task.attempt) == (answer.task, answer.attempt) && is_intact
             });
-            let Some(task) = asked.filter(|_| fits) else {
-                let text = format!("{id:?} got {answer:?}, whole: {is_whole}, asked {asked:?}");
-                return self.judge.breach(Promise::Genuine, now, text);
+            let Some(task) = pending.filter(|_| fits) else {
+                let text =
+                    format!("{id:?} got {answer:?}, intact: {is_intact}, pending: {pending:?}");
+                return self.checker.record_violation(Invariant::Genuine, now, text);
             };
             if !flow.is_long
                 && let Some(stream) = &mut flow.stream
@@ -342,16 +345,16 @@
                 stream.close();
             }
             if answer.has_run {
-                self.judge.count("tasks served");
+                self.checker.count("tasks served");
                 self.callers.outcomes.push((task.begun, true));
             } else {
-                return self.again(now, task, true);
+                return self.retry(now, task, true);
             }
         }
     }
 
     /// Ends a flow without an answer to what it carried.
-    fn flow_failed(&mut self, now: Duration, id: FlowId, was_open: bool, how: &'static str) {
+    fn fail_flow(&mut self, now: Duration, id: FlowId, was_open: bool, how: &'static str) {
         let Some(flow) = self.callers.flows.remove(&id) else {
             return;
         };
@@ -359,24 +362,25 @@
             return;
         };
         if !was_open {
-            self.judge.unopened(now, task.id, task.attempt, how);
+            self.checker
+                .record_unopened(now, task.id, task.attempt, how);
         }
-        let is_idempotent = self.shape.services[flow.service].is_idempotent;
-        self.again(now, task, is_idempotent || !was_open);
+        let is_idempotent = self.topology.services[flow.service].is_idempotent;
+        self.retry(now, task, is_idempotent || !was_open);
     }
 
     /// Asks again where that is allowed, and gives the task up otherwise.
-    fn again(&mut self, now: Duration, task: Task, may_repeat: bool) {
-        let deadline = self.shape.services[task.service].deadline;
-        let in_time = now + PAUSE < task.begun + deadline;
-        if !may_repeat || task.attempt >= MAX_ATTEMPTS || !in_time {
-            self.judge.count("tasks given up");
+    fn retry(&mut self, now: Duration, task: Task, may_retry: bool) {
+        let deadline = self.topology.services[task.service].deadline;
+        let in_time = now + RETRY_PAUSE < task.begun + deadline;
+        if !may_retry || task.attempt >= MAX_ATTEMPTS || !in_time {
+            self.checker.count("tasks given up");
             return self.callers.outcomes.push((task.begun, false));
         }
         let attempt = task.attempt + 1;
         self.callers
-            .again
-            .push((now + PAUSE, Task { attempt, ..task }));
+            .retries
+            .push((now + RETRY_PAUSE, Task { attempt, ..task }));
     }
 
     fn write_request(&mut self, now: Duration, id: &FlowId) {
@@ -386,23 +390,23 @@
         let (Some(task), Some(stream)) = (flow.task, &mut flow.stream) else {
             return;
         };
-        let (length, answer) = self.shape.services[flow.service].lengths;
+        let (length, answer_length) = self.topology.services[flow.service].lengths;
         let request = Request {
             task: task.id,
             attempt: task.attempt,
             length,
-            answer,
+            answer_length,
         };
         stream.write(&request.encode());
         self.flow_tick(now, *id);
     }
 
-    fn send_opening(&mut self, id: &FlowId, copies: usize) {
+    fn send_opening(&mut self, id: &FlowId, retransmissions: usize) {
         let Some(flow) = self.callers.flows.get(id) else {
             return;
         };
-        let copies = u32::try_from(copies).unwrap_or_default();
-        let segment = from_caller(id, Kind::Open, flow.own, copies);
+        let retransmissions = u32::try_from(retransmissions).unwrap_or_default();
+        let segment = from_caller(id, Kind::Open, flow.initial_sequence, retransmissions);
         self.caller_send(id, &segment, &[]);
     }
 
@@ -419,9 +423,9 @@
         let length = u16::try_from(content.len()).unwrap_or(u16::MAX);
         let segment = Segment { length, ..*segment };
         let packet = self.key.encode(&segment, content);
-        let caller = Network::number(*id.caller.ip());
+        let caller = Network::index(*id.caller.ip());
         let gateway = self.gateway_of(id, caller);
-        let to = address::socket(self.network.own(gateway), PACKETS);
+        let to = address::socket(self.network.process(gateway), PACKET_PORT);
         self.sockets.send_as_caller(caller, to, &packet);
     }
 }
--- a/tools/soak/src/judge.rs
+++ b/tools/soak/src/checker.rs
@@ -7,12 +7,12 @@
 
 use crate::request::TaskId;
 
-/// Packets of a flow at other backend servers that may be strays.
-const STRAYS: u32 = 3;
+/// Packets of a flow at other backend servers that may be misrouted.
+const MIN_MISROUTED: u32 = 3;
 
-/// A promise.
+/// A invariant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Promise {
+pub enum Invariant {
     /// A caller gets only what its backend server wrote.
     Genuine,
     /// A backend server gets only what callers wrote.
@@ -37,11 +37,11 @@
     Recovered,
 }
 
-/// A promise that was broken.
+/// A invariant that was broken.
 #[derive(Clone, Debug)]
-pub struct Breach {
-    /// The promise.
-    pub promise: Promise,
+pub struct Violation {
+    /// The invariant.
+    pub invariant: Invariant,
     /// Time since the start of the run.
     pub at: Duration,
     /// What was seen.
@@ -50,30 +50,34 @@
 
 /// An open flow.
 #[derive(Debug)]
-struct Open {
+struct Flow {
     server: usize,
     start: u32,
-    strays: u32,
-    astray_since: Option<Duration>,
+    misrouted: u32,
+    misrouted_since: Option<Duration>,
 }
 
 /// What was seen so far.
 #[derive(Debug, Default)]
-pub struct Judge {
+pub struct Checker {
     /// Promises that were broken.
-    pub breaches: Vec<Breach>,
+    pub violations: Vec<Violation>,
     /// What happened, by name.
     pub counts: BTreeMap<&'static str, u64>,
-    open: HashMap<FlowId, Open>,
+    open_flows: HashMap<FlowId, Flow>,
     runs: HashMap<TaskId, Vec<u32>>,
     unopened: HashMap<(TaskId, u32), &'static str>,
 }
 
-impl Judge {
-    /// Notes that a promise was broken.
-    pub fn breach(&mut self, promise: Promise, at: Duration, text: String) {
-        self.count("breaches");
-        self.breaches.push(Breach { promise, at, text });
+impl Checker {
+    /// Notes that a invariant was broken.
+    pub fn record_violation(&mut self, invariant: Invariant, at: Duration, text: String) {
+        self.count("violations");
+        self.violations.push(Violation {
+            invariant,
+            at,
+            text,
+        });
     }
 
     /// Counts something.
@@ -83,82 +87,92 @@
 
     /// How often something was counted.
     #[must_use]
-    pub fn counted(&self, name: &str) -> u64 {
+    pub fn total(&self, name: &str) -> u64 {
         self.counts.get(name).copied().unwrap_or_default()
     }
 
     /// Notes that a flow is open at a backend server's start.
-    pub fn opened(&mut self, flow: FlowId, server: usize, start: u32) {
-        self.open.insert(
+    pub fn record_open(&mut self, flow: FlowId, server: usize, start: u32) {
+        self.open_flows.insert(
             flow,
-            Open {
+            Flow {
                 server,
                 start,
-                strays: 0,
-                astray_since: None,
+                misrouted: 0,
+                misrouted_since: None,
             },
         );
     }
 
     /// Notes that a flow is over for either end.
-    pub fn closed(&mut self, flow: &FlowId) {
-        self.open.remove(flow);
+    pub fn record_close(&mut self, flow: &FlowId) {
+        self.open_flows.remove(flow);
     }
 
     /// The backend server and its start that hold a flow.
     #[must_use]
     pub fn holder(&self, flow: &FlowId) -> Option<(usize, u32)> {
-        let open = self.open.get(flow)?;
+        let open = self.open_flows.get(flow)?;
         Some((open.server, open.start))
     }
 
     /// Notes that a packet of a flow reached a backend server; true where too
     /// many went to others for too long.
-    pub fn reached(
+    pub fn record_arrival(
         &mut self,
         now: Duration,
         flow: &FlowId,
         server: usize,
         limit: Duration,
     ) -> bool {
-        let Some(open) = self.open.get_mut(flow) else {
+        let Some(open) = self.open_flows.get_mut(flow) else {
             return false;
         };
         if open.server == server {
-            open.strays = 0;
-            open.astray_since = None;
+            open.misrouted = 0;
+            open.misrouted_since = None;
             return false;
         }
-        open.strays += 1;
-        let since = *open.astray_since.get_or_insert(now);
-        open.strays >= STRAYS && now >= since + limit
+        open.misrouted += 1;
+        let since = *open.misrouted_since.get_or_insert(now);
+        open.misrouted >= MIN_MISROUTED && now >= since + limit
     }
 
     /// Notes that an attempt ended before its flow opened, so that it cannot
     /// have run.
-    pub fn unopened(&mut self, now: Duration, task: TaskId, attempt: u32, how: &'static str) {
+    pub fn record_unopened(
+        &mut self,
+        now: Duration,
+        task: TaskId,
+        attempt: u32,
+        how: &'static str,
+    ) {
         self.unopened.insert((task, attempt), how);
         if self
             .runs
             .get(&task)
             .is_some_and(|runs| runs.contains(&attempt))
         {
-            self.breach(Promise::Refused, now, format!("{task:x} ran, though {how}"));
+            self.record_violation(
+                Invariant::Refused,
+                now,
+                format!("{task:x} ran, though {how}"),
+            );
         }
     }
 
     /// Notes that a backend server began to work on a request.
-    pub fn ran(&mut self, now: Duration, task: TaskId, attempt: u32, is_idempotent: bool) {
+    pub fn record_run(&mut self, now: Duration, task: TaskId, attempt: u32, is_idempotent: bool) {
         let runs = self.runs.entry(task).or_default();
         runs.push(attempt);
         let (count, list) = (runs.len(), format!("{runs:?}"));
         if count > 1 && !is_idempotent {
             let text = format!("{task:x} ran {count} times, as attempts {list}");
-            self.breach(Promise::Once, now, text);
+            self.record_violation(Invariant::Once, now, text);
         }
         if let Some(how) = self.unopened.get(&(task, attempt)) {
             let text = format!("{task:x} ran, though {how}");
-            self.breach(Promise::Refused, now, text);
+            self.record_violation(Invariant::Refused, now, text);
         }
     }
 }
--- a/tools/soak/src/history.rs
+++ b/tools/soak/src/history.rs
@@ -17,15 +17,15 @@
 #[derive(Clone, Debug, Default)]
 pub struct History {
     versions: Vec<Version>,
-    number: u64,
+    last_version: u64,
 }
 
 impl History {
     /// Notes a configuration that the store has acknowledged; its version.
-    pub fn write(&mut self, random: &mut fastrand::Rng, at: Duration, routes: Routes) -> u64 {
+    pub fn record(&mut self, random: &mut fastrand::Rng, at: Duration, routes: Routes) -> u64 {
         self.versions.push(Version { at, routes });
-        self.number += random.u64(1..9);
-        self.number
+        self.last_version += random.u64(1..9);
+        self.last_version
     }
 
     /// The newest configuration.
@@ -39,7 +39,7 @@
 
     /// Whether any configuration so far leads an address to a service.
     #[must_use]
-    pub fn ever(&self, address: SocketAddrV4, service: usize) -> bool {
+    pub fn has_ever_routed(&self, address: SocketAddrV4, service: usize) -> bool {
         let versions = self.versions.iter();
         versions
             .map(|version| version.routes.get(&address))
--- a/tools/soak/src/host.rs
+++ b/tools/soak/src/host.rs
@@ -12,7 +12,7 @@
 use proof::program;
 
 use crate::link;
-use crate::tunnel;
+use crate::proxy;
 
 /// Key that the processes of a run share.
 const SIGN_KEY: &str = "1:736f616b736f616b736f616b736f616b736f616b736f616b736f616b736f616b";
@@ -28,9 +28,9 @@
 
 /// Since when a host is left alone.
 #[derive(Clone, Copy, Debug, Default)]
-struct Calm {
+struct Disturbances {
     active: u32,
-    since: Duration,
+    ended: Duration,
 }
 
 /// A host with one process of the system.
@@ -40,16 +40,16 @@
     /// UDP address that its process binds for frames.
     pub bind: SocketAddr,
     /// What happens to its frames.
-    pub link: link::Fault,
+    pub link_fault: link::Fault,
     /// What happens to its calls of the store.
-    pub tunnel: tunnel::Fault,
+    pub proxy_fault: proxy::Fault,
     role: &'static str,
     folder: PathBuf,
     child: Option<Child>,
-    downs: u32,
-    freezes: u32,
-    planned: Calm,
-    faults: Calm,
+    down_count: u32,
+    freeze_count: u32,
+    planned: Disturbances,
+    faults: Disturbances,
 }
 
 impl Host {
@@ -59,38 +59,39 @@
         Self {
             settings,
             bind,
-            link: link::Fault::default(),
-            tunnel: tunnel::Fault::default(),
+            link_fault: link::Fault::default(),
+            proxy_fault: proxy::Fault::default(),
             role,
             folder,
             child: None,
-            downs: 0,
-            freezes: 0,
-            planned: Calm::default(),
-            faults: Calm::default(),
+            down_count: 0,
+            freeze_count: 0,
+            planned: Disturbances::default(),
+            faults: Disturbances::default(),
         }
     }
 
     /// Notes that something begins to act on the host.
-    pub fn disturb(&mut self, cause: Cause) {
-        self.calm(cause).active += 1;
+    pub fn begin_disturbance(&mut self, cause: Cause) {
+        self.disturbances(cause).active += 1;
     }
 
     /// Notes that it no longer does.
-    pub fn relieve(&mut self, now: Duration, cause: Cause) {
-        let calm = self.calm(cause);
-        calm.active = calm.active.saturating_sub(1);
-        calm.since = now;
+    pub fn end_disturbance(&mut self, now: Duration, cause: Cause) {
+        let disturbances = self.disturbances(cause);
+        disturbances.active = disturbances.active.saturating_sub(1);
+        disturbances.ended = now;
     }
 
     /// Whether nothing acted on the host since a time, or nothing but planned
     /// work.
     #[must_use]
-    pub fn is_calm_since(&self, time: Duration, cause: Cause) -> bool {
-        let is_calm = |calm: Calm| calm.active == 0 && calm.since <= time;
+    pub fn is_undisturbed_since(&self, time: Duration, cause: Cause) -> bool {
+        let is_undisturbed =
+            |disturbances: Disturbances| disturbances.active == 0 && disturbances.ended <= time;
         match cause {
-            Cause::Planned => is_calm(self.planned) && is_calm(self.faults),
-            Cause::Fault => is_calm(self.faults),
+            Cause::Planned => is_undisturbed(self.planned) && is_undisturbed(self.faults),
+            Cause::Fault => is_undisturbed(self.faults),
         }
     }
 
@@ -100,7 +101,7 @@
     ///
     /// The operating system's error.
     pub fn start(&mut self) -> io::Result<()> {
-        if self.downs > 0 || self.child.is_some() {
+        if self.down_count > 0 || self.child.is_some() {
             return Ok(());
         }
         let name = &self.settings.name;
@@ -131,7 +132,7 @@
     ///
     /// The operating system's error.
     pub fn take_down(&mut self) -> io::Result<()> {
-        self.downs += 1;
+        self.down_count += 1;
         match self.child.take() {
             Some(mut child) => {
                 child.signal(Signal::Kill)?;
@@ -147,8 +148,8 @@
     ///
     /// The operating system's error.
     pub fn bring_up(&mut self) -> io::Result<()> {
-        self.downs = self.downs.saturating_sub(1);
-        self.freezes = 0;
+        self.down_count = self.down_count.saturating_sub(1);
+        self.freeze_count = 0;
         self.start()
     }
 
@@ -157,8 +158,8 @@
     /// # Errors
     ///
     /// The operating system's error.
-    pub fn ask_to_stop(&mut self) -> io::Result<()> {
-        self.downs += 1;
+    pub fn request_stop(&mut self) -> io::Result<()> {
+        self.down_count += 1;
         self.signal(Signal::Stop)
     }
 
@@ -178,18 +179,18 @@
     ///
     /// The operating system's error.
     pub fn freeze(&mut self) -> io::Result<()> {
-        self.freezes += 1;
+        self.freeze_count += 1;
         self.signal(Signal::Freeze)
     }
 
-    /// Wakes the process once nothing else freezes it.
+    /// Wakes the process once nothing else freeze_count it.
     ///
     /// # Errors
     ///
     /// The operating system's error.
     pub fn thaw(&mut self) -> io::Result<()> {
-        self.freezes = self.freezes.saturating_sub(1);
-        match self.freezes {
+        self.freeze_count = self.freeze_count.saturating_sub(1);
+        match self.freeze_count {
             0 => self.signal(Signal::Thaw),
             _ => Ok(()),
         }
@@ -198,7 +199,7 @@
     /// Whether the process is frozen.
     #[must_use]
     pub const fn is_frozen(&self) -> bool {
-        self.freezes > 0
+        self.freeze_count > 0
     }
 
     /// Whether the process has succeeded, once it has ended.
@@ -206,7 +207,7 @@
     /// # Errors
     ///
     /// The operating system's error.
-    pub fn ended(&mut self) -> io::Result<Option<bool>> {
+    pub fn poll_exit(&mut self) -> io::Result<Option<bool>> {
         let Some(child) = &mut self.child else {
             return Ok(Some(true));
         };
@@ -218,12 +219,12 @@
     }
 
     /// Whether the process has ended although nothing asked it to.
-    pub fn has_ended_unasked(&mut self) -> bool {
-        let runs = self.downs == 0 && self.child.is_some();
-        runs && matches!(self.ended(), Ok(Some(_)))
+    pub fn has_exited_unexpectedly(&mut self) -> bool {
+        let runs = self.down_count == 0 && self.child.is_some();
+        runs && matches!(self.poll_exit(), Ok(Some(_)))
     }
 
-    fn calm(&mut self, cause: Cause) -> &mut Calm {
+    fn disturbances(&mut self, cause: Cause) -> &mut Disturbances {
         match cause {
             Cause::Planned => &mut self.planned,
             Cause::Fault => &mut self.faults,
--- /dev/null
+++ b/tools/soak/src/lifecycle.rs
@@ -0,0 +1,125 @@
+//! Starts, drains and ends backend servers.
+use std::time::Duration;
+use std::time::SystemTime;
+use std::time::UNIX_EPOCH;
+
+use async_io::Timer;
+use platform_standin::call;
+use platform_standin::call::Announcement;
+use smol::LocalExecutor;
+
+use crate::address::ANNOUNCEMENT_PORT;
+use crate::address::socket;
+use crate::harness::Shared;
+use crate::server::Instance;
+
+/// Time within which an announcement is to be acknowledged.
+const ACKNOWLEDGE_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// Time for which a backend server that drains waits to be acknowledged.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(5);
+
+/// Time that a backend server is slow after its start, as it says.
+const WARM_UP: Duration = Duration::from_secs(2);
+
+/// Pause between two tries to be acknowledged.
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
+
+/// Starts a backend server, which announces itself until it ends.
+pub fn start(harness: &Shared, executor: &LocalExecutor<'static>, number: usize) {
+    let start = {
+        let harness = &mut *harness.borrow_mut();
+        let server = &mut harness.servers[number];
+        if server.instance.is_some() {
+            return;
+        }
+        server.starts += 1;
+        let service = &harness.topology.services[server.service];
+        let announcement = Announcement {
+            name: format!("server-{number}-{}", server.starts),
+            service: service.name.clone(),
+            address: server.address,
+            slots: service.slots,
+            is_draining: false,
+            warm_up: WARM_UP,
+            sequence: 0,
+            start: SystemTime::now()
+                .duration_since(UNIX_EPOCH)
+                .unwrap_or_default(),
+        };
+        server.instance = Some(Instance::new(announcement));
+        server.starts
+    };
+    let harness = harness.clone();
+    executor
+        .spawn(async move {
+            let heartbeat = harness.borrow().topology.limits.bounds.heartbeat;
+            while is_running(&harness, number, start) {
+                announce(&harness, number).await;
+                Timer::after(heartbeat).await;
+            }
+        })
+        .detach();
+}
+
+/// Whether that start of a backend server lives.
+fn is_running(harness: &Shared, number: usize, start: u32) -> bool {
+    let server = &harness.borrow().servers[number];
+    server.instance.is_some() && server.starts == start
+}
+
+/// Lets a backend server announce itself; true where that was acknowledged.
+async fn announce(harness: &Shared, number: usize) -> bool {
+    let (to, announcement) = {
+        let harness = &mut *harness.borrow_mut();
+        let to = harness.network.process(harness.host_of(number));
+        let Some(instance) = &mut harness.servers[number].instance else {
+            return false;
+        };
+        instance.announcement.sequence += 1;
+        (socket(to, ANNOUNCEMENT_PORT), instance.announcement.clone())
+    };
+    call::announce(to, &announcement, ACKNOWLEDGE_TIMEOUT).await
+}
+
+/// Lets a backend server drain and end as planned; false where it does not
+/// live any more.
+pub async fn drain(harness: &Shared, number: usize) -> bool {
+    let start = {
+        let server = &mut harness.borrow_mut().servers[number];
+        let Some(instance) = &mut server.instance else {
+            return false;
+        };
+        instance.announcement.is_draining = true;
+        server.starts
+    };
+    let asked = harness.borrow().now();
+    while is_running(harness, number, start) && harness.borrow().now() < asked + DRAIN_TIMEOUT {
+        if announce(harness, number).await {
+            let harness = &mut *harness.borrow_mut();
+            let now = harness.now();
+            if let Some(instance) = &mut harness.servers[number].instance {
+                instance.drained = Some(now);
+            }
+            break;
+        }
+        Timer::after(RETRY_PAUSE).await;
+    }
+    let extra = harness.borrow_mut().random.f64();
+    let wait = harness.borrow().topology.limits.drain.mul_f64(1.0 + extra);
+    Timer::after(wait).await;
+    if !is_running(harness, number, start) {
+        return false;
+    }
+    let (to, name) = {
+        let harness = harness.borrow();
+        let to = socket(
+            harness.network.process(harness.host_of(number)),
+            ANNOUNCEMENT_PORT,
+        );
+        (to, format!("server-{number}-{start}"))
+    };
+    call::end(to, &name, ACKNOWLEDGE_TIMEOUT).await;
+    harness.borrow_mut().server_end(number);
+    true
+}
--- a/tools/soak/src/link.rs
+++ b/tools/soak/src/link.rs
@@ -5,9 +5,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Fault {
     /// Nothing arrives.
-    pub is_deaf: bool,
+    pub drops_incoming: bool,
     /// Nothing leaves.
-    pub is_mute: bool,
+    pub drops_outgoing: bool,
     /// Share of the frames that are lost.
     pub loss: f64,
     /// Time that each frame takes longer.
@@ -16,8 +16,8 @@
 
 /// How long a frame between two hosts takes longer; `None` where it is lost.
 #[must_use]
-pub fn passage(from: &Fault, to: &Fault, random: &mut fastrand::Rng) -> Option<Duration> {
-    let is_cut = from.is_mute || to.is_deaf;
+pub fn extra_delay(from: &Fault, to: &Fault, random: &mut fastrand::Rng) -> Option<Duration> {
+    let is_cut = from.drops_outgoing || to.drops_incoming;
     let is_lost = random.f64() < from.loss || random.f64() < to.loss;
     (!is_cut && !is_lost).then(|| from.delay + to.delay)
 }
--- a/tools/soak/src/main.rs
+++ b/tools/soak/src/main.rs
@@ -14,13 +14,13 @@
 use getopts::Options;
 use soak::address::Network;
 use soak::plan;
+use soak::plan::Disturbance;
 use soak::plan::Kind;
-use soak::plan::Trouble;
 use soak::run;
 use soak::run::Plan;
-use soak::shape::Shape;
+use soak::topology::Topology;
 
-/// Time within which troubles begin, in seconds.
+/// Time within which disturbances begin, in seconds.
 const SECONDS: u64 = 12;
 
 /// Backend servers of a deployment, at most.
@@ -30,7 +30,7 @@
 const NETWORK: u8 = 90;
 
 fn main() -> ExitCode {
-    match play() {
+    match run_all() {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(error) => {
@@ -47,7 +47,7 @@
     options.optopt(
         "",
         "seconds",
-        "time within which troubles begin; default 12",
+        "time within which disturbances begin; default 12",
         "S",
     );
     options.optopt("", "servers", "backend servers at most; default 12", "N");
@@ -60,7 +60,7 @@
     options.optmulti(
         "",
         "trouble",
-        "instead of drawn troubles, KIND@AT+LASTS",
+        "instead of drawn disturbances, KIND@AT+LASTS",
         "T",
     );
     options.optopt(
@@ -81,7 +81,7 @@
 }
 
 /// Whether all promises were kept.
-fn play() -> Result<bool, Box<dyn Error>> {
+fn run_all() -> Result<bool, Box<dyn Error>> {
     let options = options();
     let matches = options.parse(env::args().skip(1))?;
     if matches.opt_present("help") {
@@ -100,16 +100,16 @@
     let runs: u64 = matches.opt_get_default("runs", 1)?;
     if matches.opt_present("regressions") {
         let mut seeds = regressions();
-        return seeds.try_fold(true, |kept, seed| Ok(play_apart(&matches, seed)? && kept));
+        return seeds.try_fold(true, |kept, seed| Ok(run_in_child(&matches, seed)? && kept));
     }
     if runs == 1 {
-        return play_one(&matches, first);
+        return run_here(&matches, first);
     }
-    let mut is_kept = true;
+    let mut all_kept = true;
     for seed in first..first + runs {
-        is_kept &= play_apart(&matches, seed)?;
+        all_kept &= run_in_child(&matches, seed)?;
     }
-    Ok(is_kept)
+    Ok(all_kept)
 }
 
 /// The seeds that broke a promise once.
@@ -119,7 +119,7 @@
 }
 
 /// Plays a run in a process of its own, whose sockets end with it.
-fn play_apart(matches: &Matches, seed: u64) -> Result<bool, Box<dyn Error>> {
+fn run_in_child(matches: &Matches, seed: u64) -> Result<bool, Box<dyn Error>> {
     let mut command = Command::new(env::current_exe()?);
     command.args(["--seed", &seed.to_string()]);
     for name in ["seconds", "servers", "network", "folder", "trouble"] {
@@ -130,58 +130,61 @@
     Ok(command.status()?.success())
 }
 
-fn play_one(matches: &Matches, seed: u64) -> Result<bool, Box<dyn Error>> {
+fn run_here(matches: &Matches, seed: u64) -> Result<bool, Box<dyn Error>> {
     let seconds: u64 = matches.opt_get_default("seconds", SECONDS)?;
     let servers: usize = matches.opt_get_default("servers", SERVERS)?;
     let network: u8 = matches.opt_get_default("network", NETWORK)?;
     let folder = matches.opt_get("folder")?.unwrap_or_else(env::temp_dir);
     let folder: PathBuf = folder.join(format!("soak-{network}-{seed}"));
-    let mut troubles = Vec::new();
+    let mut disturbances = Vec::new();
     for text in matches.opt_strs("trouble") {
-        troubles.push(text.parse::<Trouble>()?);
+        disturbances.push(text.parse::<Disturbance>()?);
     }
-    if troubles.is_empty() {
-        troubles = plan::draw(seed, Duration::from_secs(seconds));
+    if disturbances.is_empty() {
+        disturbances = plan::draw(seed, Duration::from_secs(seconds));
     }
     let plan = Plan {
-        shape: Shape::draw(seed, servers),
-        troubles,
+        topology: Topology::draw(seed, servers),
+        disturbances,
         network: Network(network),
         folder,
     };
     describe(&plan);
-    let result = run::play(&plan)?;
-    for breach in &result.judge.breaches {
+    let result = run::execute(&plan)?;
+    for violation in &result.checker.violations {
         println!(
             "  BROKEN {:?} at {:.3?}: {}",
-            breach.promise, breach.at, breach.text
+            violation.invariant, violation.at, violation.text
         );
     }
     let (all, last) = result.served;
     println!(
         "  served {all:.3}, at the end {last:.3}; calls of the store {}",
-        result.calls
+        result.store_calls
     );
-    println!("  {:?}", result.judge.counts);
+    println!("  {:?}", result.checker.counts);
     stdout().flush()?;
-    let is_kept = result.judge.breaches.is_empty();
-    if is_kept && !matches.opt_present("keep") {
+    let all_kept = result.checker.violations.is_empty();
+    if all_kept && !matches.opt_present("keep") {
         fs::remove_dir_all(&plan.folder)?;
     } else {
         println!("  logs: {}", plan.folder.display());
     }
-    Ok(is_kept)
+    Ok(all_kept)
 }
 
 fn describe(plan: &Plan) {
-    let shape = &plan.shape;
-    let (seed, gateways, zones) = (shape.seed, shape.gateways, shape.zones);
+    let topology = &plan.topology;
+    let (seed, gateways, zones) = (topology.seed, topology.gateways, topology.zones);
     println!("seed {seed}: {gateways} gateways in {zones} zones");
-    for service in &shape.services {
+    for service in &topology.services {
         println!("  {service:?}");
     }
-    for trouble in &plan.troubles {
-        let (at, lasts) = (trouble.at, trouble.lasts);
-        println!("  {} at {at:.1?} for {lasts:.1?}", trouble.kind.name());
+    for disturbance in &plan.disturbances {
+        let (at, duration) = (disturbance.at, disturbance.duration);
+        println!(
+            "  {} at {at:.1?} for {duration:.1?}",
+            disturbance.kind.name()
+        );
     }
 }
--- a/tools/soak/src/plan.rs
+++ b/tools/soak/src/plan.rs
@@ -1,4 +1,4 @@
-//! Draws the troubles of a run from its seed, or reads them.
+//! Draws the disturbances of a run from its seed, or reads them.
 use std::str::FromStr;
 use std::time::Duration;
 
@@ -9,24 +9,24 @@
 /// Troubles of a run, at least and at most.
 const COUNT: std::ops::Range<usize> = 4..12;
 
-/// Share of the troubles that come right after another one.
-const OVERLAPPING: f64 = 0.5;
+/// Share of the disturbances that come right after another one.
+const FOLLOW_UP_SHARE: f64 = 0.5;
 
-/// Time within which such a trouble comes.
-const SOON: Duration = Duration::from_millis(1_500);
+/// Time within which such a disturbance comes.
+const FOLLOW_UP_WITHIN: Duration = Duration::from_millis(1_500);
 
-/// Shortest and longest time that a trouble lasts.
-const LASTS_MS: std::ops::Range<u64> = 300..6_000;
+/// Shortest and longest time that a disturbance duration.
+const DURATION_MS: std::ops::Range<u64> = 300..6_000;
 
-/// A trouble.
+/// A disturbance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Trouble {
+pub struct Disturbance {
     /// Time since the start of the traffic.
     pub at: Duration,
     /// What happens.
     pub kind: Kind,
-    /// How long it lasts, where it does.
-    pub lasts: Duration,
+    /// How long it duration, where it does.
+    pub duration: Duration,
 }
 
 macro_rules! kinds {
@@ -94,7 +94,7 @@
     StoreSilences "store-silences" "connections to the store that are open fall silent for good"
 }
 
-/// Why a trouble cannot be read.
+/// Why a disturbance cannot be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, Error)]
 pub enum Error {
     /// the kind is unknown; see `soak --kinds`
@@ -103,18 +103,18 @@
     Times,
 }
 
-impl FromStr for Trouble {
+impl FromStr for Disturbance {
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self, Error> {
         let (name, times) = text.split_once('@').ok_or(Error::Times)?;
-        let (at, lasts) = times.split_once('+').ok_or(Error::Times)?;
+        let (at, duration) = times.split_once('+').ok_or(Error::Times)?;
         let mut kinds = Kind::ALL.iter();
         let kind = kinds.find(|kind| kind.name() == name).ok_or(Error::Kind)?;
         Ok(Self {
             at: seconds(at)?,
             kind: *kind,
-            lasts: seconds(lasts)?,
+            duration: seconds(duration)?,
         })
     }
 }
@@ -124,25 +124,25 @@
     Duration::try_from_secs_f64(seconds).map_err(|_| Error::Times)
 }
 
-/// Draws the troubles of a run that begin within a time.
+/// Draws the disturbances of a run that begin within a time.
 #[must_use]
-pub fn draw(seed: u64, within: Duration) -> Vec<Trouble> {
+pub fn draw(seed: u64, within: Duration) -> Vec<Disturbance> {
     let random = &mut Rng::with_seed(!seed);
     let mut at = Duration::ZERO;
-    let mut troubles = Vec::new();
+    let mut disturbances = Vec::new();
     for _ in 0..random.usize(COUNT) {
-        let soon = at + SOON.mul_f64(random.f64());
-        at = if soon < within && random.f64() < OVERLAPPING {
+        let soon = at + FOLLOW_UP_WITHIN.mul_f64(random.f64());
+        at = if soon < within && random.f64() < FOLLOW_UP_SHARE {
             soon
         } else {
             within.mul_f64(random.f64())
         };
-        troubles.push(Trouble {
+        disturbances.push(Disturbance {
             at,
             kind: Kind::ALL[random.usize(..Kind::ALL.len())],
-            lasts: Duration::from_millis(random.u64(LASTS_MS)),
+            duration: Duration::from_millis(random.u64(DURATION_MS)),
         });
     }
-    troubles.sort_by_key(|trouble| trouble.at);
-    troubles
+    disturbances.sort_by_key(|disturbance| disturbance.at);
+    disturbances
 }
--- a/tools/soak/src/tunnel.rs
+++ b/tools/soak/src/proxy.rs
@@ -11,11 +11,11 @@
 use smol::net::TcpListener;
 use smol::net::TcpStream;
 
-/// Bytes that are carried at a time.
+/// Bytes that are relayed at a time.
 const CHUNK_BYTES: usize = 16 * 1024;
 
 /// Time between two looks at what happens to a connection.
-const LOOK: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// What happens to the connections of a host.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -29,45 +29,51 @@
     /// Time that each piece takes longer.
     pub delay: Duration,
     /// Rises where the connections that are open fall silent for good.
-    pub silenced: u32,
+    pub silence_epoch: u32,
 }
 
 /// Reads what happens to the connections of a host now.
-pub type Look = Rc<dyn Fn() -> Fault>;
+pub type Faults = Rc<dyn Fn() -> Fault>;
 
 /// Serves an address until dropped.
 pub async fn run(
     listener: TcpListener,
     store: SocketAddr,
-    look: Look,
+    faults: Faults,
     executor: Rc<LocalExecutor<'static>>,
 ) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            Timer::after(LOOK).await;
+            Timer::after(POLL_INTERVAL).await;
             continue;
         };
-        let look = Rc::clone(&look);
+        let faults = Rc::clone(&faults);
         executor
             .spawn(async move {
-                let carried = carry(stream, store, &look).or(until_reset(&look));
+                let relayed = relay(stream, store, &faults).or(until_reset(&faults));
                 // Either end has left, which the other sees.
-                let _ = carried.await;
+                let _ = relayed.await;
             })
             .detach();
     }
 }
 
-async fn carry(caller: TcpStream, store: SocketAddr, look: &Look) -> std::io::Result<()> {
+async fn relay(caller: TcpStream, store: SocketAddr, faults: &Faults) -> std::io::Result<()> {
     let store = TcpStream::connect(store).await?;
-    let first = look().silenced;
+    let first = faults().silence_epoch;
     let requests = copy(caller.clone(), store.clone(), || {
-        let fault = look();
-        (fault.drops_requests || fault.silenced > first, fault.delay)
+        let fault = faults();
+        (
+            fault.drops_requests || fault.silence_epoch > first,
+            fault.delay,
+        )
     });
     let answers = copy(store.clone(), caller.clone(), || {
-        let fault = look();
-        (fault.drops_answers || fault.silenced > first, fault.delay)
+        let fault = faults();
+        (
+            fault.drops_answers || fault.silence_epoch > first,
+            fault.delay,
+        )
     });
     requests.or(answers).await
 }
@@ -76,13 +82,13 @@
 async fn copy(
     mut from: TcpStream,
     mut to: TcpStream,
-    look: impl Fn() -> (bool, Duration),
+    faults: impl Fn() -> (bool, Duration),
 ) -> std::io::Result<()> {
     let mut is_dropping = false;
     let mut buffer = vec![0; CHUNK_BYTES];
     loop {
         let length = from.read(&mut buffer).await?;
-        let (drops, delay) = look();
+        let (drops, delay) = faults();
         is_dropping |= drops;
         if is_dropping {
             if length == 0 {
@@ -99,9 +105,9 @@
     }
 }
 
-async fn until_reset(look: &Look) -> std::io::Result<()> {
-    while !look().resets {
-        Timer::after(LOOK).await;
+async fn until_reset(faults: &Faults) -> std::io::Result<()> {
+    while !faults().resets {
+        Timer::after(POLL_INTERVAL).await;
     }
     Ok(())
 }
--- a/tools/soak/src/request.rs
+++ b/tools/soak/src/request.rs
@@ -3,11 +3,11 @@
 /// Number of a thing that a caller wants done, however often it asks.
 pub type TaskId = u64;
 
-/// Bytes of the head of a request.
-const REQUEST_HEAD: usize = 24;
+/// Bytes of the header of a request.
+const REQUEST_HEADER_BYTES: usize = 24;
 
-/// Bytes of the head of an answer.
-const ANSWER_HEAD: usize = 24;
+/// Bytes of the header of an answer.
+const ANSWER_HEADER_BYTES: usize = 24;
 
 /// A request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -19,7 +19,7 @@
     /// Bytes of its content.
     pub length: u32,
     /// Bytes of the answer's content.
-    pub answer: u32,
+    pub answer_length: u32,
 }
 
 /// An answer.
@@ -43,7 +43,7 @@
         bytes.extend(self.task.to_be_bytes());
         bytes.extend(self.attempt.to_be_bytes());
         bytes.extend(self.length.to_be_bytes());
-        bytes.extend(self.answer.to_be_bytes());
+        bytes.extend(self.answer_length.to_be_bytes());
         bytes.extend([0; 4]);
         bytes.extend(content(self.task, self.length));
         bytes
@@ -51,15 +51,15 @@
 
     /// Takes a whole request off the front of a stream.
     #[must_use]
-    pub fn take(stream: &mut Vec<u8>) -> Option<Self> {
-        let head = stream.get(..REQUEST_HEAD)?;
+    pub fn decode(stream: &mut Vec<u8>) -> Option<Self> {
+        let header = stream.get(..REQUEST_HEADER_BYTES)?;
         let request = Self {
-            task: u64_at(head, 0),
-            attempt: u32_at(head, 8),
-            length: u32_at(head, 12),
-            answer: u32_at(head, 16),
+            task: u64_at(header, 0),
+            attempt: u32_at(header, 8),
+            length: u32_at(header, 12),
+            answer_length: u32_at(header, 16),
         };
-        let end = REQUEST_HEAD + request.length as usize;
+        let end = REQUEST_HEADER_BYTES + request.length as usize;
         if stream.len() < end {
             return None;
         }
@@ -87,24 +87,24 @@
     ///
     /// # Errors
     ///
-    /// The head of the answer.
-    pub fn take(stream: &mut Vec<u8>) -> Result<Option<Self>, Self> {
-        let Some(head) = stream.get(..ANSWER_HEAD) else {
+    /// The header of the answer.
+    pub fn decode(stream: &mut Vec<u8>) -> Result<Option<Self>, Self> {
+        let Some(header) = stream.get(..ANSWER_HEADER_BYTES) else {
             return Ok(None);
         };
         let answer = Self {
-            task: u64_at(head, 0),
-            attempt: u32_at(head, 8),
-            length: u32_at(head, 12),
-            has_run: u32_at(head, 16) == 1,
+            task: u64_at(header, 0),
+            attempt: u32_at(header, 8),
+            length: u32_at(header, 12),
+            has_run: u32_at(header, 16) == 1,
         };
-        let end = ANSWER_HEAD + answer.length as usize;
+        let end = ANSWER_HEADER_BYTES + answer.length as usize;
         if stream.len() < end {
             return Ok(None);
         }
-        let is_whole = stream[ANSWER_HEAD..end] == content(answer.task, answer.length);
+        let is_intact = stream[ANSWER_HEADER_BYTES..end] == content(answer.task, answer.length);
         stream.drain(..end);
-        if is_whole {
+        if is_intact {
             Ok(Some(answer))
         } else {
             Err(answer)
--- a/tools/soak/src/run.rs
+++ b/tools/soak/src/run.rs
@@ -18,55 +18,55 @@
 
 use crate::address;
 use crate::address::Network;
-use crate::address::READY;
+use crate::address::READY_PORT;
 use crate::address::socket;
+use crate::checker::Checker;
+use crate::checker::Invariant;
+use crate::harness::Harness;
+use crate::harness::Shared;
 use crate::host::Cause;
 use crate::host::Host;
-use crate::judge::Judge;
-use crate::judge::Promise;
-use crate::life;
-use crate::plan::Trouble;
-use crate::shape::Shape;
+use crate::injector::Injector;
+use crate::lifecycle;
+use crate::plan::Disturbance;
+use crate::proxy;
 use crate::sockets;
-use crate::trouble::Maker;
-use crate::tunnel;
-use crate::world::Shared;
-use crate::world::World;
+use crate::topology::Topology;
 
 /// Time between two looks of callers and backend servers at what is due.
 const TICK: Duration = Duration::from_millis(5);
 
 /// Time between two questions whether a gateway takes traffic.
-const PROBE: Duration = Duration::from_millis(500);
+const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Questions without an answer after which a gateway is sent nothing more.
-const MISSES: u32 = 2;
+const MAX_MISSES: u32 = 2;
 
 /// Longest time that processes have to get ready before callers begin.
-const WARM_UP: Duration = Duration::from_secs(10);
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Time between two looks whether they are ready, and for which they then run.
 const SETTLE: Duration = Duration::from_secs(1);
 
 /// Time at the end of a run in which service is measured.
-const MEASURED: Duration = Duration::from_secs(4);
+const MEASURED_TIME: Duration = Duration::from_secs(4);
 
 /// Share of the tasks begun in that time that are to be served.
-const LEAST_SERVED: f64 = 0.25;
+const MIN_SERVED: f64 = 0.25;
 
 /// Time between two looks whether processes have ended by themselves.
-const WATCH: Duration = Duration::from_millis(200);
+const WATCH_INTERVAL: Duration = Duration::from_millis(200);
 
 /// What a thread of a process writes when it fails.
-const PANIC: &str = "panicked at";
+const PANIC_TEXT: &str = "panicked at";
 
 /// What is to be played.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// The deployment.
-    pub shape: Shape,
-    /// Its troubles.
-    pub troubles: Vec<Trouble>,
+    pub topology: Topology,
+    /// Its disturbances.
+    pub disturbances: Vec<Disturbance>,
     /// Its addresses.
     pub network: Network,
     /// Where files and logs are kept.
@@ -75,13 +75,13 @@
 
 /// What came of it.
 #[derive(Debug)]
-pub struct Result {
+pub struct Summary {
     /// What was seen.
-    pub judge: Judge,
+    pub checker: Checker,
     /// Share of the tasks that were served, in the whole run and at its end.
     pub served: (f64, f64),
     /// Calls that the store received.
-    pub calls: u64,
+    pub store_calls: u64,
 }
 
 /// Plays one run.
@@ -89,88 +89,88 @@
 /// # Errors
 ///
 /// The operating system's error where something cannot be started.
-pub fn play(plan: &Plan) -> io::Result<Result> {
-    let common = Arc::new(Executor::new());
+pub fn execute(plan: &Plan) -> io::Result<Summary> {
+    let store_executor = Arc::new(Executor::new());
     let local = Rc::new(LocalExecutor::new());
-    let playing = prepare_and_play(plan, Arc::clone(&common), Rc::clone(&local));
-    smol::block_on(local.run(common.run(playing)))
+    let running = prepare_and_run(plan, Arc::clone(&store_executor), Rc::clone(&local));
+    smol::block_on(local.run(store_executor.run(running)))
 }
 
-async fn prepare_and_play(
+async fn prepare_and_run(
     plan: &Plan,
-    common: Arc<Executor<'static>>,
+    store_executor: Arc<Executor<'static>>,
     executor: Rc<LocalExecutor<'static>>,
-) -> io::Result<Result> {
+) -> io::Result<Summary> {
     fs::create_dir_all(&plan.folder)?;
-    let store = Store::start(plan.network.store(), &common).await?;
-    let world = World::new(plan.shape.clone(), plan.network, &plan.folder, store)?;
-    let world = Rc::new(RefCell::new(world));
-    let result = play_in(&world, plan, executor).or(stopped()).await;
+    let store = Store::start(plan.network.store(), &store_executor).await?;
+    let harness = Harness::new(plan.topology.clone(), plan.network, &plan.folder, store)?;
+    let harness = Rc::new(RefCell::new(harness));
+    let result = run_in(&harness, plan, executor).or(interrupted()).await;
     // Nothing outlives the run, however it ended.
-    let hosts = &mut world.borrow_mut().hosts;
+    let hosts = &mut harness.borrow_mut().hosts;
     hosts.iter_mut().try_for_each(Host::take_down)?;
     result
 }
 
 /// Waits for a signal that asks the soak to stop.
-async fn stopped() -> io::Result<Result> {
+async fn interrupted() -> io::Result<Summary> {
     stop::requested().await?;
     Err(io::Error::from(io::ErrorKind::Interrupted))
 }
 
-async fn play_in(
-    world: &Shared,
+async fn run_in(
+    harness: &Shared,
     plan: &Plan,
     executor: Rc<LocalExecutor<'static>>,
-) -> io::Result<Result> {
-    serve_sockets(world, &executor);
-    serve_tunnels(world, &executor).await?;
+) -> io::Result<Summary> {
+    serve_sockets(harness, &executor);
+    serve_proxies(harness, &executor).await?;
     {
-        let world = &mut *world.borrow_mut();
-        let services = world.shape.services.len();
+        let harness = &mut *harness.borrow_mut();
+        let services = harness.topology.services.len();
         let routes = (0..2 * services).map(|route| (address::service(route), route % services));
-        world.configure(&routes.collect());
-        world.hosts.iter_mut().try_for_each(Host::start)?;
+        harness.configure(&routes.collect());
+        harness.hosts.iter_mut().try_for_each(Host::start)?;
     }
-    for server in 0..plan.shape.servers() {
-        life::start(world, &executor, server);
+    for server in 0..plan.topology.servers() {
+        lifecycle::start(harness, &executor, server);
     }
-    for gateway in 0..plan.shape.gateways {
-        executor.spawn(probe(Rc::clone(world), gateway)).detach();
+    for gateway in 0..plan.topology.gateways {
+        executor.spawn(probe(Rc::clone(harness), gateway)).detach();
     }
-    while !is_ready(world) && world.borrow().now() < WARM_UP {
+    while !are_gateways_ready(harness) && harness.borrow().now() < READY_TIMEOUT {
         Timer::after(SETTLE).await;
     }
     Timer::after(SETTLE).await;
-    executor.spawn(tick(Rc::clone(world))).detach();
-    executor.spawn(watch(Rc::clone(world))).detach();
-    let maker = Maker {
-        world: Rc::clone(world),
+    executor.spawn(tick(Rc::clone(harness))).detach();
+    executor.spawn(watch_processes(Rc::clone(harness))).detach();
+    let injector = Injector {
+        harness: Rc::clone(harness),
         executor: Rc::clone(&executor),
     };
-    make(&maker, &executor, &plan.troubles).await?;
-    Timer::after(plan.shape.limits.recovery + MEASURED).await;
-    finish(world, &executor, &maker).await
+    inject_all(&injector, &executor, &plan.disturbances).await?;
+    Timer::after(plan.topology.limits.recovery + MEASURED_TIME).await;
+    finish(harness, &executor, &injector).await
 }
 
 /// Whether all gateways take traffic.
-fn is_ready(world: &Shared) -> bool {
-    world.borrow().rotation.iter().all(|is_ready| *is_ready)
+fn are_gateways_ready(harness: &Shared) -> bool {
+    harness.borrow().rotation.iter().all(|is_ready| *is_ready)
 }
 
-/// Lets all troubles happen at their times and waits for their ends.
-async fn make(
-    maker: &Maker,
+/// Lets all disturbances happen at their times and waits for their ends.
+async fn inject_all(
+    injector: &Injector,
     executor: &Rc<LocalExecutor<'static>>,
-    troubles: &[Trouble],
+    disturbances: &[Disturbance],
 ) -> io::Result<()> {
-    let tasks: Vec<_> = troubles
+    let tasks: Vec<_> = disturbances
         .iter()
-        .map(|trouble| {
-            let (maker, trouble) = (maker.clone(), *trouble);
+        .map(|disturbance| {
+            let (injector, disturbance) = (injector.clone(), *disturbance);
             executor.spawn(async move {
-                Timer::after(trouble.at).await;
-                maker.make(trouble).await
+                Timer::after(disturbance.at).await;
+                injector.inject(disturbance).await
             })
         })
         .collect();
@@ -182,50 +182,54 @@
 
 /// Ends a run: measures service, stops all processes and reads their logs.
 async fn finish(
-    world: &Shared,
+    harness: &Shared,
     executor: &Rc<LocalExecutor<'static>>,
-    maker: &Maker,
-) -> io::Result<Result> {
-    world.borrow_mut().callers.stop();
+    injector: &Injector,
+) -> io::Result<Summary> {
+    harness.borrow_mut().callers.stop();
     let longest = {
-        let world = world.borrow();
-        let services = world.shape.services.iter();
+        let harness = harness.borrow();
+        let services = harness.topology.services.iter();
         services.map(|service| service.deadline).max()
     };
-    let end = world.borrow().now();
+    let end = harness.borrow().now();
     Timer::after(longest.unwrap_or_default()).await;
-    let hosts = 0..world.borrow().hosts.len();
+    let hosts = 0..harness.borrow().hosts.len();
     let stops: Vec<_> = hosts
         .map(|host| {
-            let maker = maker.clone();
-            executor.spawn(async move { maker.stop(host).await })
+            let injector = injector.clone();
+            executor.spawn(async move { injector.stop(host).await })
         })
         .collect();
     for stop in stops {
         stop.await?;
     }
-    let world = &mut *world.borrow_mut();
-    let outcomes = &world.callers.outcomes;
+    let harness = &mut *harness.borrow_mut();
+    let outcomes = &harness.callers.outcomes;
     let all = share(outcomes.iter().map(|(_, served)| *served));
     let last = outcomes
         .iter()
-        .filter(|(begun, _)| *begun + MEASURED >= end);
+        .filter(|(begun, _)| *begun + MEASURED_TIME >= end);
     let last = share(last.map(|(_, served)| *served));
-    if last < LEAST_SERVED {
+    if last < MIN_SERVED {
         let text = format!("{last:.2} of the last tasks were served");
-        world.judge.breach(Promise::Recovered, end, text);
+        harness
+            .checker
+            .record_violation(Invariant::Recovered, end, text);
     }
-    for host in &world.hosts {
+    for host in &harness.hosts {
         let log = fs::read_to_string(host.log()).unwrap_or_default();
-        if let Some(line) = log.lines().find(|line| line.contains(PANIC)) {
+        if let Some(line) = log.lines().find(|line| line.contains(PANIC_TEXT)) {
             let text = format!("{}: {line}", host.settings.name);
-            world.judge.breach(Promise::Process, end, text);
+            harness
+                .checker
+                .record_violation(Invariant::Process, end, text);
         }
     }
-    Ok(Result {
-        judge: std::mem::take(&mut world.judge),
+    Ok(Summary {
+        checker: std::mem::take(&mut harness.checker),
         served: (all, last),
-        calls: world.store.calls(),
+        store_calls: harness.store.calls(),
     })
 }
 
@@ -238,33 +242,36 @@
     if all > 0.0 { yes / all } else { 0.0 }
 }
 
-fn serve_sockets(world: &Shared, executor: &Rc<LocalExecutor<'static>>) {
-    let sockets = &world.borrow().sockets;
+fn serve_sockets(harness: &Shared, executor: &Rc<LocalExecutor<'static>>) {
+    let sockets = &harness.borrow().sockets;
     for socket in &sockets.callers {
-        let world = Rc::clone(world);
-        let handle = move |from, packet: &[u8]| world.borrow_mut().caller_packet(from, packet);
+        let harness = Rc::clone(harness);
+        let handle =
+            move |from, packet: &[u8]| harness.borrow_mut().receive_at_caller(from, packet);
         executor
             .spawn(sockets::read(Rc::clone(socket), handle))
             .detach();
     }
     for (number, socket) in sockets.servers.iter().enumerate() {
-        let world = Rc::clone(world);
-        let handle = move |_, packet: &[u8]| world.borrow_mut().server_packet(number, packet);
+        let harness = Rc::clone(harness);
+        let handle = move |_, packet: &[u8]| harness.borrow_mut().receive_at_server(number, packet);
         executor
             .spawn(sockets::read(Rc::clone(socket), handle))
             .detach();
     }
     for (to, socket) in sockets.links.iter().enumerate() {
-        let (world, later) = (Rc::clone(world), Rc::clone(executor));
+        let (harness, later) = (Rc::clone(harness), Rc::clone(executor));
         let handle = move |from, frame: &[u8]| {
-            let passage = world.borrow_mut().frame(to, from);
-            match passage {
-                Some((from, Duration::ZERO)) => world.borrow().sockets.send_frame(from, to, frame),
+            let frame_delay = harness.borrow_mut().frame_delay(to, from);
+            match frame_delay {
+                Some((from, Duration::ZERO)) => {
+                    harness.borrow().sockets.send_frame(from, to, frame)
+                }
                 Some((from, delay)) => {
-                    let (world, frame) = (Rc::clone(&world), frame.to_vec());
+                    let (harness, frame) = (Rc::clone(&harness), frame.to_vec());
                     let sending = async move {
                         Timer::after(delay).await;
-                        world.borrow().sockets.send_frame(from, to, &frame);
+                        harness.borrow().sockets.send_frame(from, to, &frame);
                     };
                     later.spawn(sending).detach();
                 }
@@ -277,30 +284,30 @@
     }
 }
 
-async fn serve_tunnels(world: &Shared, executor: &Rc<LocalExecutor<'static>>) -> io::Result<()> {
-    let hosts = world.borrow().hosts.len();
+async fn serve_proxies(harness: &Shared, executor: &Rc<LocalExecutor<'static>>) -> io::Result<()> {
+    let hosts = harness.borrow().hosts.len();
     for host in 0..hosts {
         let (link, store) = {
-            let world = world.borrow();
-            (world.network.store_link(host), world.store.address)
+            let harness = harness.borrow();
+            (harness.network.store_link(host), harness.store.address)
         };
         let listener = TcpListener::bind(link).await?;
-        let world = Rc::clone(world);
-        let look = Rc::new(move || world.borrow().hosts[host].tunnel);
-        let serving = tunnel::run(listener, store, look, Rc::clone(executor));
+        let harness = Rc::clone(harness);
+        let faults = Rc::new(move || harness.borrow().hosts[host].proxy_fault);
+        let serving = proxy::run(listener, store, faults, Rc::clone(executor));
         executor.spawn(serving).detach();
     }
     Ok(())
 }
 
 /// Lets callers and backend servers do what is due.
-async fn tick(world: Shared) {
+async fn tick(harness: Shared) {
     loop {
         {
-            let world = &mut *world.borrow_mut();
-            world.callers_tick();
-            for server in 0..world.servers.len() {
-                world.server_tick(server);
+            let harness = &mut *harness.borrow_mut();
+            harness.callers_tick();
+            for server in 0..harness.servers.len() {
+                harness.server_tick(server);
             }
         }
         Timer::after(TICK).await;
@@ -308,43 +315,47 @@
 }
 
 /// Asks a gateway whether it takes traffic.
-async fn probe(world: Shared, gateway: usize) {
-    let address = socket(world.borrow().network.own(gateway), READY);
-    let mut misses = MISSES;
+async fn probe(harness: Shared, gateway: usize) {
+    let address = socket(harness.borrow().network.process(gateway), READY_PORT);
+    let mut misses = MAX_MISSES;
     loop {
-        let is_ready = call::is_ready(address, PROBE).await;
+        let is_ready = call::is_ready(address, PROBE_INTERVAL).await;
         misses = if is_ready {
             0
         } else {
             misses.saturating_add(1)
         };
-        world.borrow_mut().rotation[gateway] = misses < MISSES;
-        Timer::after(PROBE).await;
+        harness.borrow_mut().rotation[gateway] = misses < MAX_MISSES;
+        Timer::after(PROBE_INTERVAL).await;
     }
 }
 
 /// Notes processes that end by themselves.
-async fn watch(world: Shared) {
+async fn watch_processes(harness: Shared) {
     loop {
         {
-            let world = &mut *world.borrow_mut();
-            let now = world.now();
-            for host in 0..world.hosts.len() {
-                if !world.hosts[host].has_ended_unasked() {
+            let harness = &mut *harness.borrow_mut();
+            let now = harness.now();
+            for host in 0..harness.hosts.len() {
+                if !harness.hosts[host].has_exited_unexpectedly() {
                     continue;
                 }
-                world.judge.count("processes that ended by themselves");
-                if world.hosts[host].is_calm_since(now, Cause::Planned) {
+                harness.checker.count("processes that ended by themselves");
+                if harness.hosts[host].is_undisturbed_since(now, Cause::Planned) {
                     let text = format!("the process of host {host} ended by itself");
-                    world.judge.breach(Promise::Process, now, text);
+                    harness
+                        .checker
+                        .record_violation(Invariant::Process, now, text);
                 }
                 // The platform starts such a process again.
-                if let Err(error) = world.hosts[host].start() {
+                if let Err(error) = harness.hosts[host].start() {
                     let text = format!("host {host} did not start again: {error}");
-                    world.judge.breach(Promise::Process, now, text);
+                    harness
+                        .checker
+                        .record_violation(Invariant::Process, now, text);
                 }
             }
         }
-        Timer::after(WATCH).await;
+        Timer::after(WATCH_INTERVAL).await;
     }
 }
--- a/tools/soak/src/server.rs
+++ b/tools/soak/src/server.rs
@@ -9,18 +9,18 @@
 use wire::Segment;
 use wire::segment::Kind;
 
+use crate::checker::Invariant;
+use crate::harness::Harness;
 use crate::host::Cause;
-use crate::judge::Promise;
 use crate::request::Answer;
 use crate::request::Request;
 use crate::stream::Stream;
-use crate::world::World;
 
 /// Requests that wait at a backend server, at most.
-const QUEUE: usize = 4;
+const MAX_WAITING: usize = 4;
 
 /// Time without packets after which a backend server forgets a flow.
-const FORGET: Duration = Duration::from_secs(70);
+const FLOW_TIMEOUT: Duration = Duration::from_secs(70);
 
 /// A backend server: at most one lives at an address.
 #[derive(Debug)]
@@ -32,16 +32,16 @@
     /// Requests that it runs at a time.
     pub slots: usize,
     /// Time of a request.
-    pub work: Duration,
-    /// Its life, if it lives.
-    pub life: Option<Life>,
+    pub service_time: Duration,
+    /// Its instance, if it lives.
+    pub instance: Option<Instance>,
     /// Number of its starts.
     pub starts: u32,
 }
 
 /// What a backend server holds from its start to its end.
 #[derive(Debug)]
-pub struct Life {
+pub struct Instance {
     /// What it tells of itself.
     pub announcement: Announcement,
     /// When it was acknowledged that it drains.
@@ -53,15 +53,15 @@
 
 #[derive(Debug)]
 struct Flow {
-    own: u32,
-    other: u32,
+    own_sequence: u32,
+    caller_sequence: u32,
     is_open: bool,
-    used: Duration,
+    last_used: Duration,
     stream: Stream,
     inbox: Vec<u8>,
 }
 
-impl Life {
+impl Instance {
     /// A backend server that has just started.
     #[must_use]
     pub fn new(announcement: Announcement) -> Self {
@@ -75,58 +75,59 @@
     }
 }
 
-impl World {
+impl Harness {
     /// Takes a packet that reached a backend server.
-    pub fn server_packet(&mut self, number: usize, packet: &[u8]) {
+    pub fn receive_at_server(&mut self, number: usize, packet: &[u8]) {
         let now = self.now();
         let Ok(segment) = platform::packet::decode(packet) else {
             return self
-                .judge
-                .breach(Promise::Unasked, now, "unreadable".into());
+                .checker
+                .record_violation(Invariant::Unasked, now, "unreadable".into());
         };
         let is_genuine = self.key.is_genuine(packet, &segment);
         if !is_genuine || segment.is_returned {
             let text = format!("server {number} got a changed packet: {segment:?}");
-            return self.judge.breach(Promise::Unasked, now, text);
+            return self.checker.record_violation(Invariant::Unasked, now, text);
         }
         let flow = segment.from_caller();
         let start = self.servers[number].starts;
         if self
-            .judge
-            .reached(now, &flow, number, self.shape.limits.astray)
+            .checker
+            .record_arrival(now, &flow, number, self.topology.limits.misrouted)
         {
-            self.astray(now, &flow, number);
+            self.check_misrouted(now, &flow, number);
         }
-        let Some(life) = &mut self.servers[number].life else {
+        let Some(instance) = &mut self.servers[number].instance else {
             return;
         };
         let content = &packet[platform::packet::HEADER_LEN..];
         match segment.kind {
             Kind::Open => self.server_open(now, number, &segment, packet),
             Kind::Reset => {
-                if life.flows.remove(&flow).is_some() {
-                    life.waiting.retain(|(waiting, _)| *waiting != flow);
-                    self.judge.closed(&flow);
+                if instance.flows.remove(&flow).is_some() {
+                    instance.waiting.retain(|(waiting, _)| *waiting != flow);
+                    self.checker.record_close(&flow);
                 }
             }
-            _ => match life.flows.get_mut(&flow) {
-                Some(held) if held.is_open || held.accepts(&segment) => {
+            _ => match instance.flows.get_mut(&flow) {
+                Some(held) if held.is_open || held.is_acknowledged_by(&segment) => {
                     if !held.is_open {
                         held.is_open = true;
-                        self.judge.opened(flow, number, start);
+                        self.checker.record_open(flow, number, start);
                     }
-                    held.used = now;
-                    held.inbox.extend(held.stream.take(now, &segment, content));
-                    self.server_requests(now, number, flow);
+                    held.last_used = now;
+                    held.inbox
+                        .extend(held.stream.receive(now, &segment, content));
+                    self.receive_requests(now, number, flow);
                     if segment.length > 0 || segment.kind == Kind::Close {
                         self.server_acknowledge(number, flow);
                     }
                 }
                 Some(_) => {
-                    life.flows.remove(&flow);
-                    self.hand_back(number, &segment, packet);
+                    instance.flows.remove(&flow);
+                    self.return_packet(number, &segment, packet);
                 }
-                None => self.hand_back(number, &segment, packet),
+                None => self.return_packet(number, &segment, packet),
             },
         }
     }
@@ -134,21 +135,21 @@
     /// Lets a backend server work and send.
     pub fn server_tick(&mut self, number: usize) {
         let now = self.now();
-        self.server_work(now, number);
-        let Some(life) = &mut self.servers[number].life else {
+        self.run_requests(now, number);
+        let Some(instance) = &mut self.servers[number].instance else {
             return;
         };
         let mut out = Vec::new();
         let mut over = Vec::new();
-        for (id, flow) in &mut life.flows {
-            if flow.stream.is_closed_there() {
+        for (id, flow) in &mut instance.flows {
+            if flow.stream.is_closed_by_peer() {
                 flow.stream.close();
             }
             for packet in flow.stream.poll(now) {
                 out.push((*id, packet, flow.stream.received));
             }
-            let is_idle = now > flow.used + FORGET;
-            if flow.stream.is_over() || flow.stream.is_given_up() || is_idle {
+            let is_idle = now > flow.last_used + FLOW_TIMEOUT;
+            if flow.stream.is_finished() || flow.stream.has_timed_out() || is_idle {
                 over.push(*id);
             }
         }
@@ -157,18 +158,18 @@
             self.server_send(number, &segment, &packet.content);
         }
         for id in over {
-            self.judge.closed(&id);
-            if let Some(life) = &mut self.servers[number].life {
-                life.flows.remove(&id);
+            self.checker.record_close(&id);
+            if let Some(instance) = &mut self.servers[number].instance {
+                instance.flows.remove(&id);
             }
         }
     }
 
     /// Ends a backend server: it forgets everything.
     pub fn server_end(&mut self, number: usize) {
-        if let Some(life) = self.servers[number].life.take() {
-            for flow in life.flows.keys() {
-                self.judge.closed(flow);
+        if let Some(instance) = self.servers[number].instance.take() {
+            for flow in instance.flows.keys() {
+                self.checker.record_close(flow);
             }
         }
     }
@@ -176,100 +177,105 @@
     fn server_open(&mut self, now: Duration, number: usize, segment: &Segment, packet: &[u8]) {
         let flow = segment.from_caller();
         let own = self.random.u32(..);
-        let Some(life) = &mut self.servers[number].life else {
+        let Some(instance) = &mut self.servers[number].instance else {
             return;
         };
-        let is_new = !life.flows.contains_key(&flow);
-        let held = life.flows.entry(flow).or_insert_with(|| Flow {
-            own,
-            other: segment.sequence,
+        let is_new = !instance.flows.contains_key(&flow);
+        let held = instance.flows.entry(flow).or_insert_with(|| Flow {
+            own_sequence: own,
+            caller_sequence: segment.sequence,
             is_open: false,
-            used: now,
+            last_used: now,
             stream: Stream::new(own, segment.sequence),
             inbox: Vec::new(),
         });
-        if held.other != segment.sequence {
-            return self.hand_back(number, segment, packet);
+        if held.caller_sequence != segment.sequence {
+            return self.return_packet(number, segment, packet);
         }
-        let (own, received) = (held.own, held.stream.received);
+        let (own, received) = (held.own_sequence, held.stream.received);
         let accept = from_server(&flow, Kind::Accept, own, received);
         if is_new {
-            self.judge_opening(now, number, &flow);
+            self.check_opening(now, number, &flow);
         }
         self.server_send(number, &accept, &[]);
     }
 
     /// Holds a new flow against what the configurations and the state of the
     /// backend server allow.
-    fn judge_opening(&mut self, now: Duration, number: usize, flow: &FlowId) {
-        self.judge.count("flows taken");
+    fn check_opening(&mut self, now: Duration, number: usize, flow: &FlowId) {
+        self.checker.count("flows taken");
         let server = &self.servers[number];
         let (sent, gateway) = self.opening_of(flow).unwrap_or((now, 0));
-        let limits = self.shape.limits;
+        let limits = self.topology.limits;
         let service = server.service;
-        let drained = server.life.as_ref().and_then(|life| life.drained);
-        let since = now.saturating_sub(limits.calm);
-        let is_calm = |host: usize| self.hosts[host].is_calm_since(since, Cause::Planned);
+        let drained = server
+            .instance
+            .as_ref()
+            .and_then(|instance| instance.drained);
+        let since = now.saturating_sub(limits.undisturbed);
+        let is_calm = |host: usize| self.hosts[host].is_undisturbed_since(since, Cause::Planned);
         let are_calm = is_calm(gateway) && is_calm(self.host_of(number));
-        let bound = limits.apply + self.stretch(now);
+        let bound = limits.apply + self.store_delay(now);
         let text = format!("{flow:?} opened at server {number} of service {service}");
-        if !self.history.ever(flow.service, service) {
-            self.judge.breach(Promise::Service, now, text);
+        if !self.history.has_ever_routed(flow.service, service) {
+            self.checker.record_violation(Invariant::Service, now, text);
         } else if are_calm && !self.history.allows(sent, bound, flow.service, service) {
-            self.judge.breach(Promise::Applied, now, text);
+            self.checker.record_violation(Invariant::Applied, now, text);
         } else if are_calm && drained.is_some_and(|drained| now > drained + limits.drain) {
-            self.judge.breach(Promise::Drained, now, text);
+            self.checker.record_violation(Invariant::Drained, now, text);
         }
     }
 
-    fn server_requests(&mut self, now: Duration, number: usize, flow: FlowId) {
-        let Some(life) = &mut self.servers[number].life else {
+    fn receive_requests(&mut self, now: Duration, number: usize, flow: FlowId) {
+        let Some(instance) = &mut self.servers[number].instance else {
             return;
         };
-        let Some(held) = life.flows.get_mut(&flow) else {
+        let Some(held) = instance.flows.get_mut(&flow) else {
             return;
         };
-        while let Some(request) = Request::take(&mut held.inbox) {
-            if life.waiting.len() < QUEUE {
-                life.waiting.push_back((flow, request));
+        while let Some(request) = Request::decode(&mut held.inbox) {
+            if instance.waiting.len() < MAX_WAITING {
+                instance.waiting.push_back((flow, request));
             } else {
                 held.stream.write(&answer(&request, false).encode());
-                self.judge.count("requests rejected by servers");
+                self.checker.count("requests rejected by servers");
             }
         }
-        self.server_work(now, number);
+        self.run_requests(now, number);
     }
 
     /// Ends what is done and begins what waits.
-    fn server_work(&mut self, now: Duration, number: usize) {
+    fn run_requests(&mut self, now: Duration, number: usize) {
         let server = &mut self.servers[number];
-        let Some(life) = &mut server.life else {
+        let Some(instance) = &mut server.instance else {
             return;
         };
-        for (end, flow, request) in &life.running {
-            if let Some(held) = life.flows.get_mut(flow)
+        for (end, flow, request) in &instance.running {
+            if let Some(held) = instance.flows.get_mut(flow)
                 && *end <= now
             {
                 held.stream.write(&answer(request, true).encode());
-                if life.announcement.is_draining {
+                if instance.announcement.is_draining {
                     held.stream.close();
                 }
             }
         }
-        life.running.retain(|(end, ..)| *end > now);
-        while life.running.len() < server.slots
-            && let Some((flow, request)) = life.waiting.pop_front()
+        instance.running.retain(|(end, ..)| *end > now);
+        while instance.running.len() < server.slots
+            && let Some((flow, request)) = instance.waiting.pop_front()
         {
-            life.running.push((now + server.work, flow, request));
-            let is_idempotent = self.shape.services[server.service].is_idempotent;
-            self.judge
-                .ran(now, request.task, request.attempt, is_idempotent);
+            instance
+                .running
+                .push((now + server.service_time, flow, request));
+            let is_idempotent = self.topology.services[server.service].is_idempotent;
+            self.checker
+                .record_run(now, request.task, request.attempt, is_idempotent);
         }
     }
 
     fn server_acknowledge(&mut self, number: usize, flow: FlowId) {
-        let life = self.servers[number].life.as_ref();
-        let Some(held) = life.and_then(|life| life.flows.get(&flow)) else {
+        let instance = self.servers[number].instance.as_ref();
+        let Some(held) = instance.and_then(|instance| instance.flows.get(&flow)) else {
             return;
         };
         let position = held.stream.position();
@@ -277,7 +283,7 @@
         self.server_send(number, &segment, &[]);
     }
 
-    fn hand_back(&mut self, number: usize, segment: &Segment, packet: &[u8]) {
+    fn return_packet(&mut self, number: usize, segment: &Segment, packet: &[u8]) {
         let returned = Segment {
             is_returned: true,
             ..*segment
@@ -296,8 +302,8 @@
 
 impl Flow {
     /// Whether a packet answers the backend server's own opening.
-    const fn accepts(&self, segment: &Segment) -> bool {
-        segment.acknowledged == self.own.wrapping_add(1)
+    const fn is_acknowledged_by(&self, segment: &Segment) -> bool {
+        segment.acknowledged == self.own_sequence.wrapping_add(1)
     }
 }
 
@@ -318,7 +324,7 @@
     Answer {
         task: request.task,
         attempt: request.attempt,
-        length: request.answer,
+        length: request.answer_length,
         has_run,
     }
 }
--- a/tools/soak/src/sockets.rs
+++ b/tools/soak/src/sockets.rs
@@ -7,13 +7,13 @@
 
 use async_io::Async;
 
-use crate::address::FRAMES;
+use crate::address::FRAME_PORT;
 use crate::address::Network;
-use crate::address::OUTGOING;
-use crate::address::PACKETS;
-use crate::address::SERVER;
+use crate::address::OUTGOING_PORT;
+use crate::address::PACKET_PORT;
+use crate::address::SERVER_PORT;
 use crate::address::socket;
-use crate::shape::Shape;
+use crate::topology::Topology;
 
 /// Hosts that callers run on, in each availability zone.
 const CALLERS_PER_ZONE: usize = 2;
@@ -42,16 +42,16 @@
     /// # Errors
     ///
     /// The operating system's error; another run may use the same network.
-    pub fn bind(shape: &Shape, network: Network) -> io::Result<Self> {
-        let callers = 0..shape.zones * CALLERS_PER_ZONE;
-        let servers = shape.gateways..shape.hosts();
-        let links = 0..shape.hosts();
+    pub fn bind(topology: &Topology, network: Network) -> io::Result<Self> {
+        let callers = 0..topology.zones * CALLERS_PER_ZONE;
+        let servers = topology.gateways..topology.hosts();
+        let links = 0..topology.hosts();
         Ok(Self {
-            callers: all(callers.map(|number| socket(network.caller(number), PACKETS)))?,
-            servers: all(servers.map(|host| socket(network.own(host), SERVER)))?,
-            links: all(links.map(|host| socket(network.link(host), FRAMES)))?,
+            callers: bind_all(callers.map(|number| socket(network.caller(number), PACKET_PORT)))?,
+            servers: bind_all(servers.map(|host| socket(network.process(host), SERVER_PORT)))?,
+            links: bind_all(links.map(|host| socket(network.link(host), FRAME_PORT)))?,
             network,
-            gateways: shape.gateways,
+            gateways: topology.gateways,
         })
     }
 
@@ -63,13 +63,13 @@
     /// Sends a packet of a backend server to the process beside it.
     pub fn send_as_server(&self, server: usize, packet: &[u8]) {
         let host = self.gateways + server;
-        let to = socket(self.network.own(host), OUTGOING);
+        let to = socket(self.network.process(host), OUTGOING_PORT);
         send(&self.servers[server], to, packet);
     }
 
     /// Passes on a frame from one host to another.
     pub fn send_frame(&self, from: usize, to: usize, frame: &[u8]) {
-        let to = socket(self.network.own(to), FRAMES);
+        let to = socket(self.network.process(to), FRAME_PORT);
         send(&self.links[from], to, frame);
     }
 }
@@ -85,7 +85,7 @@
     }
 }
 
-fn all(addresses: impl Iterator<Item = SocketAddr>) -> io::Result<Vec<Socket>> {
+fn bind_all(addresses: impl Iterator<Item = SocketAddr>) -> io::Result<Vec<Socket>> {
     let sockets = addresses.map(|address| Async::<UdpSocket>::bind(address).map(Rc::new));
     sockets.collect()
 }
--- a/tools/soak/src/stream.rs
+++ b/tools/soak/src/stream.rs
@@ -12,13 +12,13 @@
 const WINDOW: usize = 16;
 
 /// Time until a packet that was not acknowledged is sent again; it doubles.
-const FIRST_REPEAT: Duration = Duration::from_millis(200);
+const MIN_RETRANSMIT_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Longest such time.
-const LAST_REPEAT: Duration = Duration::from_millis(1_600);
+const MAX_RETRANSMIT_TIMEOUT: Duration = Duration::from_millis(1_600);
 
 /// Repeats after which an end gives the flow up.
-const MAX_REPEATS: u32 = 8;
+const MAX_RETRANSMISSIONS: u32 = 8;
 
 /// One end of a flow's reliable stream.
 #[derive(Debug)]
@@ -29,11 +29,11 @@
     end: u32,
     /// Position up to which the other end's stream has arrived.
     pub received: u32,
-    repeat: Duration,
-    repeat_at: Duration,
-    repeats: u32,
-    has_closed: bool,
-    is_closed_there: bool,
+    retransmit_timeout: Duration,
+    retransmit_at: Duration,
+    retransmissions: u32,
+    is_closed_here: bool,
+    is_closed_by_peer: bool,
 }
 
 #[derive(Debug)]
@@ -46,7 +46,7 @@
 
 /// A packet to send.
 #[derive(Debug)]
-pub struct Out {
+pub struct Packet {
     /// Its kind.
     pub kind: Kind,
     /// Position of its content.
@@ -63,11 +63,11 @@
             chunks: VecDeque::new(),
             end: own.wrapping_add(1),
             received: other.wrapping_add(1),
-            repeat: FIRST_REPEAT,
-            repeat_at: Duration::MAX,
-            repeats: 0,
-            has_closed: false,
-            is_closed_there: false,
+            retransmit_timeout: MIN_RETRANSMIT_TIMEOUT,
+            retransmit_at: Duration::MAX,
+            retransmissions: 0,
+            is_closed_here: false,
+            is_closed_by_peer: false,
         }
     }
 
@@ -80,28 +80,28 @@
 
     /// Queues the end of the stream.
     pub fn close(&mut self) {
-        if !self.has_closed {
-            self.has_closed = true;
+        if !self.is_closed_here {
+            self.is_closed_here = true;
             self.push(Vec::new(), true);
         }
     }
 
     /// Whether both ends have closed and all has arrived.
     #[must_use]
-    pub fn is_over(&self) -> bool {
-        self.has_closed && self.is_closed_there && self.chunks.is_empty()
+    pub fn is_finished(&self) -> bool {
+        self.is_closed_here && self.is_closed_by_peer && self.chunks.is_empty()
     }
 
     /// Whether the other end has closed.
     #[must_use]
-    pub const fn is_closed_there(&self) -> bool {
-        self.is_closed_there
+    pub const fn is_closed_by_peer(&self) -> bool {
+        self.is_closed_by_peer
     }
 
     /// Whether nothing was acknowledged for too long.
     #[must_use]
-    pub const fn is_given_up(&self) -> bool {
-        self.repeats > MAX_REPEATS
+    pub const fn has_timed_out(&self) -> bool {
+        self.retransmissions > MAX_RETRANSMISSIONS
     }
 
     /// Position of the next content that is sent.
@@ -112,36 +112,36 @@
     }
 
     /// Takes a packet of the other end; its content where it is the next.
-    pub fn take<'a>(&mut self, now: Duration, segment: &Segment, content: &'a [u8]) -> &'a [u8] {
+    pub fn receive<'a>(&mut self, now: Duration, segment: &Segment, content: &'a [u8]) -> &'a [u8] {
         self.acknowledge(now, segment.acknowledged);
         if segment.sequence != self.received {
             return &[];
         }
         self.received = self.received.wrapping_add(length(content));
         if segment.kind == Kind::Close {
-            self.is_closed_there = true;
+            self.is_closed_by_peer = true;
             self.received = self.received.wrapping_add(1);
         }
         content
     }
 
     /// What is to be sent now.
-    pub fn poll(&mut self, now: Duration) -> Vec<Out> {
+    pub fn poll(&mut self, now: Duration) -> Vec<Packet> {
         let mut out = Vec::new();
-        if now >= self.repeat_at
+        if now >= self.retransmit_at
             && let Some(first) = self.chunks.front()
         {
-            out.push(first.out());
-            self.repeats += 1;
-            self.repeat = (self.repeat * 2).min(LAST_REPEAT);
-            self.repeat_at = now + self.repeat;
+            out.push(first.packet());
+            self.retransmissions += 1;
+            self.retransmit_timeout = (self.retransmit_timeout * 2).min(MAX_RETRANSMIT_TIMEOUT);
+            self.retransmit_at = now + self.retransmit_timeout;
         }
         for chunk in self.chunks.iter_mut().take(WINDOW) {
             if !chunk.is_sent {
                 chunk.is_sent = true;
-                out.push(chunk.out());
-                if self.repeat_at == Duration::MAX {
-                    self.repeat_at = now + self.repeat;
+                out.push(chunk.packet());
+                if self.retransmit_at == Duration::MAX {
+                    self.retransmit_at = now + self.retransmit_timeout;
                 }
             }
         }
@@ -171,12 +171,12 @@
             self.chunks.pop_front();
         }
         if self.chunks.len() < before {
-            self.repeats = 0;
-            self.repeat = FIRST_REPEAT;
-            self.repeat_at = if self.chunks.is_empty() {
+            self.retransmissions = 0;
+            self.retransmit_timeout = MIN_RETRANSMIT_TIMEOUT;
+            self.retransmit_at = if self.chunks.is_empty() {
                 Duration::MAX
             } else {
-                now + self.repeat
+                now + self.retransmit_timeout
             };
         }
     }
@@ -189,8 +189,8 @@
             .wrapping_add(u32::from(self.is_last))
     }
 
-    fn out(&self) -> Out {
-        Out {
+    fn packet(&self) -> Packet {
+        Packet {
             kind: if self.is_last {
                 Kind::Close
             } else {
--- a/tools/soak/src/shape.rs
+++ b/tools/soak/src/topology.rs
@@ -6,17 +6,17 @@
 use platform_standin::host::Bounds;
 
 /// The scales of the bounds that are drawn, as factors.
-const SCALES: [f64; 4] = [1.0, 1.0, 0.67, 2.0];
+const BOUND_SCALES: [f64; 4] = [1.0, 1.0, 0.67, 2.0];
 
 /// Load of the backend servers that is aimed at, in percent of their slots.
 const LOAD_PERCENT: u64 = 35;
 
 /// Long flows that each service has, for each of its backend servers.
-const LONG_FLOWS: usize = 6;
+const LONG_FLOWS_PER_SERVER: usize = 6;
 
 /// A deployment.
 #[derive(Clone, Debug)]
-pub struct Shape {
+pub struct Topology {
     /// Seed of all choices.
     pub seed: u64,
     /// Availability zones.
@@ -39,7 +39,7 @@
     /// Requests that each runs at a time.
     pub slots: u16,
     /// Mean time of a request on the fastest of them.
-    pub work: Duration,
+    pub service_time: Duration,
     /// Requests a second.
     pub rate: u32,
     /// Whether a request may run again after it failed.
@@ -58,8 +58,8 @@
 pub struct Limits {
     /// What the processes are told.
     pub bounds: Bounds,
-    /// Time without trouble after which a host counts as undisturbed.
-    pub calm: Duration,
+    /// Time without disturbance after which a host counts as undisturbed.
+    pub undisturbed: Duration,
     /// Time until a configuration is in force.
     pub apply: Duration,
     /// Time until a backend server that drains gets no new flows.
@@ -67,18 +67,18 @@
     /// Time until service is back after everything failed.
     pub recovery: Duration,
     /// Time for which a flow's packets may all go astray.
-    pub astray: Duration,
+    pub misrouted: Duration,
     /// Idle time after which a flow may be given up.
     pub idle: Duration,
 }
 
-impl Shape {
+impl Topology {
     /// Draws a deployment of some size: the number of backend servers at most.
     #[must_use]
-    pub fn draw(seed: u64, most: usize) -> Self {
+    pub fn draw(seed: u64, max_servers: usize) -> Self {
         let random = &mut Rng::with_seed(seed);
-        let scale = SCALES[random.usize(..SCALES.len())];
-        let mut left = most;
+        let scale = BOUND_SCALES[random.usize(..BOUND_SCALES.len())];
+        let mut left = max_servers;
         let services = 1 + random.usize(..3);
         let services = (0..services)
             .map(|number| {
@@ -148,11 +148,11 @@
                 reuse: seconds(2.0).max(Duration::from_secs(2)),
                 oldest_flow: Duration::from_mins(1),
             },
-            calm: seconds(4.0),
+            undisturbed: seconds(4.0),
             apply: seconds(3.0),
             drain: seconds(3.0),
             recovery: seconds(12.0),
-            astray: Duration::from_secs(2),
+            misrouted: Duration::from_secs(2),
             idle: Duration::from_secs(15),
         }
     }
@@ -160,19 +160,19 @@
 
 fn service(random: &mut Rng, number: usize, servers: usize) -> Service {
     let slots = [1, 2, 4][random.usize(..3)];
-    let work_ms = random.u64(5..60);
+    let service_time_ms = random.u64(5..60);
     let percent_per_ms = LOAD_PERCENT * u64::from(slots) * servers as u64;
-    let rate = percent_per_ms * MILLIS_PER_SECOND / PERCENT / work_ms;
+    let rate = percent_per_ms * MILLIS_PER_SECOND / PERCENT / service_time_ms;
     let rate = rate.clamp(1, MAX_RATE);
     let is_long = random.bool();
     // Each carries a request well within the idle time.
     let most = usize::try_from(rate * LONG_GAP_S).unwrap_or(usize::MAX);
-    let long_flows = (servers * LONG_FLOWS).min(most);
+    let long_flows = (servers * LONG_FLOWS_PER_SERVER).min(most);
     Service {
         name: format!("service-{number}"),
         servers,
         slots,
-        work: Duration::from_millis(work_ms),
+        service_time: Duration::from_millis(service_time_ms),
         rate: u32::try_from(rate).unwrap_or(u32::MAX),
         is_idempotent: random.bool(),
         long_flows: if is_long { long_flows } else { 0 },
--- a/tools/soak/tests/short.rs
+++ b/tools/soak/tests/short.rs
@@ -1,4 +1,4 @@
-//! Short runs: seeds that once broke a promise, and one of all kinds of trouble.
+//! Short runs: seeds that once broke a invariant, and one of all kinds of disturbance.
 use std::env;
 use std::error::Error;
 use std::fs;
@@ -6,40 +6,40 @@
 
 use soak::address::Network;
 use soak::plan;
+use soak::plan::Disturbance;
 use soak::plan::Kind;
-use soak::plan::Trouble;
 use soak::run;
 use soak::run::Plan;
-use soak::shape::Shape;
+use soak::topology::Topology;
 
 type Result = std::result::Result<(), Box<dyn Error>>;
 
 /// Backend servers of a deployment, at most.
 const SERVERS: usize = 12;
 
-/// Time within which drawn troubles begin.
+/// Time within which drawn disturbances begin.
 const WITHIN: Duration = Duration::from_secs(12);
 
 /// First of the networks of these runs.
 const FIRST_NETWORK: u8 = 120;
 
-fn keeps_its_promises(number: u8, seed: u64, troubles: Vec<Trouble>) -> Result {
+fn keeps_its_promises(number: u8, seed: u64, disturbances: Vec<Disturbance>) -> Result {
     let network = Network(FIRST_NETWORK + number);
     let plan = Plan {
-        shape: Shape::draw(seed, SERVERS),
-        troubles,
+        topology: Topology::draw(seed, SERVERS),
+        disturbances,
         network,
         folder: env::temp_dir().join(format!("soak-test-{}-{number}", std::process::id())),
     };
-    let result = run::play(&plan)?;
-    let breaches = &result.judge.breaches;
+    let result = run::execute(&plan)?;
+    let violations = &result.checker.violations;
     assert!(
-        breaches.is_empty(),
-        "{breaches:#?}: {}",
+        violations.is_empty(),
+        "{violations:#?}: {}",
         plan.folder.display()
     );
     assert!(
-        result.judge.counted("tasks served") > 0,
+        result.checker.total("tasks served") > 0,
         "nothing was served"
     );
     fs::remove_dir_all(&plan.folder)?;
@@ -69,10 +69,10 @@
         Kind::StoreSilent,
         Kind::PowerAll,
     ];
-    let troubles = (0..).zip(kinds).map(|(number, kind)| Trouble {
+    let disturbances = (0..).zip(kinds).map(|(number, kind)| Disturbance {
         at: Duration::from_millis(number * 2_000),
         kind,
-        lasts: Duration::from_millis(1_500),
+        duration: Duration::from_millis(1_500),
     });
-    keeps_its_promises(2, 7, troubles.collect())
+    keeps_its_promises(2, 7, disturbances.collect())
 }
