--- a/tools/proof/examples/inforce.rs
+++ b/tools/proof/examples/inforce.rs
@@ -1,5 +1,5 @@
-//! Time until a change of configuration is in force at every entry:
-//! `cargo run --release -p proof --example inforce`.
+//! Measures the time until a change of configuration is in force at every
+//! entry: `cargo run --release -p proof --example inforce`.
 use std::error::Error;
 use std::time::Duration;
 use std::time::Instant;
@@ -7,20 +7,20 @@
 use proof::Deployment;
 use proof::Service;
 
-/// Changes that are made, one after the other.
+/// Number of consecutive changes.
 const CHANGES: usize = 20;
 
 fn main() -> Result<(), Box<dyn Error>> {
     let deployment = Deployment::start(121, Some(&[]))?;
-    let address = deployment.address(Service::Roster);
+    let address = deployment.service_address(Service::Roster);
     let mut times = Vec::with_capacity(CHANGES);
     for change in 0..CHANGES {
         let hunt = (change % 3 + 1).to_string();
-        let accepted = deployment.until(&["update", &address, "--hunt", &hunt])?;
-        let revision = revision(&accepted).ok_or("no revision was printed")?;
+        let accepted = deployment.operate_until_success(&["update", &address, "--hunt", &hunt])?;
+        let revision = revision(&accepted).ok_or("no revision in the output of the update")?;
         let begun = Instant::now();
         let line = format!("in force: {address} revision {revision}");
-        while !deployment.all_entries_say(&line) {}
+        while !deployment.all_entries_report(&line) {}
         times.push(begun.elapsed());
     }
     times.sort();
@@ -32,7 +32,7 @@
     Ok(())
 }
 
-/// Reads the revision out of what `operate` printed.
+/// Parses the revision from the output of `operate`.
 fn revision(printed: &str) -> Option<u64> {
     let mut words = printed.split_whitespace();
     words.find(|word| *word == "revision")?;
--- a/tools/proof/examples/latency.rs
+++ b/tools/proof/examples/latency.rs
@@ -1,5 +1,5 @@
-//! Latency of the path against direct calls to a backend server:
-//! `cargo run --release -p proof --example latency`.
+//! Compares the latency of calls through the system with that of direct calls
+//! to a backend server: `cargo run --release -p proof --example latency`.
 use std::error::Error;
 use std::time::Duration;
 use std::time::Instant;
@@ -9,13 +9,13 @@
 use proof::Deployment;
 use proof::Service;
 
-/// Direct calls, one after the other.
+/// Number of consecutive direct calls.
 const CALLS: u64 = 500;
 
-/// Seconds of load through the path.
-const SECONDS: u32 = 10;
+/// Duration of the load through the system, in seconds.
+const LOAD_SECONDS: u32 = 10;
 
-/// Largest answer that is taken, in bytes.
+/// Size limit of an answer, in bytes.
 const MAX_ANSWER_BYTES: usize = 64 * 1024;
 
 fn main() -> Result<(), Box<dyn Error>> {
@@ -23,12 +23,12 @@
     for target in 1..=4 {
         let name = format!("backend-{target}");
         deployment.signal(&name, proof::Signal::Kill)?;
-        deployment.ended(&name)?;
+        deployment.wait_for_exit(&name)?;
         deployment.start_backend_with(Service::Roster, target, 0)?;
     }
-    let load = deployment.load(Service::Roster, SECONDS, 1)?;
-    let path = deployment.outcome(load)?.finding.report;
-    let direct = smol::block_on(direct(deployment.backend(1).parse()?))?;
+    let load = deployment.start_load(Service::Roster, LOAD_SECONDS, 1)?;
+    let path = deployment.finish_load(load)?.finding.report;
+    let direct = smol::block_on(direct(deployment.backend_address(1).parse()?))?;
     let median = direct[direct.len() / 2];
     let tail = direct[direct.len() * 99 / 100];
     println!("| way | p50 us | p99 us |");
@@ -38,7 +38,7 @@
     Ok(())
 }
 
-/// Times of calls to one backend server, in order.
+/// Returns the sorted times of calls to one backend server.
 async fn direct(backend: std::net::SocketAddr) -> Result<Vec<Duration>, net::backend::Error> {
     let client = Client::new(backend, MAX_ANSWER_BYTES);
     let mut times = Vec::new();
--- a/tools/proof/src/child.rs
+++ b/tools/proof/src/child.rs
@@ -1,4 +1,4 @@
-//! A process of a deployment.
+//! Child processes of a deployment.
 use std::fs;
 use std::fs::File;
 use std::io;
@@ -8,29 +8,30 @@
 use std::process::Command;
 use std::process::Stdio;
 
-/// A signal that a test sends.
+/// Signal to a child process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// SIGTERM: a planned stop.
+    /// SIGTERM: planned stop.
     Stop,
-    /// SIGHUP: make room for a successor.
+    /// SIGHUP: planned stop of an agent to make room for a successor; gateways
+    /// and sidecars only log it.
     Replace,
     /// SIGKILL: sudden death.
     Kill,
-    /// SIGSTOP: a freeze.
+    /// SIGSTOP: freeze.
     Freeze,
-    /// SIGCONT: the end of a freeze.
+    /// SIGCONT: end of a freeze.
     Thaw,
 }
 
-/// A process of a deployment; it is killed when the value is dropped.
+/// Child process, which is killed when the value is dropped.
 pub struct Child {
     process: process::Child,
     log: PathBuf,
 }
 
 impl Child {
-    /// Starts a process whose output goes to a file.
+    /// Starts a process and appends its output to a log file.
     ///
     /// # Errors
     ///
@@ -48,7 +49,7 @@
         })
     }
 
-    /// Returns the id of the process.
+    /// Returns the process id.
     #[must_use]
     pub fn id(&self) -> u32 {
         self.process.id()
@@ -73,7 +74,7 @@
             .map(drop)
     }
 
-    /// Waits until the process has ended; true where it succeeded.
+    /// Waits until the process has exited; returns whether it succeeded.
     ///
     /// # Errors
     ///
@@ -82,7 +83,7 @@
         Ok(self.process.wait()?.success())
     }
 
-    /// Returns whether the process succeeded, once it has ended.
+    /// Returns whether the process succeeded, or `None` while it runs.
     ///
     /// # Errors
     ///
@@ -92,9 +93,9 @@
         Ok(status.map(|status| status.success()))
     }
 
-    /// Returns what the process has printed.
+    /// Returns the content of the log file, empty where it cannot be read.
     #[must_use]
-    pub fn printed(&self) -> String {
+    pub fn output(&self) -> String {
         fs::read_to_string(&self.log).unwrap_or_default()
     }
 }
--- a/tools/proof/src/deployment.rs
+++ b/tools/proof/src/deployment.rs
@@ -22,49 +22,52 @@
 use crate::Signal;
 use crate::program;
 
-/// Entries of a deployment.
+/// Number of entries of a deployment.
 const ENTRIES: u8 = 3;
 
-/// Tries until a deployment is ready, and the pause between two.
-const TRIES: u32 = 300;
-const PAUSE: Duration = Duration::from_millis(200);
+/// Largest number of attempts while waiting for a state, and the pause between
+/// two.
+const MAX_ATTEMPTS: u32 = 300;
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// What went wrong around a deployment.
+/// Result of an operation on a deployment.
 pub type Result<T> = std::result::Result<T, Box<dyn Error>>;
 
-/// A load that runs.
+/// A running load on a service.
 pub struct Load {
     service: Service,
     child: Child,
     report: PathBuf,
 }
 
-/// What a load and the ledgers of the backend servers say together.
+/// Outcome of a load: the callers' report, compared with the backend servers'
+/// ledgers.
 pub struct Outcome {
-    /// The comparison.
+    /// Differences between the report and the ledgers.
     pub finding: Finding,
-    /// Flows that were broken.
+    /// Number of flows that were broken.
     pub broken: u64,
 }
 
-/// A small deployment of real processes.
+/// A small deployment of real processes, which end when the value is dropped.
 pub struct Deployment {
     number: u8,
     key: String,
     folder: PathBuf,
     children: BTreeMap<String, Child>,
-    wrapped: bool,
+    has_fabric: bool,
 }
 
 impl Deployment {
-    /// Starts a deployment on the loopback addresses below 127.`number`, and
+    /// Starts a deployment on the loopback addresses 127.`number`.0.0/16, and
     /// waits until every entry knows all targets and services. `fabric` are
-    /// further flags of the fabric; without one the entries bind the service
-    /// addresses.
+    /// additional flags of the fabric; with `None` there is no fabric and the
+    /// entries bind the service addresses.
     ///
     /// # Errors
     ///
-    /// Where a process cannot be started or the deployment does not get ready.
+    /// Fails where a process cannot be started or the deployment does not get
+    /// ready.
     pub fn start(number: u8, fabric: Option<&[&str]>) -> Result<Self> {
         let folder = env::temp_dir().join(format!("proof-{}-{number}", std::process::id()));
         fs::create_dir_all(&folder)?;
@@ -74,25 +77,26 @@
             key: format!("1:{secret}"),
             folder,
             children: BTreeMap::new(),
-            wrapped: fabric.is_some(),
+            has_fabric: fabric.is_some(),
         };
         deployment.start_all(fabric)?;
         for service in [Service::Roster, Service::Rota] {
-            deployment.create(service)?;
+            deployment.create_service(service)?;
         }
         deployment.wait_ready(6)?;
         Ok(deployment)
     }
 
-    /// Creates the configuration of a service.
+    /// Creates the configuration of a service, at the first entry that accepts
+    /// it.
     ///
     /// # Errors
     ///
-    /// Where no entry accepts it.
-    pub fn create(&self, service: Service) -> Result<()> {
-        let address = self.address(service);
+    /// Fails where no entry accepts it.
+    pub fn create_service(&self, service: Service) -> Result<()> {
+        let address = self.service_address(service);
         let binding = service.binding();
-        self.until(&[
+        self.operate_until_success(&[
             "create",
             &address,
             "--name",
@@ -104,7 +108,7 @@
     }
 
     fn start_all(&mut self, fabric: Option<&[&str]>) -> Result<()> {
-        let store = self.ip(0, 1, 8500);
+        let store = self.socket_address(0, 1, 8500);
         self.spawn("platform", "standin", &["platform", "--listen", &store])?;
         if let Some(flags) = fabric {
             self.start_fabric(flags)?;
@@ -122,12 +126,12 @@
     }
 
     fn start_fabric(&mut self, further: &[&str]) -> Result<()> {
-        self.fabric_sprays_over(&[1, 2, 3])?;
+        self.set_fabric_entries(&[1, 2, 3])?;
         let file = self.folder.join("entries").display().to_string();
         let (listen, roster, rota, key) = (
-            self.ip(0, 2, 7000),
-            self.address(Service::Roster),
-            self.address(Service::Rota),
+            self.socket_address(0, 2, 7000),
+            self.service_address(Service::Roster),
+            self.service_address(Service::Rota),
             self.key.clone(),
         );
         let mut flags = vec!["fabric", "--listen", &listen, "--key", &key];
@@ -143,21 +147,23 @@
         self.spawn("fabric", "standin", &flags)
     }
 
-    /// Starts an entry by its number.
+    /// Starts an entry by its number, from 1.
     ///
     /// # Errors
     ///
     /// The operating system's error.
     pub fn start_entry(&mut self, entry: u8) -> Result<()> {
-        let peers: Vec<String> = (1..=ENTRIES).map(|peer| self.ip(1, peer, 7000)).collect();
-        let fabric = self.ip(0, 2, 7000);
-        let fabric = if self.wrapped { fabric.as_str() } else { "" };
+        let peers: Vec<String> = (1..=ENTRIES)
+            .map(|peer| self.socket_address(1, peer, 7000))
+            .collect();
+        let fabric = self.socket_address(0, 2, 7000);
+        let fabric = if self.has_fabric { fabric.as_str() } else { "" };
         let flags = [
             "entry",
             "--listen",
-            &self.ip(1, entry, 7000),
+            &self.socket_address(1, entry, 7000),
             "--operator",
-            &self.ip(1, entry, 7002),
+            &self.socket_address(1, entry, 7002),
             "--fabric",
             fabric,
             "--zone",
@@ -165,7 +171,7 @@
             "--peers",
             &peers.join(","),
             "--store",
-            &self.ip(0, 1, 8500),
+            &self.socket_address(0, 1, 8500),
         ];
         self.spawn(&format!("entry-{entry}"), "greengagelug", &flags)
     }
@@ -174,7 +180,7 @@
         self.start_backend_with(service, target, u32::from(target) * 10 + 10)
     }
 
-    /// Starts a backend server that runs a request for so many milliseconds on
+    /// Starts a backend server whose requests take `time_ms` milliseconds on
     /// average.
     ///
     /// # Errors
@@ -185,7 +191,7 @@
         let flags = [
             "backend",
             "--listen",
-            &self.ip(2, target, 8080),
+            &self.socket_address(2, target, 8080),
             "--service",
             service.name(),
             "--slots",
@@ -198,7 +204,8 @@
         self.spawn(&format!("backend-{target}"), "standin", &flags)
     }
 
-    /// Starts the agent of a backend server by its number.
+    /// Starts the agent of a backend server, by the number of the backend
+    /// server.
     ///
     /// # Errors
     ///
@@ -208,7 +215,7 @@
         self.start_agent_with_key(target, &key)
     }
 
-    /// Starts an agent that signs with another key.
+    /// Starts an agent that signs with the given key.
     ///
     /// # Errors
     ///
@@ -218,17 +225,19 @@
             .into_iter()
             .find(|service| service.targets().contains(&target))
             .unwrap_or(Service::Roster);
-        let seeds: Vec<String> = (1..=ENTRIES).map(|entry| self.ip(1, entry, 7000)).collect();
+        let seeds: Vec<String> = (1..=ENTRIES)
+            .map(|entry| self.socket_address(1, entry, 7000))
+            .collect();
         let flags = [
             "agent",
             "--listen",
-            &self.ip(2, target, 7000),
+            &self.socket_address(2, target, 7000),
             "--control",
-            &self.ip(2, target, 7001),
+            &self.socket_address(2, target, 7001),
             "--service",
-            &self.address(service),
+            &self.service_address(service),
             "--backend",
-            &self.ip(2, target, 8080),
+            &self.socket_address(2, target, 8080),
             "--zone",
             &(target % 4 + 1).to_string(),
             "--slots",
@@ -241,15 +250,15 @@
         self.spawn(&format!("agent-{target}"), "greengagelug", &flags)
     }
 
-    /// Tells the fabric which entries to spray over.
+    /// Sets the entries over which the fabric spreads packets.
     ///
     /// # Errors
     ///
     /// The operating system's error.
-    pub fn fabric_sprays_over(&self, entries: &[u8]) -> Result<()> {
+    pub fn set_fabric_entries(&self, entries: &[u8]) -> Result<()> {
         let lines: String = entries
             .iter()
-            .map(|entry| self.ip(1, *entry, 7000) + "\n")
+            .map(|entry| self.socket_address(1, *entry, 7000) + "\n")
             .collect();
         let file = self.folder.join("entries");
         let draft = self.folder.join("entries.new");
@@ -261,9 +270,13 @@
     ///
     /// # Errors
     ///
-    /// Where there is no such process.
+    /// Fails where the deployment has no such process, or the signal cannot be
+    /// sent.
     pub fn signal(&self, name: &str, signal: Signal) -> Result<()> {
-        let child = self.children.get(name).ok_or("no such process")?;
+        let child = self
+            .children
+            .get(name)
+            .ok_or_else(|| format!("no process {name} in the deployment"))?;
         Ok(child.signal(signal)?)
     }
 
@@ -271,19 +284,25 @@
     ///
     /// # Errors
     ///
-    /// Where there is no such process.
+    /// Fails where the deployment has no such process.
     pub fn pid(&self, name: &str) -> Result<u32> {
-        let child = self.children.get(name).ok_or("no such process")?;
+        let child = self
+            .children
+            .get(name)
+            .ok_or_else(|| format!("no process {name} in the deployment"))?;
         Ok(child.id())
     }
 
-    /// Waits until a process has ended; true where it succeeded.
+    /// Waits until a process has exited; returns whether it succeeded.
     ///
     /// # Errors
     ///
-    /// Where there is no such process.
-    pub fn ended(&mut self, name: &str) -> Result<bool> {
-        let mut child = self.children.remove(name).ok_or("no such process")?;
+    /// Fails where the deployment has no such process.
+    pub fn wait_for_exit(&mut self, name: &str) -> Result<bool> {
+        let mut child = self
+            .children
+            .remove(name)
+            .ok_or_else(|| format!("no process {name} in the deployment"))?;
         Ok(child.wait()?)
     }
 
@@ -291,9 +310,9 @@
     ///
     /// # Errors
     ///
-    /// Where the store's controls do not answer.
-    pub fn fault(&self, control: &str) -> Result<()> {
-        let address = self.ip(0, 1, 8500);
+    /// Fails where the store does not accept the fault.
+    pub fn set_store_fault(&self, control: &str) -> Result<()> {
+        let address = self.socket_address(0, 1, 8500);
         let mut stream = TcpStream::connect(&address)?;
         write!(
             stream,
@@ -307,18 +326,18 @@
         Err(answer.into())
     }
 
-    /// Starts a load of so many seconds on a service.
+    /// Starts a load on a service for the given number of seconds.
     ///
     /// # Errors
     ///
     /// The operating system's error.
-    pub fn load(&self, service: Service, seconds: u32, seed: u64) -> Result<Load> {
+    pub fn start_load(&self, service: Service, seconds: u32, seed: u64) -> Result<Load> {
         let report = self.folder.join(format!("report-{}.json", service.name()));
         let mut command = Command::new(program("greengagelug"));
         command.args([
             "call",
             "--service",
-            &self.address(service),
+            &self.service_address(service),
             "--name",
             service.name(),
         ]);
@@ -338,20 +357,21 @@
         })
     }
 
-    /// Waits for a load to end and holds its report against the ledgers.
+    /// Waits for a load to end and compares its report with the backend
+    /// servers' ledgers.
     ///
     /// # Errors
     ///
-    /// Where there is no report or a backend server does not answer.
-    pub fn outcome(&self, mut load: Load) -> Result<Outcome> {
+    /// Fails where there is no report or a backend server does not answer.
+    pub fn finish_load(&self, mut load: Load) -> Result<Outcome> {
         load.child.wait()?;
         let report: Report = match fs::read(&load.report) {
             Ok(json) => serde_json::from_slice(&json)?,
-            Err(_) => return Err(load.child.printed().into()),
+            Err(_) => return Err(load.child.output().into()),
         };
         let mut ledgers = Vec::new();
         for target in load.service.targets() {
-            let address: SocketAddr = self.ip(2, target, 8080).parse()?;
+            let address: SocketAddr = self.socket_address(2, target, 8080).parse()?;
             ledgers.push(smol::block_on(fetch::ledger(address))?);
         }
         let broken = report.broken.values().sum();
@@ -359,13 +379,15 @@
         Ok(Outcome { finding, broken })
     }
 
-    /// Runs an operator's command at the first entry that answers.
+    /// Runs `operate` with the given arguments at the first entry that answers.
     ///
     /// # Errors
     ///
     /// The operating system's error.
     pub fn operate(&self, arguments: &[&str]) -> Result<Output> {
-        let entries: Vec<String> = (1..=ENTRIES).map(|entry| self.ip(1, entry, 7002)).collect();
+        let entries: Vec<String> = (1..=ENTRIES)
+            .map(|entry| self.socket_address(1, entry, 7002))
+            .collect();
         let output = Command::new(program("greengagelug"))
             .args(["operate", "--entries", &entries.join(",")])
             .args(arguments)
@@ -373,81 +395,90 @@
         Ok(output)
     }
 
-    /// Repeats an operator's command until it succeeds, and returns what it
-    /// printed.
+    /// Repeats `operate` until it succeeds, and returns its output.
     ///
     /// # Errors
     ///
-    /// The last output where it never succeeded.
-    pub fn until(&self, arguments: &[&str]) -> Result<String> {
+    /// The last output, where no attempt succeeded.
+    pub fn operate_until_success(&self, arguments: &[&str]) -> Result<String> {
         let mut output = self.operate(arguments)?;
-        for _ in 0..TRIES {
+        for _ in 0..MAX_ATTEMPTS {
             if output.status.success() {
                 return Ok(String::from_utf8(output.stdout)?);
             }
-            thread::sleep(PAUSE);
+            thread::sleep(RETRY_PAUSE);
             output = self.operate(arguments)?;
         }
-        Err(format!("{arguments:?}: {output:?}").into())
+        Err(format!("operate {arguments:?} did not succeed: {output:?}").into())
     }
 
-    /// Waits until so many targets are ready at every running entry.
+    /// Waits until every running entry has `targets` ready targets.
     ///
     /// # Errors
     ///
-    /// Where that does not happen.
+    /// Fails where that takes more than the allowed attempts.
     pub fn wait_ready(&self, targets: usize) -> Result<()> {
-        for _ in 0..TRIES {
+        for _ in 0..MAX_ATTEMPTS {
             let ready = (1..=ENTRIES)
                 .filter(|entry| self.children.contains_key(&format!("entry-{entry}")))
-                .all(|entry| self.ready_at(entry) == targets);
+                .all(|entry| self.count_ready_targets(entry) == targets);
             if ready {
                 return Ok(());
             }
-            thread::sleep(PAUSE);
+            thread::sleep(RETRY_PAUSE);
         }
-        Err("the deployment did not get ready".into())
+        Err(format!(
+            "not every running entry has {targets} ready targets after {MAX_ATTEMPTS} attempts"
+        )
+        .into())
     }
 
-    /// Whether every entry prints a line that begins so in its status.
+    /// Returns whether the status of every entry has a line that begins with
+    /// `line`.
     #[must_use]
-    pub fn all_entries_say(&self, line: &str) -> bool {
+    pub fn all_entries_report(&self, line: &str) -> bool {
         (1..=ENTRIES).all(|entry| {
             let status = self.status(entry);
             status.lines().any(|printed| printed.starts_with(line))
         })
     }
 
-    /// Number of targets that are ready at an entry.
-    fn ready_at(&self, entry: u8) -> usize {
+    /// Returns the number of targets that are ready at an entry.
+    fn count_ready_targets(&self, entry: u8) -> usize {
         self.status(entry)
             .lines()
             .filter(|line| line.starts_with("target: ") && line.contains(" ready"))
             .count()
     }
 
-    /// What an entry says of the system; empty where it does not answer.
+    /// Returns the output of `operate status` at an entry; empty where the
+    /// command fails.
     fn status(&self, entry: u8) -> String {
         Command::new(program("greengagelug"))
-            .args(["operate", "--entries", &self.ip(1, entry, 7002), "status"])
+            .args([
+                "operate",
+                "--entries",
+                &self.socket_address(1, entry, 7002),
+                "status",
+            ])
             .output()
             .map(|output| String::from_utf8_lossy(&output.stdout).into_owned())
             .unwrap_or_default()
     }
 
-    /// HTTP address of a backend server.
+    /// Returns the HTTP address of a backend server.
     #[must_use]
-    pub fn backend(&self, target: u8) -> String {
-        self.ip(2, target, 8080)
+    pub fn backend_address(&self, target: u8) -> String {
+        self.socket_address(2, target, 8080)
     }
 
-    /// Address that callers of a service send to.
+    /// Returns the address that callers of a service send to.
     #[must_use]
-    pub fn address(&self, service: Service) -> String {
-        self.ip(9, service.host(), 5000)
+    pub fn service_address(&self, service: Service) -> String {
+        self.socket_address(9, service.address_octet(), 5000)
     }
 
-    fn ip(&self, network: u8, host: u8, port: u16) -> String {
+    fn socket_address(&self, network: u8, host: u8, port: u16) -> String {
         format!("127.{}.{network}.{host}:{port}", self.number)
     }
 
--- a/tools/proof/src/lib.rs
+++ b/tools/proof/src/lib.rs
@@ -1,9 +1,9 @@
 //! Runs small deployments of real processes on loopback addresses, for tests
-//! that kill, freeze and cut them.
+//! that kill, freeze and disconnect them.
 //!
 //! A deployment has a platform, a fabric, three entries, and two services:
-//! `roster` with four backend servers and `rota` with two. Its processes end
-//! with the value.
+//! `roster` with four backend servers and `rota` with two. Its processes are
+//! killed when the value is dropped.
 mod child;
 mod deployment;
 mod program;
--- a/tools/proof/src/program.rs
+++ b/tools/proof/src/program.rs
@@ -1,9 +1,10 @@
-//! Finds the binaries of the workspace.
+//! Locates the binaries of the workspace.
 use std::env;
 use std::path::PathBuf;
 
-/// Path of a binary of the workspace, which is built beside this program or,
-/// where this is a test or an example, one folder above it.
+/// Returns the path of a binary of the workspace, which is built into the
+/// folder of this program or, if this is a test or an example, into its parent.
+/// Falls back to the bare name.
 #[must_use]
 pub fn program(name: &str) -> PathBuf {
     let this = env::current_exe().unwrap_or_default();
--- a/tools/proof/src/service.rs
+++ b/tools/proof/src/service.rs
@@ -1,12 +1,12 @@
-//! The services of a deployment.
+//! Services of a deployment.
 use std::ops::RangeInclusive;
 
-/// A service of the deployment.
+/// Service of a deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Service {
-    /// Four backend servers of unequal speed; independent.
+    /// Independent service with four backend servers of unequal speed.
     Roster,
-    /// Two backend servers; bound.
+    /// Bound service with two backend servers.
     Rota,
 }
 
@@ -25,14 +25,14 @@
         }
     }
 
-    pub(crate) const fn host(self) -> u8 {
+    pub(crate) const fn address_octet(self) -> u8 {
         match self {
             Self::Roster => 1,
             Self::Rota => 2,
         }
     }
 
-    /// Numbers of its backend servers.
+    /// Returns the numbers of its backend servers.
     pub(crate) const fn targets(self) -> RangeInclusive<u8> {
         match self {
             Self::Roster => 1..=4,
--- a/tools/soak/src/caller.rs
+++ b/tools/soak/src/caller.rs
@@ -1,4 +1,4 @@
-//! Callers: they open flows, ask, and ask again where that is allowed.
+//! Callers: they open flows, send requests, and retry where that is allowed.
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::net::SocketAddrV4;
@@ -20,47 +20,50 @@
 use crate::request::TaskId;
 use crate::stream::Stream;
 
-/// Times after its first at which an opening packet is sent again.
+/// Times after the first opening packet at which it is retransmitted.
 const RETRANSMIT_AFTER: [Duration; 2] = [Duration::from_millis(200), Duration::from_millis(600)];
 
-/// Time after which an opening that was not answered is given up.
+/// Time after which an opening without an answer fails.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(1_400);
 
-/// Distance from what a caller has acknowledged within which it takes a reset.
+/// Largest distance, in bytes, of a system reset from what the caller has
+/// received; resets beyond it are ignored.
 const RESET_WINDOW: u32 = 76_800;
 
-/// Attempts of one task.
+/// Largest number of attempts of one task.
 const MAX_ATTEMPTS: u32 = 3;
 
-/// Pause before another attempt, and before a long flow is opened again.
+/// Pause before a task is retried; also the longest backlog of arrivals that are
+/// made up after a delay of the soak itself.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// First port of callers.
 const FIRST_PORT: u16 = 20_000;
 
-/// Flows that one host of callers opens at most before ports repeat.
+/// Number of ports of callers; after so many flows ports are used again.
 const PORT_COUNT: u32 = 40_000;
 
-/// All callers.
+/// State of all callers.
 #[derive(Debug, Default)]
 pub struct Callers {
-    /// Flows, by their ends.
+    /// Flows that have not ended.
     flows: HashMap<FlowId, Flow>,
-    /// When a flow was opened and through which gateway, also after its end.
+    /// Time of each flow's first opening packet and the gateway it went to;
+    /// entries stay after the flow has ended.
     openings: HashMap<FlowId, (Duration, usize)>,
-    /// Tasks to be pending for again.
+    /// Tasks to retry, each with the earliest time for it.
     retries: Vec<(Duration, Task)>,
-    /// Next arrival of each service.
+    /// Time of the next arrival of each service.
     arrivals: Vec<Duration>,
-    /// Ends of tasks: when they began, and whether they were served.
+    /// Start time of each ended task, and whether it was served.
     pub outcomes: Vec<(Duration, bool)>,
-    /// Ports used so far.
+    /// Number of flows opened so far; selects the next port.
     ports_used: u32,
     next_task: TaskId,
     is_stopped: bool,
 }
 
-/// Something that a caller wants done.
+/// Work that a caller wants done; each attempt is one request.
 #[derive(Clone, Copy, Debug)]
 struct Task {
     id: TaskId,
@@ -74,27 +77,27 @@
 struct Flow {
     service: usize,
     initial_sequence: u32,
-    /// When the opening packet was first sent.
+    /// Time of the first opening packet.
     begun: Duration,
     retransmissions: usize,
-    /// Its stream, once it is open.
+    /// Reliable stream, once the flow is open.
     stream: Option<Stream>,
     inbox: Vec<u8>,
     task: Option<Task>,
-    /// When it last carried a request.
+    /// Time of the last request.
     last_request: Duration,
     is_long: bool,
 }
 
 impl Callers {
-    /// Asks for nothing new from now on.
+    /// Stops the arrival of new tasks and of long flows.
     pub const fn stop(&mut self) {
         self.is_stopped = true;
     }
 }
 
 impl Harness {
-    /// Lets all callers ask and send.
+    /// Starts due tasks and retries, and sends due packets of all flows.
     pub fn callers_tick(&mut self) {
         let now = self.now();
         self.start_due_tasks(now);
@@ -112,26 +115,31 @@
         }
     }
 
-    /// When the opening packet of a flow was sent, and through which gateway.
+    /// Returns when a flow's first opening packet was sent, and to which
+    /// gateway.
     #[must_use]
     pub fn opening_of(&self, flow: &FlowId) -> Option<(Duration, usize)> {
         self.callers.openings.get(flow).copied()
     }
 
-    /// Takes a packet that reached a host of callers.
+    /// Handles a packet that reached a host of callers.
     pub fn receive_at_caller(&mut self, from: SocketAddr, packet: &[u8]) {
         let now = self.now();
         let Ok(segment) = platform::packet::decode(packet) else {
-            return self
-                .checker
-                .record_violation(Invariant::Genuine, now, "unreadable".into());
+            return self.checker.record_violation(
+                Invariant::Genuine,
+                now,
+                "a caller got a packet that cannot be decoded".into(),
+            );
         };
         let id = segment.from_server();
         if segment.kind == Kind::Reset && is_system_reset(packet) {
             return self.system_reset(now, from, &id, &segment);
         }
         if !self.key.is_genuine(packet, &segment) || segment.is_returned {
-            let text = format!("a caller got a changed packet of {from}: {segment:?}");
+            let text = format!(
+                "a caller got a packet from {from} that its sender did not write: {segment:?}"
+            );
             return self.checker.record_violation(Invariant::Genuine, now, text);
         }
         let Some(flow) = self.callers.flows.get_mut(&id) else {
@@ -141,7 +149,7 @@
             (Kind::Reset, stream) => {
                 let was_open = stream.is_some();
                 self.checker.count("flows reset by servers");
-                self.fail_flow(now, id, was_open, "its server reset it");
+                self.fail_flow(now, id, was_open, "its backend server had reset the flow");
             }
             (Kind::Accept, None) => {
                 flow.stream = Some(Stream::new(flow.initial_sequence, segment.sequence));
@@ -166,7 +174,8 @@
         }
     }
 
-    /// Begins what is due.
+    /// Starts the tasks that are due, and opens a long flow of each service
+    /// that has too few.
     fn start_due_tasks(&mut self, now: Duration) {
         let services = self.topology.services.clone();
         self.callers.arrivals.resize(services.len(), Duration::ZERO);
@@ -200,7 +209,8 @@
         }
     }
 
-    /// A route of the newest configuration that leads to a service.
+    /// Returns a random route of the newest configuration that leads to a
+    /// service.
     fn route_to(&mut self, service: usize) -> Option<usize> {
         let newest = self.history.newest();
         let leading = newest.iter().filter(|(_, led)| **led == service);
@@ -215,7 +225,8 @@
             .find(|route| address::service(*route) == address)
     }
 
-    /// Asks for a task on a long flow that is idle, or on a flow of its own.
+    /// Sends a task's request on the long flow that has been idle longest, or
+    /// opens a flow for it.
     fn dispatch(&mut self, now: Duration, task: Task) {
         let idle = self.callers.flows.iter().filter(|(_, flow)| {
             let is_open = flow.stream.as_ref().is_some_and(|s| !s.is_closed_by_peer());
@@ -269,8 +280,8 @@
         let is_late = flow.task.is_some_and(|task| now > task.begun + deadline);
         let Some(stream) = &mut flow.stream else {
             if now > flow.begun + OPEN_TIMEOUT {
-                self.checker.count("openings without answer");
-                return self.fail_flow(now, id, false, "its opening was not answered");
+                self.checker.count("openings without an answer");
+                return self.fail_flow(now, id, false, "its opening had not been answered");
             }
             let retransmissions = flow.retransmissions;
             if retransmissions < RETRANSMIT_AFTER.len()
@@ -291,7 +302,7 @@
             let segment = from_caller(&id, Kind::Reset, sequence, received);
             self.caller_send(&id, &segment, &[]);
             self.checker.record_close(&id);
-            return self.fail_flow(now, id, true, "its deadline passed");
+            return self.fail_flow(now, id, true, "its deadline had passed");
         }
         if stream.is_closed_by_peer() {
             stream.close();
@@ -309,15 +320,15 @@
         };
         let Some(stream) = &flow.stream else {
             self.checker.count("flows refused");
-            return self.fail_flow(now, *id, false, "its flow was refused");
+            return self.fail_flow(now, *id, false, "its flow had been refused");
         };
         let distance = segment.sequence.wrapping_sub(stream.received);
         if distance.min(distance.wrapping_neg()) > RESET_WINDOW {
-            return self.checker.count("resets out of place");
+            return self.checker.count("resets outside the window");
         }
         self.checker.count("open flows reset");
         self.check_reset(now, from, id);
-        self.fail_flow(now, *id, true, "the system reset it");
+        self.fail_flow(now, *id, true, "the system had reset its flow");
     }
 
     fn receive_answers(&mut self, now: Duration, id: FlowId) {
@@ -353,7 +364,8 @@
         }
     }
 
-    /// Ends a flow without an answer to what it carried.
+    /// Ends a flow whose task, if any, got no answer; the task is retried where
+    /// that is allowed.
     fn fail_flow(&mut self, now: Duration, id: FlowId, was_open: bool, how: &'static str) {
         let Some(flow) = self.callers.flows.remove(&id) else {
             return;
@@ -369,7 +381,8 @@
         self.retry(now, task, is_idempotent || !was_open);
     }
 
-    /// Asks again where that is allowed, and gives the task up otherwise.
+    /// Retries a task where that is allowed and time and attempts are left;
+    /// otherwise records it as not served.
     fn retry(&mut self, now: Duration, task: Task, may_retry: bool) {
         let deadline = self.topology.services[task.service].deadline;
         let in_time = now + RETRY_PAUSE < task.begun + deadline;
--- a/tools/soak/src/checker.rs
+++ b/tools/soak/src/checker.rs
@@ -1,4 +1,4 @@
-//! Holds what callers and backend servers see against the promises.
+//! Checks what callers and backend servers observe against the invariants.
 use std::collections::BTreeMap;
 use std::collections::HashMap;
 use std::time::Duration;
@@ -7,48 +7,52 @@
 
 use crate::request::TaskId;
 
-/// Packets of a flow at other backend servers that may be misrouted.
+/// Consecutive packets of an open flow that have to reach other backend servers
+/// before the flow counts as misrouted.
 const MIN_MISROUTED: u32 = 3;
 
-/// A invariant.
+/// An invariant that holds throughout a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Invariant {
     /// A caller gets only what its backend server wrote.
     Genuine,
     /// A backend server gets only what callers wrote.
     Unasked,
-    /// A flow ends at a service that its address leads to.
+    /// A flow opens only at a service that some configuration has routed its
+    /// address to.
     Service,
-    /// Configurations are in force in time.
+    /// A configuration is in force within the time allowed.
     Applied,
-    /// A backend server that drains gets no new flows.
+    /// A backend server gets no new flows once the time allowed for draining is
+    /// over.
     Drained,
-    /// A request that cannot be repeated runs once.
+    /// A request that is not idempotent runs at most once.
     Once,
-    /// What was refused has not run.
+    /// An attempt whose flow never opened, such as a refused one, does not run.
     Refused,
-    /// An open flow is not reset.
+    /// An open flow is not reset while its backend server runs.
     Unbroken,
     /// The packets of an open flow reach its backend server.
     Straight,
-    /// Processes stop in time, and only when asked.
+    /// A process stops in time when asked to, does not exit otherwise, and does
+    /// not panic.
     Process,
-    /// Service comes back.
+    /// Service recovers after the last disturbance.
     Recovered,
 }
 
-/// A invariant that was broken.
+/// A violation of an invariant.
 #[derive(Clone, Debug)]
 pub struct Violation {
-    /// The invariant.
+    /// Invariant that was violated.
     pub invariant: Invariant,
     /// Time since the start of the run.
     pub at: Duration,
-    /// What was seen.
+    /// Description of what was observed.
     pub text: String,
 }
 
-/// An open flow.
+/// An open flow, and the start of the backend server that holds it.
 #[derive(Debug)]
 struct Flow {
     server: usize,
@@ -57,12 +61,12 @@
     misrouted_since: Option<Duration>,
 }
 
-/// What was seen so far.
+/// Observations of a run so far.
 #[derive(Debug, Default)]
 pub struct Checker {
-    /// Promises that were broken.
+    /// Violations, in the order of their detection.
     pub violations: Vec<Violation>,
-    /// What happened, by name.
+    /// Counters of events, by name.
     pub counts: BTreeMap<&'static str, u64>,
     open_flows: HashMap<FlowId, Flow>,
     runs: HashMap<TaskId, Vec<u32>>,
@@ -70,7 +74,7 @@
 }
 
 impl Checker {
-    /// Notes that a invariant was broken.
+    /// Records a violation of an invariant.
     pub fn record_violation(&mut self, invariant: Invariant, at: Duration, text: String) {
         self.count("violations");
         self.violations.push(Violation {
@@ -80,18 +84,18 @@
         });
     }
 
-    /// Counts something.
+    /// Adds one to a counter.
     pub fn count(&mut self, name: &'static str) {
         *self.counts.entry(name).or_default() += 1;
     }
 
-    /// How often something was counted.
+    /// Returns the value of a counter.
     #[must_use]
     pub fn total(&self, name: &str) -> u64 {
         self.counts.get(name).copied().unwrap_or_default()
     }
 
-    /// Notes that a flow is open at a backend server's start.
+    /// Records that a flow is open at one start of a backend server.
     pub fn record_open(&mut self, flow: FlowId, server: usize, start: u32) {
         self.open_flows.insert(
             flow,
@@ -104,20 +108,22 @@
         );
     }
 
-    /// Notes that a flow is over for either end.
+    /// Records that either end of a flow no longer holds it open.
     pub fn record_close(&mut self, flow: &FlowId) {
         self.open_flows.remove(flow);
     }
 
-    /// The backend server and its start that hold a flow.
+    /// Returns the backend server that holds an open flow, and the number of
+    /// its start.
     #[must_use]
     pub fn holder(&self, flow: &FlowId) -> Option<(usize, u32)> {
         let open = self.open_flows.get(flow)?;
         Some((open.server, open.start))
     }
 
-    /// Notes that a packet of a flow reached a backend server; true where too
-    /// many went to others for too long.
+    /// Records that a packet of a flow reached a backend server. Returns true
+    /// if at least [`MIN_MISROUTED`] packets in a row, over at least `limit`,
+    /// reached others than the one that holds the flow.
     pub fn record_arrival(
         &mut self,
         now: Duration,
@@ -138,8 +144,8 @@
         open.misrouted >= MIN_MISROUTED && now >= since + limit
     }
 
-    /// Notes that an attempt ended before its flow opened, so that it cannot
-    /// have run.
+    /// Records that an attempt ended before its flow opened, so that it must
+    /// not run.
     pub fn record_unopened(
         &mut self,
         now: Duration,
@@ -156,22 +162,24 @@
             self.record_violation(
                 Invariant::Refused,
                 now,
-                format!("{task:x} ran, though {how}"),
+                format!("task {task:x} ran, although {how}"),
             );
         }
     }
 
-    /// Notes that a backend server began to work on a request.
+    /// Records that a backend server began to run an attempt of a task.
     pub fn record_run(&mut self, now: Duration, task: TaskId, attempt: u32, is_idempotent: bool) {
         let runs = self.runs.entry(task).or_default();
         runs.push(attempt);
         let (count, list) = (runs.len(), format!("{runs:?}"));
         if count > 1 && !is_idempotent {
-            let text = format!("{task:x} ran {count} times, as attempts {list}");
+            let text = format!(
+                "task {task:x} is not idempotent but ran {count} times, as attempts {list}"
+            );
             self.record_violation(Invariant::Once, now, text);
         }
         if let Some(how) = self.unopened.get(&(task, attempt)) {
-            let text = format!("{task:x} ran, though {how}");
+            let text = format!("task {task:x} ran, although {how}");
             self.record_violation(Invariant::Refused, now, text);
         }
     }
--- a/tools/soak/src/harness.rs
+++ b/tools/soak/src/harness.rs
@@ -1,4 +1,4 @@
-//! All that one run consists of.
+//! Test harness: the state that all parts of one run share.
 use std::cell::RefCell;
 use std::io;
 use std::net::SocketAddr;
@@ -35,51 +35,53 @@
 use crate::sockets::Sockets;
 use crate::topology::Topology;
 
-/// Entries that a settings file names.
+/// Entries that a settings file names as seeds.
 const SEED_ENTRIES: usize = 3;
 
-/// Longest time by which disturbance of the store may delay a configuration.
+/// Longest time by which a fault of the store may delay a configuration.
 const MAX_STORE_DELAY: Duration = Duration::from_secs(12);
 
-/// How much slower the slowest backend server is than the fastest.
+/// Service time of the slowest possible backend server, relative to the
+/// fastest.
 const MAX_SLOWDOWN: f64 = 2.7;
 
-/// What one run consists of.
+/// State of one run.
 pub struct Harness {
-    /// The deployment.
+    /// Deployment under test.
     pub topology: Topology,
-    /// Its addresses.
+    /// Loopback network of the deployment.
     pub network: Network,
-    /// All random choices after the plan.
+    /// Source of all random choices other than those of the plan.
     pub random: Rng,
-    /// The key of callers and backend servers.
+    /// Key of the checksums that callers and backend servers put into packets.
     pub key: Key,
-    /// What was seen.
+    /// Observations and violations.
     pub checker: Checker,
-    /// The configurations.
+    /// Configurations written so far.
     pub history: History,
-    /// Entry hosts first, then those of backend servers.
+    /// Entry hosts first, then the hosts of backend servers.
     pub hosts: Vec<Host>,
-    /// Whether each entry host is sent packets.
+    /// Whether each entry host is in rotation, which is to say gets new
+    /// packets.
     pub rotation: Vec<bool>,
-    /// Backend servers.
+    /// Backend servers, in the order of their hosts.
     pub servers: Vec<Server>,
-    /// Callers.
+    /// State of the callers.
     pub callers: Callers,
-    /// Sockets.
+    /// Sockets of callers, backend servers and links.
     pub sockets: Sockets,
-    /// The platform's store.
+    /// Stand-in for the platform's store.
     pub store: Store,
-    /// Troubles of the store that last, and when the last one ended.
+    /// Number of active faults of the store, and when the last one ended.
     pub store_faults: (u32, Duration),
     origin: Instant,
 }
 
-/// A harness that tasks of one thread share.
+/// Harness that the tasks of one thread share.
 pub type Shared = Rc<RefCell<Harness>>;
 
 impl Harness {
-    /// Prepares a run; nothing is started.
+    /// Prepares a run without starting anything.
     ///
     /// # Errors
     ///
@@ -99,7 +101,7 @@
                 address: socket(network.process(topology.gateways + server), SERVER_PORT),
                 service,
                 slots: usize::from(topology.services[service].slots),
-                service_time: topology.services[service].service_time.mul_f64(slower),
+                work: topology.services[service].work.mul_f64(slower),
                 instance: None,
                 starts: 0,
             }
@@ -122,19 +124,19 @@
         })
     }
 
-    /// Time since the start of the run.
+    /// Returns the time since the start of the run.
     #[must_use]
     pub fn now(&self) -> Duration {
         self.origin.elapsed()
     }
 
-    /// Number of the host beside a backend server.
+    /// Returns the index of a backend server's host.
     #[must_use]
     pub const fn host_of(&self, server: usize) -> usize {
         self.topology.gateways + server
     }
 
-    /// Writes a configuration.
+    /// Writes a configuration to the store and records it.
     pub fn configure(&mut self, routes: &Routes) {
         let now = self.now();
         let version = self.history.record(&mut self.random, now, routes.clone());
@@ -154,7 +156,7 @@
         self.store.write_configuration(&value);
     }
 
-    /// By how much disturbance of the store may delay a configuration now.
+    /// Returns by how much faults of the store may delay a configuration now.
     #[must_use]
     pub fn store_delay(&self, now: Duration) -> Duration {
         let (active, since) = self.store_faults;
@@ -166,8 +168,11 @@
         }
     }
 
-    /// The gateway that a flow's packets go to now: one of the caller's
-    /// availability zone, the same one as long as it stays.
+    /// Returns the gateway that a flow's packets go to now. While any gateway
+    /// of the caller's availability zone is in rotation it is one of that zone:
+    /// one in rotation, or any where fewer than half are. Otherwise it is one
+    /// in rotation of another zone. The choice is stable while the set of
+    /// candidates is.
     #[must_use]
     pub fn gateway_of(&self, flow: &FlowId, caller: usize) -> usize {
         let zone = self.topology.zone(caller);
@@ -194,7 +199,8 @@
         best.unwrap_or_default()
     }
 
-    /// Passes on a frame that reached the link of a host.
+    /// Returns the sender of a frame that reached the link of a host, and the
+    /// frame's extra delay; `None` where the frame is lost.
     pub fn frame_delay(&mut self, to: usize, from: SocketAddr) -> Option<(usize, Duration)> {
         let SocketAddr::V4(from) = from else {
             return None;
@@ -206,7 +212,8 @@
         Some((from, delay))
     }
 
-    /// Holds a reset of an open flow against what is allowed.
+    /// Records a violation where an open flow was reset although its backend
+    /// server runs, its address is routed, and no fault disturbs its path.
     pub fn check_reset(&mut self, now: Duration, from: SocketAddr, flow: &FlowId) {
         let Some((server, start)) = self.checker.holder(flow) else {
             return;
@@ -215,25 +222,26 @@
         let lives = held.instance.is_some() && held.starts == start;
         let is_routed = self.history.newest().contains_key(&flow.service);
         if lives && is_routed && self.is_path_undisturbed(now, flow, server, Some(from)) {
-            let text = format!("{flow:?}, held by server {server}, was reset by {from}");
+            let text = format!("{flow:?}, open at server {server}, was reset by {from}");
             self.checker
                 .record_violation(Invariant::Unbroken, now, text);
         }
     }
 
-    /// Notes that the packets of a flow go astray.
+    /// Records a violation where packets of an open flow are misrouted although
+    /// no fault disturbs its path.
     pub fn check_misrouted(&mut self, now: Duration, flow: &FlowId, at: usize) {
         let Some((server, _)) = self.checker.holder(flow) else {
             return;
         };
         if self.is_path_undisturbed(now, flow, server, None) {
-            let text = format!("{flow:?}, held by server {server}, went to server {at}");
+            let text = format!("{flow:?}, open at server {server}, was misrouted to server {at}");
             self.checker
                 .record_violation(Invariant::Straight, now, text);
         }
     }
 
-    /// Whether no fault acts on the hosts that a flow's packets pass, and on
+    /// Returns whether no fault disturbs the hosts on the path of a flow and
     /// the sender of a reset.
     fn is_path_undisturbed(
         &self,
--- a/tools/soak/src/history.rs
+++ b/tools/soak/src/history.rs
@@ -1,19 +1,19 @@
-//! The configurations that were written, and what each allows.
+//! Configurations that were written, and the routes that each allows.
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// A configuration: the service of each address.
+/// Routes of a configuration: the index of the service of each address.
 pub type Routes = BTreeMap<SocketAddrV4, usize>;
 
-/// A configuration that was written.
+/// A configuration, with the time at which it was written.
 #[derive(Clone, Debug)]
 struct Version {
     at: Duration,
     routes: Routes,
 }
 
-/// The configurations that were written, oldest first.
+/// Configurations that were written, oldest first.
 #[derive(Clone, Debug, Default)]
 pub struct History {
     versions: Vec<Version>,
@@ -21,14 +21,15 @@
 }
 
 impl History {
-    /// Notes a configuration that the store has acknowledged; its version.
+    /// Records a configuration that is about to be written, and returns its
+    /// version.
     pub fn record(&mut self, random: &mut fastrand::Rng, at: Duration, routes: Routes) -> u64 {
         self.versions.push(Version { at, routes });
         self.last_version += random.u64(1..9);
         self.last_version
     }
 
-    /// The newest configuration.
+    /// Returns the routes of the newest configuration.
     #[must_use]
     pub fn newest(&self) -> Routes {
         let newest = self.versions.last();
@@ -37,7 +38,7 @@
             .unwrap_or_default()
     }
 
-    /// Whether any configuration so far leads an address to a service.
+    /// Returns whether any configuration so far routes an address to a service.
     #[must_use]
     pub fn has_ever_routed(&self, address: SocketAddrV4, service: usize) -> bool {
         let versions = self.versions.iter();
@@ -46,8 +47,9 @@
             .any(|found| found == Some(&service))
     }
 
-    /// Whether a configuration that may be in force for packets sent at `sent`
-    /// leads an address to a service.
+    /// Returns whether a configuration that may be in force for packets sent at
+    /// `sent` routes an address to a service. A configuration may stay in force
+    /// until `bound` after a newer one was written.
     #[must_use]
     pub fn allows(
         &self,
@@ -56,7 +58,8 @@
         address: SocketAddrV4,
         service: usize,
     ) -> bool {
-        // All but those which a newer one has replaced for long enough.
+        // Skips configurations that a newer one replaced more than `bound`
+        // before.
         let newer = self.versions.iter().skip(1).map(|version| version.at);
         let newer = newer.map(Some).chain([None]);
         self.versions
--- a/tools/soak/src/host.rs
+++ b/tools/soak/src/host.rs
@@ -14,34 +14,36 @@
 use crate::link;
 use crate::proxy;
 
-/// Key that the processes of a run share.
+/// Signing key that all processes of a run share: `1:` and the bytes of `soak`,
+/// repeated, in hex.
 const SIGN_KEY: &str = "1:736f616b736f616b736f616b736f616b736f616b736f616b736f616b736f616b";
 
-/// Why a host is not itself.
+/// Cause of a disturbance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// Planned work.
+    /// Planned work, such as a restart.
     Planned,
-    /// Anything else.
+    /// A fault.
     Fault,
 }
 
-/// Since when a host is left alone.
+/// Disturbances of one cause: the number of active ones, and when the last one
+/// ended.
 #[derive(Clone, Copy, Debug, Default)]
 struct Disturbances {
     active: u32,
     ended: Duration,
 }
 
-/// A host with one process of the system.
+/// A host with one process of the system, which is a gateway or a sidecar.
 pub struct Host {
-    /// Its settings file.
+    /// Content of the settings file.
     pub settings: Settings,
-    /// UDP address that its process binds for frames.
+    /// UDP address that the process binds for frames.
     pub bind: SocketAddr,
-    /// What happens to its frames.
+    /// Faults injected into the frames of the host.
     pub link_fault: link::Fault,
-    /// What happens to its calls of the store.
+    /// Faults injected into the connections of the host to the store.
     pub proxy_fault: proxy::Fault,
     role: &'static str,
     folder: PathBuf,
@@ -53,7 +55,7 @@
 }
 
 impl Host {
-    /// A host whose process does not run yet.
+    /// Creates a host whose process does not run yet.
     #[must_use]
     pub fn new(settings: Settings, bind: SocketAddr, role: &'static str, folder: PathBuf) -> Self {
         Self {
@@ -71,20 +73,21 @@
         }
     }
 
-    /// Notes that something begins to act on the host.
+    /// Records that a disturbance of the host begins.
     pub fn begin_disturbance(&mut self, cause: Cause) {
         self.disturbances(cause).active += 1;
     }
 
-    /// Notes that it no longer does.
+    /// Records that a disturbance of the host has ended.
     pub fn end_disturbance(&mut self, now: Duration, cause: Cause) {
         let disturbances = self.disturbances(cause);
         disturbances.active = disturbances.active.saturating_sub(1);
         disturbances.ended = now;
     }
 
-    /// Whether nothing acted on the host since a time, or nothing but planned
-    /// work.
+    /// Returns whether nothing has disturbed the host since `time`. With
+    /// [`Cause::Fault`] only faults count, with [`Cause::Planned`] planned work
+    /// as well.
     #[must_use]
     pub fn is_undisturbed_since(&self, time: Duration, cause: Cause) -> bool {
         let is_undisturbed =
@@ -95,7 +98,7 @@
         }
     }
 
-    /// Starts the process, unless something holds it down.
+    /// Starts the process, unless it runs or is to stay down.
     ///
     /// # Errors
     ///
@@ -120,13 +123,13 @@
         Ok(())
     }
 
-    /// The log of all processes of the host.
+    /// Returns the path of the log that all processes of the host append to.
     #[must_use]
     pub fn log(&self) -> PathBuf {
         self.folder.join(format!("{}.log", self.settings.name))
     }
 
-    /// Kills the process and holds it down.
+    /// Kills the process and keeps it down until [`Self::bring_up`].
     ///
     /// # Errors
     ///
@@ -142,7 +145,8 @@
         }
     }
 
-    /// Lets the process start again.
+    /// Undoes one [`Self::take_down`] or [`Self::request_stop`], and starts the
+    /// process unless another one keeps it down.
     ///
     /// # Errors
     ///
@@ -153,7 +157,7 @@
         self.start()
     }
 
-    /// Asks the process to end, and holds it down afterwards.
+    /// Sends SIGTERM to the process and keeps it down until [`Self::bring_up`].
     ///
     /// # Errors
     ///
@@ -173,7 +177,7 @@
         child.map_or(Ok(()), |child| child.signal(signal))
     }
 
-    /// Freezes the process.
+    /// Freezes the process with SIGSTOP.
     ///
     /// # Errors
     ///
@@ -183,7 +187,8 @@
         self.signal(Signal::Freeze)
     }
 
-    /// Wakes the process once nothing else freeze_count it.
+    /// Undoes one [`Self::freeze`], and resumes the process unless another one
+    /// keeps it frozen.
     ///
     /// # Errors
     ///
@@ -196,13 +201,14 @@
         }
     }
 
-    /// Whether the process is frozen.
+    /// Returns whether the process is frozen.
     #[must_use]
     pub const fn is_frozen(&self) -> bool {
         self.freeze_count > 0
     }
 
-    /// Whether the process has succeeded, once it has ended.
+    /// Returns whether the process succeeded, once it has exited; a host
+    /// without a process counts as exited with success.
     ///
     /// # Errors
     ///
@@ -218,7 +224,7 @@
         Ok(ended)
     }
 
-    /// Whether the process has ended although nothing asked it to.
+    /// Returns whether the process has exited although it was not to stay down.
     pub fn has_exited_unexpectedly(&mut self) -> bool {
         let runs = self.down_count == 0 && self.child.is_some();
         runs && matches!(self.poll_exit(), Ok(Some(_)))
--- a/tools/soak/src/injector.rs
+++ b/tools/soak/src/injector.rs
@@ -1,4 +1,4 @@
-//! Lets disturbances happen.
+//! Injects disturbances into a run.
 use std::io;
 use std::rc::Rc;
 use std::time::Duration;
@@ -20,42 +20,42 @@
 use crate::plan::Kind;
 use crate::proxy;
 
-/// Time between two looks whether a process has ended.
+/// Interval at which a stopping process is polled for its exit.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Pause between two hosts that are restarted in turn.
+/// Pause between the restarts of two hosts in turn.
 const ROLL_PAUSE: Duration = Duration::from_millis(700);
 
-/// Pause between the end of a backend server and the start of the next.
+/// Pause between the exit of a process and the start of its successor.
 const RESTART_PAUSE: Duration = Duration::from_millis(300);
 
-/// Time beyond the bound after which an address serves another service.
+/// Time beyond the reuse bound after which an address serves another service.
 const REUSE_MARGIN: Duration = Duration::from_millis(100);
 
-/// Pause between two configurations of a storm.
+/// Interval between two configurations of a storm.
 const STORM_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Share of the frames that a lossy host loses, and the delay of a far one.
+/// Share of the frames that a lossy host loses, and extra delay of a far one.
 const LOSS_SHARE: f64 = 0.33;
 const FRAME_DELAY: Duration = Duration::from_millis(80);
 
-/// Delay of a slow store.
+/// Delay of each answer of a slow store.
 const STORE_DELAY: Duration = Duration::from_millis(400);
 
-/// Delay of a late write.
+/// Delay of each late write.
 const WRITE_DELAY: Duration = Duration::from_secs(2);
 
-/// Lets disturbances happen in one run.
+/// Injector of the disturbances of one run.
 #[derive(Clone)]
 pub struct Injector {
-    /// The run.
+    /// State of the run.
     pub harness: Shared,
-    /// Runs what goes on server.
+    /// Executor for the tasks of restarted backend servers.
     pub executor: Rc<LocalExecutor<'static>>,
 }
 
 impl Injector {
-    /// Lets a disturbance happen, from its begin to its end.
+    /// Injects a disturbance and waits until it has ended.
     ///
     /// # Errors
     ///
@@ -148,7 +148,7 @@
         self.sample((0..count).collect(), percent)
     }
 
-    /// A share of the candidates, one at least.
+    /// Returns a random share of the candidates, at least one.
     fn sample(&self, mut candidates: Vec<usize>, percent: usize) -> Vec<usize> {
         let harness = &mut *self.harness.borrow_mut();
         harness.random.shuffle(&mut candidates);
@@ -157,7 +157,7 @@
         candidates
     }
 
-    /// Does something at some hosts.
+    /// Applies an action to each of the hosts.
     fn for_each(
         &self,
         hosts: &[usize],
@@ -169,7 +169,8 @@
             .try_for_each(|host| act(&mut harness.hosts[*host]))
     }
 
-    /// Does something at some hosts which then count as disturbed.
+    /// Applies an action to hosts and records that a disturbance of them
+    /// begins.
     fn disturb(
         &self,
         hosts: &[usize],
@@ -182,7 +183,8 @@
         })
     }
 
-    /// Undoes it.
+    /// Undoes [`Self::disturb`] by another action and records that the
+    /// disturbance has ended.
     fn restore(
         &self,
         hosts: &[usize],
@@ -196,7 +198,7 @@
         })
     }
 
-    /// Stops and starts hosts in turn.
+    /// Restarts hosts in turn.
     async fn roll(&self, hosts: Vec<usize>) -> io::Result<()> {
         for host in hosts {
             self.restart(host).await?;
@@ -205,14 +207,14 @@
         Ok(())
     }
 
-    /// Stops a process as planned and starts the next.
+    /// Stops a process as planned and starts its successor.
     async fn restart(&self, host: usize) -> io::Result<()> {
         self.stop(host).await?;
         Timer::after(RESTART_PAUSE).await;
         self.restore(&[host], Cause::Planned, Host::bring_up)
     }
 
-    /// Stops a process for good.
+    /// Stops a process without starting a successor.
     ///
     /// # Errors
     ///
@@ -222,7 +224,10 @@
         self.wait_stopped(host).await
     }
 
-    /// Waits for a process that was asked to stop.
+    /// Waits until a process that was asked to stop has exited. Records a
+    /// violation where it fails, or where it takes longer than the stop bound
+    /// although no fault disturbs its host; it is then killed and started
+    /// again.
     async fn wait_stopped(&self, host: usize) -> io::Result<()> {
         let (asked, limit) = {
             let harness = self.harness.borrow();
@@ -237,7 +242,7 @@
                 match ended {
                     Some(true) => return Ok(()),
                     Some(false) => {
-                        let text = format!("host {host} failed when asked to stop");
+                        let text = format!("the process of host {host} failed when asked to stop");
                         harness
                             .checker
                             .record_violation(Invariant::Process, now, text);
@@ -246,7 +251,8 @@
                     None if now < asked + limit => {}
                     None => {
                         if is_calm {
-                            let text = format!("host {host} did not stop in {limit:?}");
+                            let text =
+                                format!("the process of host {host} did not stop within {limit:?}");
                             harness
                                 .checker
                                 .record_violation(Invariant::Process, now, text);
@@ -260,7 +266,7 @@
         }
     }
 
-    /// Replaces half of the backend servers of a service as planned.
+    /// Replaces half of the backend servers of a random service as planned.
     async fn release(&self) -> io::Result<()> {
         let servers = {
             let harness = &mut *self.harness.borrow_mut();
@@ -280,7 +286,7 @@
         Ok(())
     }
 
-    /// Removes a spare route for some time.
+    /// Adds or removes a random spare route, and again after some time.
     async fn route(&self, duration: Duration) -> io::Result<()> {
         self.toggle_route();
         Timer::after(duration).await;
@@ -297,7 +303,8 @@
         Ok(())
     }
 
-    /// Adds or removes a spare route: each service has one.
+    /// Adds or removes the spare route of a random service; each service has
+    /// one.
     fn toggle_route(&self) {
         let harness = &mut *self.harness.borrow_mut();
         let services = harness.topology.services.len();
@@ -310,8 +317,8 @@
         harness.configure(&routes);
     }
 
-    /// Gives the address of a backend server that fell silent to another
-    /// service.
+    /// Ends a backend server without notice and gives its address to another
+    /// service once the reuse bound has passed.
     async fn reuse(&self) -> io::Result<()> {
         let Some((server, service)) = self.pick_reusable() else {
             return Ok(());
@@ -334,7 +341,8 @@
         Ok(())
     }
 
-    /// A backend server whose service has others, and another service.
+    /// Returns a random backend server whose service has others, and another
+    /// service.
     fn pick_reusable(&self) -> Option<(usize, usize)> {
         let harness = &mut *self.harness.borrow_mut();
         let services = harness.topology.services.len();
@@ -353,7 +361,8 @@
         Some((server, service))
     }
 
-    /// Kills processes, and with the power also the backend servers.
+    /// Kills the processes of hosts, and with `with_power` their backend
+    /// servers too.
     async fn kill(
         &self,
         hosts: Vec<usize>,
--- a/tools/soak/src/lib.rs
+++ b/tools/soak/src/lib.rs
@@ -1,9 +1,10 @@
-//! A randomized soak: runs gateways and sidecars as separate processes on
-//! loopback addresses, plays their callers, backend servers, network and store,
-//! lets disturbances happen to them from outside, and holds what callers and
-//! backend servers see against the promises.
+//! Randomized soak test: runs gateways and sidecars as separate processes on
+//! loopback addresses, simulates their callers, backend servers, network and
+//! store, injects disturbances from outside, and checks what callers and
+//! backend servers observe against the invariants.
 //!
-//! A run is drawn from one seed: the deployment, the load and the disturbances.
+//! The deployment, the load and the disturbances of a run are drawn from one
+//! seed.
 pub mod address;
 pub mod caller;
 pub mod checker;
--- a/tools/soak/src/lifecycle.rs
+++ b/tools/soak/src/lifecycle.rs
@@ -13,19 +13,21 @@
 use crate::harness::Shared;
 use crate::server::Instance;
 
-/// Time within which an announcement is to be acknowledged.
+/// Time-out of the acknowledgement of an announcement.
 const ACKNOWLEDGE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time for which a backend server that drains waits to be acknowledged.
+/// Longest time for which a draining backend server waits for an
+/// acknowledgement.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Time that a backend server is slow after its start, as it says.
+/// Warm-up time that a backend server announces.
 const WARM_UP: Duration = Duration::from_secs(2);
 
-/// Pause between two tries to be acknowledged.
+/// Pause between two attempts to get an acknowledgement.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Starts a backend server, which announces itself until it ends.
+/// Starts a backend server, which announces itself every heartbeat until it
+/// ends.
 pub fn start(harness: &Shared, executor: &LocalExecutor<'static>, number: usize) {
     let start = {
         let harness = &mut *harness.borrow_mut();
@@ -62,13 +64,15 @@
         .detach();
 }
 
-/// Whether that start of a backend server lives.
+/// Returns whether a backend server still runs and has not been restarted since
+/// `start`.
 fn is_running(harness: &Shared, number: usize, start: u32) -> bool {
     let server = &harness.borrow().servers[number];
     server.instance.is_some() && server.starts == start
 }
 
-/// Lets a backend server announce itself; true where that was acknowledged.
+/// Announces a backend server to its sidecar; returns whether the sidecar
+/// acknowledged it.
 async fn announce(harness: &Shared, number: usize) -> bool {
     let (to, announcement) = {
         let harness = &mut *harness.borrow_mut();
@@ -82,8 +86,8 @@
     call::announce(to, &announcement, ACKNOWLEDGE_TIMEOUT).await
 }
 
-/// Lets a backend server drain and end as planned; false where it does not
-/// live any more.
+/// Drains and ends a backend server as planned. Returns false where it does not
+/// run or ends or restarts meanwhile.
 pub async fn drain(harness: &Shared, number: usize) -> bool {
     let start = {
         let server = &mut harness.borrow_mut().servers[number];
--- a/tools/soak/src/link.rs
+++ b/tools/soak/src/link.rs
@@ -1,20 +1,20 @@
-//! Carries the frames of all processes, and harms them.
+//! Faults of the frames between processes.
 use std::time::Duration;
 
-/// What happens to the frames of a host.
+/// Faults of the frames of one host.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Fault {
-    /// Nothing arrives.
+    /// Whether all frames to the host are lost.
     pub drops_incoming: bool,
-    /// Nothing leaves.
+    /// Whether all frames from the host are lost.
     pub drops_outgoing: bool,
-    /// Share of the frames that are lost.
+    /// Share of the host's frames that are lost, from 0 to 1.
     pub loss: f64,
-    /// Time that each frame takes longer.
+    /// Extra delay of each frame.
     pub delay: Duration,
 }
 
-/// How long a frame between two hosts takes longer; `None` where it is lost.
+/// Returns the extra delay of a frame between two hosts; `None` if it is lost.
 #[must_use]
 pub fn extra_delay(from: &Fault, to: &Fault, random: &mut fastrand::Rng) -> Option<Duration> {
     let is_cut = from.drops_outgoing || to.drops_incoming;
--- a/tools/soak/src/main.rs
+++ b/tools/soak/src/main.rs
@@ -1,5 +1,5 @@
-//! `soak`: plays runs with seeds, prints what broke, and exits with 1 where
-//! something did.
+//! `soak`: executes runs of the given seeds, prints violations of invariants,
+//! and exits with status 1 if there were any.
 use std::env;
 use std::error::Error;
 use std::fs;
@@ -23,10 +23,10 @@
 /// Time within which disturbances begin, in seconds.
 const SECONDS: u64 = 12;
 
-/// Backend servers of a deployment, at most.
+/// Largest number of backend servers of a deployment.
 const SERVERS: usize = 12;
 
-/// Second number of the loopback addresses.
+/// Second octet of the loopback addresses.
 const NETWORK: u8 = 90;
 
 fn main() -> ExitCode {
@@ -42,45 +42,55 @@
 
 fn options() -> Options {
     let mut options = Options::new();
-    options.optopt("", "seed", "seed of the first run; default: drawn", "N");
-    options.optopt("", "runs", "runs with consecutive seeds; default 1", "N");
+    options.optopt("", "seed", "seed of the first run; default: random", "N");
+    options.optopt(
+        "",
+        "runs",
+        "number of runs, with consecutive seeds; default 1",
+        "N",
+    );
     options.optopt(
         "",
         "seconds",
-        "time within which disturbances begin; default 12",
+        "time within which disturbances begin, in seconds; default 12",
         "S",
     );
-    options.optopt("", "servers", "backend servers at most; default 12", "N");
+    options.optopt(
+        "",
+        "servers",
+        "largest number of backend servers; default 12",
+        "N",
+    );
     options.optopt(
         "",
         "network",
-        "second number of the addresses; default 90",
+        "second octet of the loopback addresses; default 90",
         "N",
     );
     options.optmulti(
         "",
         "trouble",
-        "instead of drawn disturbances, KIND@AT+LASTS",
+        "disturbance KIND@AT+LASTS, with times in seconds, instead of random ones; may be repeated",
         "T",
     );
     options.optopt(
         "",
         "folder",
-        "where logs are kept of runs that break",
+        "folder for the logs of runs with violations; default: the temporary folder",
         "PATH",
     );
     options.optflag(
         "",
         "regressions",
-        "plays the seeds that broke a promise once",
+        "executes the seeds that once led to a violation",
     );
-    options.optflag("", "keep", "keeps all logs");
-    options.optflag("", "kinds", "prints all kinds of trouble");
-    options.optflag("", "help", "prints this");
+    options.optflag("", "keep", "keeps the logs of all runs");
+    options.optflag("", "kinds", "prints all kinds of disturbances");
+    options.optflag("", "help", "prints this help");
     options
 }
 
-/// Whether all promises were kept.
+/// Executes all runs that were asked for; returns whether all invariants held.
 fn run_all() -> Result<bool, Box<dyn Error>> {
     let options = options();
     let matches = options.parse(env::args().skip(1))?;
@@ -112,13 +122,14 @@
     Ok(all_kept)
 }
 
-/// The seeds that broke a promise once.
+/// Returns the seeds that once led to a violation of an invariant.
 fn regressions() -> impl Iterator<Item = u64> {
     let lines = include_str!("../regressions.txt").lines();
     lines.filter_map(|line| line.split_once(' ')?.0.parse().ok())
 }
 
-/// Plays a run in a process of its own, whose sockets end with it.
+/// Executes a run in a child process, so that its sockets are closed
+/// afterwards.
 fn run_in_child(matches: &Matches, seed: u64) -> Result<bool, Box<dyn Error>> {
     let mut command = Command::new(env::current_exe()?);
     command.args(["--seed", &seed.to_string()]);
--- a/tools/soak/src/plan.rs
+++ b/tools/soak/src/plan.rs
@@ -1,4 +1,4 @@
-//! Draws the disturbances of a run from its seed, or reads them.
+//! Draws the disturbances of a run from its seed, or parses them.
 use std::str::FromStr;
 use std::time::Duration;
 
@@ -6,42 +6,42 @@
 use fastrand::Rng;
 use thiserror::Error;
 
-/// Troubles of a run, at least and at most.
+/// Number of disturbances of a run.
 const COUNT: std::ops::Range<usize> = 4..12;
 
-/// Share of the disturbances that come right after another one.
+/// Share of the disturbances that follow soon after the one before.
 const FOLLOW_UP_SHARE: f64 = 0.5;
 
-/// Time within which such a disturbance comes.
+/// Time within which such a disturbance follows.
 const FOLLOW_UP_WITHIN: Duration = Duration::from_millis(1_500);
 
-/// Shortest and longest time that a disturbance duration.
+/// Range of the duration of a disturbance, in milliseconds.
 const DURATION_MS: std::ops::Range<u64> = 300..6_000;
 
-/// A disturbance.
+/// A disturbance of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Disturbance {
-    /// Time since the start of the traffic.
+    /// Time of its begin, since the start of the traffic.
     pub at: Duration,
-    /// What happens.
+    /// Kind of the disturbance.
     pub kind: Kind,
-    /// How long it duration, where it does.
+    /// Duration; of no effect on kinds that end by themselves.
     pub duration: Duration,
 }
 
 macro_rules! kinds {
     ($($kind:ident $name:literal $help:literal)*) => {
-        /// What can happen.
+        /// Kind of a disturbance.
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
         pub enum Kind {
             $(#[doc = $help] $kind,)*
         }
 
         impl Kind {
-            /// All kinds.
+            /// All kinds; their order decides what a seed draws.
             pub const ALL: &[Self] = &[$(Self::$kind,)*];
 
-            /// Its name on the command line.
+            /// Returns the name of the kind on the command line.
             #[must_use]
             pub const fn name(self) -> &'static str {
                 match self {
@@ -49,7 +49,7 @@
                 }
             }
 
-            /// What happens.
+            /// Returns a description of the kind.
             #[must_use]
             pub const fn help(self) -> &'static str {
                 match self {
@@ -61,45 +61,45 @@
 }
 
 kinds! {
-    RollGateways "roll-gateways" "gateways are stopped and started in turn"
-    RollSidecars "roll-sidecars" "sidecars are stopped and started in turn"
-    Release "release" "backend servers drain, end and are replaced, one after the other"
-    Reload "reload" "processes get SIGHUP"
-    Route "route" "a route is removed, and comes back"
-    Storm "storm" "routes come and go in quick succession"
-    Reuse "reuse" "a backend server ends unannounced and its address serves another service"
+    RollGateways "roll-gateways" "all gateways are restarted in turn"
+    RollSidecars "roll-sidecars" "half of the sidecars are restarted in turn"
+    Release "release" "half of the backend servers of a service are drained and replaced in turn"
+    Reload "reload" "half of the processes get SIGHUP"
+    Route "route" "a random spare route is added or removed, and again after some time"
+    Storm "storm" "routes are added and removed in quick succession"
+    Reuse "reuse" "a backend server ends without notice and its address serves another service"
     KillGateway "kill-gateway" "a gateway is killed"
     KillSidecar "kill-sidecar" "a sidecar is killed"
     KillAll "kill-all" "all processes are killed"
     PowerOne "power-one" "a host with its backend server loses power"
     PowerAll "power-all" "all hosts lose power"
-    Freeze "freeze" "processes are frozen and woken"
-    FreezeGateways "freeze-gateways" "all gateways are frozen and woken"
-    Cut "cut" "no frames reach a host or leave it"
-    Deaf "deaf" "no frames reach a host"
-    Mute "mute" "no frames leave a host"
+    Freeze "freeze" "some processes are frozen and resumed"
+    FreezeGateways "freeze-gateways" "all gateways are frozen and resumed"
+    Cut "cut" "a host neither receives nor sends frames"
+    Deaf "deaf" "some hosts receive no frames"
+    Mute "mute" "some hosts send no frames"
     Lossy "lossy" "a third of the frames of some hosts is lost"
-    Far "far" "the frames of some hosts take longer"
+    Far "far" "the frames of some hosts are delayed"
     Crash "crash" "backend servers crash and start again"
     StoreSilent "store-silent" "the store does not answer"
     StoreRefuses "store-refuses" "the store refuses all calls"
     StoreLoses "store-loses" "answers to writes are lost"
-    StoreLate "store-late" "writes are done late and not answered"
+    StoreLate "store-late" "writes take effect late and are not answered"
     StoreSlow "store-slow" "the store answers slowly"
-    StoreForgets "store-forgets" "the store forgets its history"
-    StoreLapses "store-lapses" "all leases end"
-    StoreAway "store-away" "some hosts do not reach the store"
+    StoreForgets "store-forgets" "the store drops its history of changes"
+    StoreLapses "store-lapses" "all leases in the store end"
+    StoreAway "store-away" "requests of some hosts do not reach the store"
     StoreOneWay "store-one-way" "answers of the store do not reach some hosts"
     StoreResets "store-resets" "the connections of some hosts to the store are reset"
-    StoreSilences "store-silences" "connections to the store that are open fall silent for good"
+    StoreSilences "store-silences" "the open connections of some hosts to the store stall for good"
 }
 
-/// Why a disturbance cannot be read.
+/// Error of parsing a disturbance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, Error)]
 pub enum Error {
-    /// the kind is unknown; see `soak --kinds`
+    /// unknown kind of disturbance; `soak --kinds` prints all kinds
     Kind,
-    /// the times cannot be read; write KIND@AT+LASTS in seconds, such as freeze@5+2.5
+    /// invalid times; write KIND@AT+LASTS in seconds, such as freeze@5+2.5
     Times,
 }
 
@@ -124,7 +124,8 @@
     Duration::try_from_secs_f64(seconds).map_err(|_| Error::Times)
 }
 
-/// Draws the disturbances of a run that begin within a time.
+/// Draws the disturbances of a run, which begin within the given time, in the
+/// order of their begins.
 #[must_use]
 pub fn draw(seed: u64, within: Duration) -> Vec<Disturbance> {
     let random = &mut Rng::with_seed(!seed);
--- a/tools/soak/src/proxy.rs
+++ b/tools/soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! Carries the connections of one host to the store, and harms them.
+//! TCP proxy between one host and the store, with injected faults.
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,31 +11,32 @@
 use smol::net::TcpListener;
 use smol::net::TcpStream;
 
-/// Bytes that are relayed at a time.
+/// Largest number of bytes that are relayed at a time.
 const CHUNK_BYTES: usize = 16 * 1024;
 
-/// Time between two looks at what happens to a connection.
+/// Interval at which connections are checked for a reset.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What happens to the connections of a host.
+/// Faults of the connections of a host to the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Fault {
-    /// Requests do not arrive.
+    /// Whether requests are dropped.
     pub drops_requests: bool,
-    /// Answers do not arrive.
+    /// Whether answers are dropped.
     pub drops_answers: bool,
-    /// Connections are reset, new ones too.
+    /// Whether connections are reset, including new ones.
     pub resets: bool,
-    /// Time that each piece takes longer.
+    /// Extra delay of each piece of data.
     pub delay: Duration,
-    /// Rises where the connections that are open fall silent for good.
+    /// Counter of silences: once it exceeds the value at a connection's start,
+    /// the connection drops all data in both directions.
     pub silence_epoch: u32,
 }
 
-/// Reads what happens to the connections of a host now.
+/// Returns the faults that act on the connections of a host now.
 pub type Faults = Rc<dyn Fn() -> Fault>;
 
-/// Serves an address until dropped.
+/// Accepts connections and relays each to the store, until dropped.
 pub async fn run(
     listener: TcpListener,
     store: SocketAddr,
@@ -51,7 +52,8 @@
         executor
             .spawn(async move {
                 let relayed = relay(stream, store, &faults).or(until_reset(&faults));
-                // Either end has left, which the other sees.
+                // An error means that one end has closed; the other end sees
+                // its connection close.
                 let _ = relayed.await;
             })
             .detach();
@@ -78,7 +80,8 @@
     requests.or(answers).await
 }
 
-/// Copies one direction; what is dropped on the way is gone, as are the ends.
+/// Copies one direction. Once data has been dropped, all further data and the
+/// end of the stream are dropped as well.
 async fn copy(
     mut from: TcpStream,
     mut to: TcpStream,
@@ -92,7 +95,8 @@
         is_dropping |= drops;
         if is_dropping {
             if length == 0 {
-                // The end does not arrive either; the other direction goes on.
+                // The end of the stream is dropped too; the other direction
+                // continues.
                 std::future::pending::<()>().await;
             }
             continue;
--- a/tools/soak/src/request.rs
+++ b/tools/soak/src/request.rs
@@ -1,6 +1,7 @@
-//! What callers and backend servers say to each other within a flow.
+//! Requests and answers that callers and backend servers exchange within a
+//! flow.
 
-/// Number of a thing that a caller wants done, however often it asks.
+/// Id of a task; all attempts of a task carry it.
 pub type TaskId = u64;
 
 /// Bytes of the header of a request.
@@ -9,34 +10,34 @@
 /// Bytes of the header of an answer.
 const ANSWER_HEADER_BYTES: usize = 24;
 
-/// A request.
+/// A request, which is one attempt of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// What is to be done.
+    /// Task that the request is for.
     pub task: TaskId,
-    /// Number of the attempt.
+    /// Number of the attempt, from 1.
     pub attempt: u32,
-    /// Bytes of its content.
+    /// Bytes of the request's content.
     pub length: u32,
-    /// Bytes of the answer's content.
+    /// Bytes of the content of the answer.
     pub answer_length: u32,
 }
 
-/// An answer.
+/// An answer to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// What the request asked for.
+    /// Task of the request.
     pub task: TaskId,
     /// Number of the attempt.
     pub attempt: u32,
-    /// Bytes of its content.
+    /// Bytes of the answer's content.
     pub length: u32,
-    /// Whether the request ran.
+    /// Whether the request ran; false where the backend server rejected it.
     pub has_run: bool,
 }
 
 impl Request {
-    /// Writes the request.
+    /// Encodes the header and the content of the request.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = Vec::new();
@@ -49,7 +50,8 @@
         bytes
     }
 
-    /// Takes a whole request off the front of a stream.
+    /// Decodes a request and removes it from the front of the received bytes;
+    /// `None` while it is incomplete.
     #[must_use]
     pub fn decode(stream: &mut Vec<u8>) -> Option<Self> {
         let header = stream.get(..REQUEST_HEADER_BYTES)?;
@@ -69,7 +71,7 @@
 }
 
 impl Answer {
-    /// Writes the answer.
+    /// Encodes the header and the content of the answer.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = Vec::new();
@@ -82,12 +84,13 @@
         bytes
     }
 
-    /// Takes a whole answer off the front of a stream; an error where its
-    /// content is not what the backend server writes.
+    /// Decodes an answer and removes it from the front of the received bytes;
+    /// `None` while it is incomplete.
     ///
     /// # Errors
     ///
-    /// The header of the answer.
+    /// The header of an answer whose content is not what the backend server
+    /// writes.
     pub fn decode(stream: &mut Vec<u8>) -> Result<Option<Self>, Self> {
         let Some(header) = stream.get(..ANSWER_HEADER_BYTES) else {
             return Ok(None);
@@ -112,7 +115,7 @@
     }
 }
 
-/// Content that belongs to one task alone.
+/// Returns pseudo-random content, which is the same for all attempts of a task.
 fn content(task: TaskId, length: u32) -> Vec<u8> {
     let mut random = fastrand::Rng::with_seed(task);
     (0..length).map(|_| random.u8(..)).collect()
--- a/tools/soak/src/run.rs
+++ b/tools/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! Plays one run.
+//! Executes one run.
 use std::cell::RefCell;
 use std::fs;
 use std::io;
@@ -33,58 +33,58 @@
 use crate::sockets;
 use crate::topology::Topology;
 
-/// Time between two looks of callers and backend servers at what is due.
+/// Interval at which callers and backend servers do what is due.
 const TICK: Duration = Duration::from_millis(5);
 
-/// Time between two questions whether a gateway takes traffic.
+/// Interval and time-out of the readiness probes of a gateway.
 const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Questions without an answer after which a gateway is sent nothing more.
+/// Consecutive failed probes after which a gateway leaves the rotation.
 const MAX_MISSES: u32 = 2;
 
-/// Longest time that processes have to get ready before callers begin.
+/// Longest wait for all gateways to become ready before callers start.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Time between two looks whether they are ready, and for which they then run.
+/// Interval at which readiness is checked, and pause before callers start.
 const SETTLE: Duration = Duration::from_secs(1);
 
-/// Time at the end of a run in which service is measured.
+/// Time at the end of a run over which the share of served tasks is measured.
 const MEASURED_TIME: Duration = Duration::from_secs(4);
 
-/// Share of the tasks begun in that time that are to be served.
+/// Smallest share of the tasks started in that time that has to be served.
 const MIN_SERVED: f64 = 0.25;
 
-/// Time between two looks whether processes have ended by themselves.
+/// Interval at which processes are checked for unexpected exits.
 const WATCH_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What a thread of a process writes when it fails.
+/// Text that a process logs when one of its threads panics.
 const PANIC_TEXT: &str = "panicked at";
 
-/// What is to be played.
+/// Description of a run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The deployment.
+    /// Deployment under test.
     pub topology: Topology,
-    /// Its disturbances.
+    /// Disturbances to inject.
     pub disturbances: Vec<Disturbance>,
-    /// Its addresses.
+    /// Loopback network of the deployment.
     pub network: Network,
-    /// Where files and logs are kept.
+    /// Folder for settings files and logs.
     pub folder: PathBuf,
 }
 
-/// What came of it.
+/// Outcome of a run.
 #[derive(Debug)]
 pub struct Summary {
-    /// What was seen.
+    /// Observations and violations.
     pub checker: Checker,
     /// Share of the tasks that were served, in the whole run and at its end.
     pub served: (f64, f64),
-    /// Calls that the store received.
+    /// Number of calls that the store received.
     pub store_calls: u64,
 }
 
-/// Plays one run.
+/// Executes one run.
 ///
 /// # Errors
 ///
@@ -106,13 +106,13 @@
     let harness = Harness::new(plan.topology.clone(), plan.network, &plan.folder, store)?;
     let harness = Rc::new(RefCell::new(harness));
     let result = run_in(&harness, plan, executor).or(interrupted()).await;
-    // Nothing outlives the run, however it ended.
+    // Kills all processes, also where the run failed or was interrupted.
     let hosts = &mut harness.borrow_mut().hosts;
     hosts.iter_mut().try_for_each(Host::take_down)?;
     result
 }
 
-/// Waits for a signal that asks the soak to stop.
+/// Waits for a signal that asks the soak to stop, and fails then.
 async fn interrupted() -> io::Result<Summary> {
     stop::requested().await?;
     Err(io::Error::from(io::ErrorKind::Interrupted))
@@ -153,12 +153,12 @@
     finish(harness, &executor, &injector).await
 }
 
-/// Whether all gateways take traffic.
+/// Returns whether all gateways are ready.
 fn are_gateways_ready(harness: &Shared) -> bool {
     harness.borrow().rotation.iter().all(|is_ready| *is_ready)
 }
 
-/// Lets all disturbances happen at their times and waits for their ends.
+/// Injects each disturbance at its time and waits until all have ended.
 async fn inject_all(
     injector: &Injector,
     executor: &Rc<LocalExecutor<'static>>,
@@ -180,7 +180,8 @@
     Ok(())
 }
 
-/// Ends a run: measures service, stops all processes and reads their logs.
+/// Ends a run: measures the served share, stops all processes and searches
+/// their logs for panics.
 async fn finish(
     harness: &Shared,
     executor: &Rc<LocalExecutor<'static>>,
@@ -212,7 +213,8 @@
         .filter(|(begun, _)| *begun + MEASURED_TIME >= end);
     let last = share(last.map(|(_, served)| *served));
     if last < MIN_SERVED {
-        let text = format!("{last:.2} of the last tasks were served");
+        let text =
+            format!("only {last:.2} of the last tasks were served; at least {MIN_SERVED} required");
         harness
             .checker
             .record_violation(Invariant::Recovered, end, text);
@@ -265,7 +267,7 @@
             let frame_delay = harness.borrow_mut().frame_delay(to, from);
             match frame_delay {
                 Some((from, Duration::ZERO)) => {
-                    harness.borrow().sockets.send_frame(from, to, frame)
+                    harness.borrow().sockets.send_frame(from, to, frame);
                 }
                 Some((from, delay)) => {
                     let (harness, frame) = (Rc::clone(&harness), frame.to_vec());
@@ -300,7 +302,7 @@
     Ok(())
 }
 
-/// Lets callers and backend servers do what is due.
+/// Makes callers and backend servers do what is due, every [`TICK`].
 async fn tick(harness: Shared) {
     loop {
         {
@@ -314,7 +316,7 @@
     }
 }
 
-/// Asks a gateway whether it takes traffic.
+/// Probes the readiness of a gateway and updates the rotation.
 async fn probe(harness: Shared, gateway: usize) {
     let address = socket(harness.borrow().network.process(gateway), READY_PORT);
     let mut misses = MAX_MISSES;
@@ -330,7 +332,7 @@
     }
 }
 
-/// Notes processes that end by themselves.
+/// Watches for processes that exit unexpectedly, and restarts them.
 async fn watch_processes(harness: Shared) {
     loop {
         {
@@ -340,16 +342,18 @@
                 if !harness.hosts[host].has_exited_unexpectedly() {
                     continue;
                 }
-                harness.checker.count("processes that ended by themselves");
+                harness.checker.count("processes that exited unexpectedly");
                 if harness.hosts[host].is_undisturbed_since(now, Cause::Planned) {
-                    let text = format!("the process of host {host} ended by itself");
+                    let text =
+                        format!("the process of host {host} exited unexpectedly; see its log");
                     harness
                         .checker
                         .record_violation(Invariant::Process, now, text);
                 }
-                // The platform starts such a process again.
+                // The platform restarts such a process too.
                 if let Err(error) = harness.hosts[host].start() {
-                    let text = format!("host {host} did not start again: {error}");
+                    let text =
+                        format!("the process of host {host} could not be restarted: {error}");
                     harness
                         .checker
                         .record_violation(Invariant::Process, now, text);
--- a/tools/soak/src/server.rs
+++ b/tools/soak/src/server.rs
@@ -1,4 +1,4 @@
-//! Backend servers.
+//! Simulated backend servers.
 use std::collections::HashMap;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -16,35 +16,36 @@
 use crate::request::Request;
 use crate::stream::Stream;
 
-/// Requests that wait at a backend server, at most.
+/// Largest number of requests that wait at a backend server.
 const MAX_WAITING: usize = 4;
 
-/// Time without packets after which a backend server forgets a flow.
+/// Idle time after which a backend server drops a flow.
 const FLOW_TIMEOUT: Duration = Duration::from_secs(70);
 
-/// A backend server: at most one lives at an address.
+/// A backend server, which has one address and runs at most one instance at a
+/// time.
 #[derive(Debug)]
 pub struct Server {
-    /// Where it is reached.
+    /// UDP address.
     pub address: SocketAddr,
-    /// Its service.
+    /// Index of its service.
     pub service: usize,
-    /// Requests that it runs at a time.
+    /// Number of requests that it runs at a time.
     pub slots: usize,
-    /// Time of a request.
-    pub service_time: Duration,
-    /// Its instance, if it lives.
+    /// Time that each request takes.
+    pub work: Duration,
+    /// Running instance, if any.
     pub instance: Option<Instance>,
-    /// Number of its starts.
+    /// Number of starts so far.
     pub starts: u32,
 }
 
-/// What a backend server holds from its start to its end.
+/// State of a backend server from a start to its end.
 #[derive(Debug)]
 pub struct Instance {
-    /// What it tells of itself.
+    /// Newest announcement.
     pub announcement: Announcement,
-    /// When it was acknowledged that it drains.
+    /// Time at which the sidecar acknowledged that the instance drains.
     pub drained: Option<Duration>,
     flows: HashMap<FlowId, Flow>,
     running: Vec<(Duration, FlowId, Request)>,
@@ -62,7 +63,7 @@
 }
 
 impl Instance {
-    /// A backend server that has just started.
+    /// Creates an instance without flows.
     #[must_use]
     pub fn new(announcement: Announcement) -> Self {
         Self {
@@ -76,17 +77,19 @@
 }
 
 impl Harness {
-    /// Takes a packet that reached a backend server.
+    /// Handles a packet that reached a backend server.
     pub fn receive_at_server(&mut self, number: usize, packet: &[u8]) {
         let now = self.now();
         let Ok(segment) = platform::packet::decode(packet) else {
-            return self
-                .checker
-                .record_violation(Invariant::Unasked, now, "unreadable".into());
+            return self.checker.record_violation(
+                Invariant::Unasked,
+                now,
+                "a server got a packet that cannot be decoded".into(),
+            );
         };
         let is_genuine = self.key.is_genuine(packet, &segment);
         if !is_genuine || segment.is_returned {
-            let text = format!("server {number} got a changed packet: {segment:?}");
+            let text = format!("server {number} got a packet that no caller wrote: {segment:?}");
             return self.checker.record_violation(Invariant::Unasked, now, text);
         }
         let flow = segment.from_caller();
@@ -132,7 +135,7 @@
         }
     }
 
-    /// Lets a backend server work and send.
+    /// Runs requests, and sends due packets of all flows.
     pub fn server_tick(&mut self, number: usize) {
         let now = self.now();
         self.run_requests(now, number);
@@ -165,7 +168,7 @@
         }
     }
 
-    /// Ends a backend server: it forgets everything.
+    /// Ends a backend server, which loses all state.
     pub fn server_end(&mut self, number: usize) {
         if let Some(instance) = self.servers[number].instance.take() {
             for flow in instance.flows.keys() {
@@ -200,10 +203,10 @@
         self.server_send(number, &accept, &[]);
     }
 
-    /// Holds a new flow against what the configurations and the state of the
-    /// backend server allow.
+    /// Records a violation where the configurations or a drain do not allow a
+    /// backend server to get a new flow.
     fn check_opening(&mut self, now: Duration, number: usize, flow: &FlowId) {
-        self.checker.count("flows taken");
+        self.checker.count("flows accepted by servers");
         let server = &self.servers[number];
         let (sent, gateway) = self.opening_of(flow).unwrap_or((now, 0));
         let limits = self.topology.limits;
@@ -244,7 +247,7 @@
         self.run_requests(now, number);
     }
 
-    /// Ends what is done and begins what waits.
+    /// Answers requests that are done, and starts waiting ones in free slots.
     fn run_requests(&mut self, now: Duration, number: usize) {
         let server = &mut self.servers[number];
         let Some(instance) = &mut server.instance else {
@@ -264,9 +267,7 @@
         while instance.running.len() < server.slots
             && let Some((flow, request)) = instance.waiting.pop_front()
         {
-            instance
-                .running
-                .push((now + server.service_time, flow, request));
+            instance.running.push((now + server.work, flow, request));
             let is_idempotent = self.topology.services[server.service].is_idempotent;
             self.checker
                 .record_run(now, request.task, request.attempt, is_idempotent);
@@ -301,7 +302,8 @@
 }
 
 impl Flow {
-    /// Whether a packet answers the backend server's own opening.
+    /// Returns whether a packet acknowledges the backend server's opening
+    /// packet.
     const fn is_acknowledged_by(&self, segment: &Segment) -> bool {
         segment.acknowledged == self.own_sequence.wrapping_add(1)
     }
--- a/tools/soak/src/sockets.rs
+++ b/tools/soak/src/sockets.rs
@@ -1,4 +1,4 @@
-//! The sockets through which the soak plays callers, backend servers and the
+//! Sockets through which the soak simulates callers, backend servers and the
 //! network.
 use std::io;
 use std::net::SocketAddr;
@@ -15,22 +15,22 @@
 use crate::address::socket;
 use crate::topology::Topology;
 
-/// Hosts that callers run on, in each availability zone.
+/// Number of hosts that callers run on, in each availability zone.
 const CALLERS_PER_ZONE: usize = 2;
 
-/// Largest datagram.
+/// Size of the largest datagram.
 const BUFFER_BYTES: usize = 64 * 1024;
 
-/// A socket that a task reads and others write.
+/// Socket that one task reads and others send through.
 pub type Socket = Rc<Async<UdpSocket>>;
 
-/// All sockets.
+/// All sockets of a run.
 pub struct Sockets {
-    /// Of the hosts of callers.
+    /// Sockets of the hosts of callers.
     pub callers: Vec<Socket>,
-    /// Of the backend servers.
+    /// Sockets of the backend servers.
     pub servers: Vec<Socket>,
-    /// Of the links that stand before each host.
+    /// Sockets of the links, which receive the frames for each host.
     pub links: Vec<Socket>,
     network: Network,
     gateways: usize,
@@ -41,7 +41,8 @@
     ///
     /// # Errors
     ///
-    /// The operating system's error; another run may use the same network.
+    /// The operating system's error, such as for an address that another run
+    /// uses.
     pub fn bind(topology: &Topology, network: Network) -> io::Result<Self> {
         let callers = 0..topology.zones * CALLERS_PER_ZONE;
         let servers = topology.gateways..topology.hosts();
@@ -55,30 +56,31 @@
         })
     }
 
-    /// Sends a caller's packet.
+    /// Sends a packet as a caller.
     pub fn send_as_caller(&self, caller: usize, to: SocketAddr, packet: &[u8]) {
         send(&self.callers[caller], to, packet);
     }
 
-    /// Sends a packet of a backend server to the process beside it.
+    /// Sends a packet as a backend server, to its sidecar.
     pub fn send_as_server(&self, server: usize, packet: &[u8]) {
         let host = self.gateways + server;
         let to = socket(self.network.process(host), OUTGOING_PORT);
         send(&self.servers[server], to, packet);
     }
 
-    /// Passes on a frame from one host to another.
+    /// Relays a frame from the link of one host to another host.
     pub fn send_frame(&self, from: usize, to: usize, frame: &[u8]) {
         let to = socket(self.network.process(to), FRAME_PORT);
         send(&self.links[from], to, frame);
     }
 }
 
-/// Reads a socket for ever.
+/// Passes each received datagram to `handle`, until dropped.
 pub async fn read(socket: Socket, mut handle: impl FnMut(SocketAddr, &[u8])) {
     let mut buffer = vec![0; BUFFER_BYTES];
     loop {
-        // A closed port of an earlier receiver is no end of this socket.
+        // An earlier datagram to a closed port makes a receive fail; the socket
+        // stays usable.
         if let Ok((length, from)) = socket.recv_from(&mut buffer).await {
             handle(from, &buffer[..length]);
         }
@@ -90,7 +92,7 @@
     sockets.collect()
 }
 
-/// What the kernel does not take is lost, as on any network.
+/// Sends a datagram; one that the kernel refuses counts as lost on the network.
 fn send(socket: &Socket, to: SocketAddr, packet: &[u8]) {
     let _ = socket.get_ref().send_to(packet, to);
 }
--- a/tools/soak/src/stream.rs
+++ b/tools/soak/src/stream.rs
@@ -5,29 +5,29 @@
 use wire::Segment;
 use wire::segment::Kind;
 
-/// Bytes of content in a packet, at most.
+/// Largest content of a packet, in bytes.
 const MAX_CONTENT: usize = 1_200;
 
-/// Packets that an end has under way, at most.
+/// Largest number of packets in flight.
 const WINDOW: usize = 16;
 
-/// Time until a packet that was not acknowledged is sent again; it doubles.
+/// Initial retransmission time-out; it doubles with each retransmission.
 const MIN_RETRANSMIT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Longest such time.
+/// Longest retransmission time-out.
 const MAX_RETRANSMIT_TIMEOUT: Duration = Duration::from_millis(1_600);
 
-/// Repeats after which an end gives the flow up.
+/// Retransmissions without an acknowledgement after which a stream times out.
 const MAX_RETRANSMISSIONS: u32 = 8;
 
 /// One end of a flow's reliable stream.
 #[derive(Debug)]
 pub struct Stream {
-    /// What is not yet acknowledged, in order.
+    /// Unacknowledged chunks, in order.
     chunks: VecDeque<Chunk>,
-    /// Position after all that was written.
+    /// Sequence number after everything written.
     end: u32,
-    /// Position up to which the other end's stream has arrived.
+    /// Sequence number up to which the peer's stream has been received.
     pub received: u32,
     retransmit_timeout: Duration,
     retransmit_at: Duration,
@@ -47,16 +47,16 @@
 /// A packet to send.
 #[derive(Debug)]
 pub struct Packet {
-    /// Its kind.
+    /// Kind of the packet.
     pub kind: Kind,
-    /// Position of its content.
+    /// Sequence number of its content.
     pub sequence: u32,
-    /// Its content.
+    /// Content of the packet.
     pub content: Vec<u8>,
 }
 
 impl Stream {
-    /// Starts after the opening packets of both ends.
+    /// Creates a stream from the initial sequence numbers of both ends.
     #[must_use]
     pub fn new(own: u32, other: u32) -> Self {
         Self {
@@ -71,14 +71,14 @@
         }
     }
 
-    /// Queues content.
+    /// Queues content to send.
     pub fn write(&mut self, content: &[u8]) {
         for part in content.chunks(MAX_CONTENT) {
             self.push(part.to_vec(), false);
         }
     }
 
-    /// Queues the end of the stream.
+    /// Queues the end of the stream; has no effect if it is queued already.
     pub fn close(&mut self) {
         if !self.is_closed_here {
             self.is_closed_here = true;
@@ -86,32 +86,34 @@
         }
     }
 
-    /// Whether both ends have closed and all has arrived.
+    /// Returns whether both ends have closed and everything sent is
+    /// acknowledged.
     #[must_use]
     pub fn is_finished(&self) -> bool {
         self.is_closed_here && self.is_closed_by_peer && self.chunks.is_empty()
     }
 
-    /// Whether the other end has closed.
+    /// Returns whether the peer has closed its end.
     #[must_use]
     pub const fn is_closed_by_peer(&self) -> bool {
         self.is_closed_by_peer
     }
 
-    /// Whether nothing was acknowledged for too long.
+    /// Returns whether too many retransmissions have gone unacknowledged.
     #[must_use]
     pub const fn has_timed_out(&self) -> bool {
         self.retransmissions > MAX_RETRANSMISSIONS
     }
 
-    /// Position of the next content that is sent.
+    /// Returns the sequence number of the first unacknowledged content.
     #[must_use]
     pub fn position(&self) -> u32 {
         let first = self.chunks.front();
         first.map_or(self.end, |chunk| chunk.start)
     }
 
-    /// Takes a packet of the other end; its content where it is the next.
+    /// Processes a packet of the peer, and returns its content if it is next in
+    /// order.
     pub fn receive<'a>(&mut self, now: Duration, segment: &Segment, content: &'a [u8]) -> &'a [u8] {
         self.acknowledge(now, segment.acknowledged);
         if segment.sequence != self.received {
@@ -125,7 +127,8 @@
         content
     }
 
-    /// What is to be sent now.
+    /// Returns the packets to send now: a due retransmission, and new packets
+    /// that fit into the window.
     pub fn poll(&mut self, now: Duration) -> Vec<Packet> {
         let mut out = Vec::new();
         if now >= self.retransmit_at
@@ -202,7 +205,7 @@
     }
 }
 
-/// Whether `position` is at or after `end`; positions wrap around.
+/// Returns whether `position` is at or after `end`, modulo 2^32.
 const fn is_reached(position: u32, end: u32) -> bool {
     position.wrapping_sub(end) <= u32::MAX / 2
 }
--- a/tools/soak/src/topology.rs
+++ b/tools/soak/src/topology.rs
@@ -1,79 +1,79 @@
-//! Draws a deployment from a seed.
+//! Draws a deployment and its load from a seed.
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use fastrand::Rng;
 use platform_standin::host::Bounds;
 
-/// The scales of the bounds that are drawn, as factors.
+/// Factors by which a deployment may scale its time bounds.
 const BOUND_SCALES: [f64; 4] = [1.0, 1.0, 0.67, 2.0];
 
-/// Load of the backend servers that is aimed at, in percent of their slots.
+/// Target load of the backend servers, in percent of their slots.
 const LOAD_PERCENT: u64 = 35;
 
-/// Long flows that each service has, for each of its backend servers.
+/// Long flows of a service, per backend server.
 const LONG_FLOWS_PER_SERVER: usize = 6;
 
-/// A deployment.
+/// A deployment and its load.
 #[derive(Clone, Debug)]
 pub struct Topology {
-    /// Seed of all choices.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Availability zones.
+    /// Number of availability zones.
     pub zones: usize,
-    /// Entry hosts.
+    /// Number of entry hosts.
     pub gateways: usize,
-    /// Services.
+    /// Services, each with its backend servers and its load.
     pub services: Vec<Service>,
-    /// What the rules allow.
+    /// Time limits of the invariants.
     pub limits: Limits,
 }
 
-/// A service.
+/// A service and its load.
 #[derive(Clone, Debug)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     pub name: String,
-    /// Backend servers.
+    /// Number of backend servers.
     pub servers: usize,
-    /// Requests that each runs at a time.
+    /// Number of requests that each backend server runs at a time.
     pub slots: u16,
-    /// Mean time of a request on the fastest of them.
-    pub service_time: Duration,
-    /// Requests a second.
+    /// Service time of a request on the fastest possible backend server.
+    pub work: Duration,
+    /// Requests per second.
     pub rate: u32,
     /// Whether a request may run again after it failed.
     pub is_idempotent: bool,
-    /// Flows that are held open for many requests; none: each request has its
-    /// own.
+    /// Number of long flows, which carry many requests each; with none, each
+    /// request has a flow of its own.
     pub long_flows: usize,
-    /// Bytes of a request and of its answer.
+    /// Bytes of the content of a request and of its answer.
     pub lengths: (u32, u32),
-    /// Time that a request has.
+    /// Deadline of a task, from its arrival.
     pub deadline: Duration,
 }
 
-/// What the rules allow, in a deployment.
+/// Time limits that the invariants allow in a deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// What the processes are told.
+    /// Bounds that the settings files give to the processes.
     pub bounds: Bounds,
-    /// Time without disturbance after which a host counts as undisturbed.
+    /// Time without a disturbance after which a host counts as undisturbed.
     pub undisturbed: Duration,
-    /// Time until a configuration is in force.
+    /// Time within which a configuration has to be in force.
     pub apply: Duration,
-    /// Time until a backend server that drains gets no new flows.
+    /// Time after which a draining backend server may get no new flows.
     pub drain: Duration,
-    /// Time until service is back after everything failed.
+    /// Time within which service has to recover after the last disturbance.
     pub recovery: Duration,
-    /// Time for which a flow's packets may all go astray.
+    /// Time for which all packets of an open flow may be misrouted.
     pub misrouted: Duration,
-    /// Idle time after which a flow may be given up.
+    /// Idle time after which the system may drop a flow.
     pub idle: Duration,
 }
 
 impl Topology {
-    /// Draws a deployment of some size: the number of backend servers at most.
+    /// Draws a deployment with at most `max_servers` backend servers.
     #[must_use]
     pub fn draw(seed: u64, max_servers: usize) -> Self {
         let random = &mut Rng::with_seed(seed);
@@ -97,25 +97,27 @@
         }
     }
 
-    /// Backend servers of all services.
+    /// Returns the number of backend servers of all services.
     #[must_use]
     pub fn servers(&self) -> usize {
         self.services.iter().map(|service| service.servers).sum()
     }
 
-    /// Number of all hosts: entry hosts first, then those of backend servers.
+    /// Returns the number of hosts: entry hosts first, then those of backend
+    /// servers.
     #[must_use]
     pub fn hosts(&self) -> usize {
         self.gateways + self.servers()
     }
 
-    /// Name of the availability zone of a host or caller.
+    /// Returns the name of the availability zone of a host, or of a host of
+    /// callers.
     #[must_use]
     pub fn zone(&self, number: usize) -> String {
         zone(number % self.zones)
     }
 
-    /// The region of each availability zone.
+    /// Returns the region of each availability zone; all are in the same one.
     #[must_use]
     pub fn regions(&self) -> BTreeMap<String, String> {
         let zones = 0..self.zones;
@@ -124,7 +126,7 @@
             .collect()
     }
 
-    /// The service of each backend server.
+    /// Returns the index of a backend server's service.
     #[must_use]
     pub fn service_of(&self, server: usize) -> usize {
         let mut left = server;
@@ -160,19 +162,20 @@
 
 fn service(random: &mut Rng, number: usize, servers: usize) -> Service {
     let slots = [1, 2, 4][random.usize(..3)];
-    let service_time_ms = random.u64(5..60);
+    let work_ms = random.u64(5..60);
     let percent_per_ms = LOAD_PERCENT * u64::from(slots) * servers as u64;
-    let rate = percent_per_ms * MILLIS_PER_SECOND / PERCENT / service_time_ms;
+    let rate = percent_per_ms * MILLIS_PER_SECOND / PERCENT / work_ms;
     let rate = rate.clamp(1, MAX_RATE);
     let is_long = random.bool();
-    // Each carries a request well within the idle time.
+    // Keeps the time between two requests of a long flow well below the idle
+    // limit.
     let most = usize::try_from(rate * LONG_GAP_S).unwrap_or(usize::MAX);
     let long_flows = (servers * LONG_FLOWS_PER_SERVER).min(most);
     Service {
         name: format!("service-{number}"),
         servers,
         slots,
-        service_time: Duration::from_millis(service_time_ms),
+        work: Duration::from_millis(work_ms),
         rate: u32::try_from(rate).unwrap_or(u32::MAX),
         is_idempotent: random.bool(),
         long_flows: if is_long { long_flows } else { 0 },
@@ -181,10 +184,11 @@
     }
 }
 
-/// Mean time between two requests of a long flow, in seconds, at most.
+/// Largest mean time between two requests of a long flow, in seconds.
 const LONG_GAP_S: u64 = 4;
 
-/// Requests a second of one service, at most: the soak plays all ends itself.
+/// Largest rate of a service, in requests per second: the soak simulates all
+/// callers and backend servers in one thread.
 const MAX_RATE: u64 = 60;
 
 const MILLIS_PER_SECOND: u64 = 1_000;
--- a/tools/soak/tests/short.rs
+++ b/tools/soak/tests/short.rs
@@ -1,4 +1,5 @@
-//! Short runs: seeds that once broke a invariant, and one of all kinds of disturbance.
+//! Short runs: seeds that once led to a violation, and a sequence of
+//! disturbances.
 use std::env;
 use std::error::Error;
 use std::fs;
@@ -14,16 +15,16 @@
 
 type Result = std::result::Result<(), Box<dyn Error>>;
 
-/// Backend servers of a deployment, at most.
+/// Largest number of backend servers of a deployment.
 const SERVERS: usize = 12;
 
 /// Time within which drawn disturbances begin.
 const WITHIN: Duration = Duration::from_secs(12);
 
-/// First of the networks of these runs.
+/// Loopback network of the first run; the others use the next ones.
 const FIRST_NETWORK: u8 = 120;
 
-fn keeps_its_promises(number: u8, seed: u64, disturbances: Vec<Disturbance>) -> Result {
+fn assert_no_violations(number: u8, seed: u64, disturbances: Vec<Disturbance>) -> Result {
     let network = Network(FIRST_NETWORK + number);
     let plan = Plan {
         topology: Topology::draw(seed, SERVERS),
@@ -40,26 +41,29 @@
     );
     assert!(
         result.checker.total("tasks served") > 0,
-        "nothing was served"
+        "no task was served"
     );
     fs::remove_dir_all(&plan.folder)?;
     Ok(())
 }
 
-/// An address served another service, whose sidecar took flows of the first.
+/// Guards against flows that reach a backend server of the wrong service: an
+/// address was reused for another service, whose sidecar accepted flows of the
+/// former one.
 #[test]
-fn an_address_that_serves_another_service_gets_no_flows_of_the_first() -> Result {
-    keeps_its_promises(0, 200, plan::draw(200, WITHIN))
+fn a_reused_address_gets_no_flows_of_its_former_service() -> Result {
+    assert_no_violations(0, 200, plan::draw(200, WITHIN))
 }
 
-/// Sidecars beside a backend server that had ended spun instead of stopping.
+/// Guards against sidecars that do not stop in time: the sidecar of a backend
+/// server that had ended looped busily instead of stopping.
 #[test]
-fn sidecars_beside_ended_backend_servers_stop_in_time() -> Result {
-    keeps_its_promises(1, 300, plan::draw(300, WITHIN))
+fn sidecars_of_ended_backend_servers_stop_in_time() -> Result {
+    assert_no_violations(1, 300, plan::draw(300, WITHIN))
 }
 
 #[test]
-fn one_trouble_after_the_other() -> Result {
+fn successive_disturbances_lead_to_no_violation() -> Result {
     let kinds = [
         Kind::RollGateways,
         Kind::Lossy,
@@ -74,5 +78,5 @@
         kind,
         duration: Duration::from_millis(1_500),
     });
-    keeps_its_promises(2, 7, disturbances.collect())
+    assert_no_violations(2, 7, disturbances.collect())
 }
