--- a/tools/soak/src/injector.rs
+++ b/tools/soak/src/injector.rs
@@ -272,8 +272,8 @@
             let harness = &mut *self.harness.borrow_mut();
             let service = harness.random.usize(..harness.topology.services.len());
             let all = 0..harness.servers.len();
-            let of = all.filter(|server| harness.servers[*server].service == service);
-            of.collect()
+            let matching = all.filter(|server| harness.servers[*server].service == service);
+            matching.collect()
         };
         for server in self.sample(servers, 50) {
             if !lifecycle::drain(&self.harness, server).await {
@@ -332,8 +332,8 @@
             let harness = &mut *self.harness.borrow_mut();
             harness.servers[server].service = service;
             let name = harness.topology.services[service].name.clone();
-            if let Some(server) = &mut harness.hosts[host].settings.server {
-                server.service = name;
+            if let Some(settings) = &mut harness.hosts[host].settings.server {
+                settings.service = name;
             }
         }
         self.restore(&[host], Cause::Fault, Host::bring_up)?;
@@ -351,12 +351,12 @@
             all.filter(|one| one.service == service).count()
         };
         let all = 0..harness.servers.len();
-        let able = all.filter(|one| others(harness.servers[*one].service) > 1);
-        let able: Vec<usize> = able.collect();
-        if services < 2 || able.is_empty() {
+        let reusable = all.filter(|one| others(harness.servers[*one].service) > 1);
+        let reusable: Vec<usize> = reusable.collect();
+        if services < 2 || reusable.is_empty() {
             return None;
         }
-        let server = able[harness.random.usize(..able.len())];
+        let server = reusable[harness.random.usize(..reusable.len())];
         let service = (harness.servers[server].service + 1) % services;
         Some((server, service))
     }
--- a/tools/soak/src/proxy.rs
+++ b/tools/soak/src/proxy.rs
@@ -33,7 +33,7 @@
     pub silence_epoch: u32,
 }
 
-/// Returns the faults that act on the connections of a host now.
+/// Source of the faults that act on the connections of a host now.
 pub type Faults = Rc<dyn Fn() -> Fault>;
 
 /// Accepts connections and relays each to the store, until dropped.
@@ -52,8 +52,8 @@
         executor
             .spawn(async move {
                 let relayed = relay(stream, store, &faults).or(until_reset(&faults));
-                // An error means that one end has closed; the other end sees
-                // its connection close.
+                // Either end has closed or the connection was reset; dropping
+                // it closes both ends.
                 let _ = relayed.await;
             })
             .detach();
--- a/tools/soak/src/run.rs
+++ b/tools/soak/src/run.rs
@@ -40,7 +40,7 @@
 const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Consecutive failed probes after which a gateway leaves the rotation.
-const MAX_MISSES: u32 = 2;
+const MISS_LIMIT: u32 = 2;
 
 /// Longest wait for all gateways to become ready before callers start.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
@@ -319,7 +319,7 @@
 /// Probes the readiness of a gateway and updates the rotation.
 async fn probe(harness: Shared, gateway: usize) {
     let address = socket(harness.borrow().network.process(gateway), READY_PORT);
-    let mut misses = MAX_MISSES;
+    let mut misses = MISS_LIMIT;
     loop {
         let is_ready = call::is_ready(address, PROBE_INTERVAL).await;
         misses = if is_ready {
@@ -327,7 +327,7 @@
         } else {
             misses.saturating_add(1)
         };
-        harness.borrow_mut().rotation[gateway] = misses < MAX_MISSES;
+        harness.borrow_mut().rotation[gateway] = misses < MISS_LIMIT;
         Timer::after(PROBE_INTERVAL).await;
     }
 }
