--- a/tools/proof/examples/inforce.rs
+++ b/tools/proof/examples/inforce.rs
@@ -18,10 +18,10 @@
         let hunt = (change % 3 + 1).to_string();
         let accepted = deployment.operate_until_success(&["update", &address, "--hunt", &hunt])?;
         let revision = revision(&accepted).ok_or("no revision in the output of the update")?;
-        let begun = Instant::now();
+        let start = Instant::now();
         let line = format!("in force: {address} revision {revision}");
         while !deployment.all_entries_report(&line) {}
-        times.push(begun.elapsed());
+        times.push(start.elapsed());
     }
     times.sort();
     let median = times[CHANGES / 2].as_millis();
--- a/tools/proof/examples/latency.rs
+++ b/tools/proof/examples/latency.rs
@@ -43,7 +43,7 @@
     let client = Client::new(backend, MAX_ANSWER_BYTES);
     let mut times = Vec::new();
     for request in 1..=CALLS {
-        let begun = Instant::now();
+        let start = Instant::now();
         let run = Run {
             request,
             idempotent: request % 2 == 0,
@@ -51,7 +51,7 @@
             payload: vec![0; 64].into(),
         };
         client.run(run).await?;
-        times.push(begun.elapsed());
+        times.push(start.elapsed());
     }
     times.sort();
     Ok(times)
