--- a/tools/soak/src/checker.rs
+++ b/tools/soak/src/checker.rs
@@ -122,7 +122,7 @@
     }
 
     /// Records that a packet of a flow reached a backend server. Returns true
-    /// if at least [`MIN_MISROUTED`] packets in a row, over at least `limit`,
+    /// if at least `MIN_MISROUTED` packets in a row, over at least `limit`,
     /// reached others than the one that holds the flow.
     pub fn record_arrival(
         &mut self,
