--- a/tools/soak/src/injector.rs
+++ b/tools/soak/src/injector.rs
@@ -226,8 +226,8 @@
 
     /// Waits until a process that was asked to stop has exited. Records a
     /// violation where it fails, or where it takes longer than the stop bound
-    /// although no fault disturbs its host; it is then killed and started
-    /// again.
+    /// although no fault disturbs its host. A process that takes longer is
+    /// killed.
     async fn wait_stopped(&self, host: usize) -> io::Result<()> {
         let (asked, limit) = {
             let harness = self.harness.borrow();
