--- a/tools/proof/src/child.rs
+++ b/tools/proof/src/child.rs
@@ -16,7 +16,7 @@
     /// SIGHUP: planned stop of an agent to make room for a successor; gateways
     /// and sidecars only log it.
     Replace,
-    /// SIGKILL: sudden death.
+    /// SIGKILL: crash.
     Kill,
     /// SIGSTOP: freeze.
     Freeze,
@@ -55,11 +55,11 @@
         self.process.id()
     }
 
-    /// Sends a signal.
+    /// Sends a signal by the command `kill`, whose exit status is ignored.
     ///
     /// # Errors
     ///
-    /// The operating system's error.
+    /// The operating system's error where the command cannot be started.
     pub fn signal(&self, signal: Signal) -> io::Result<()> {
         let name = match signal {
             Signal::Stop => "-TERM",
--- a/tools/proof/src/deployment.rs
+++ b/tools/proof/src/deployment.rs
@@ -25,8 +25,8 @@
 /// Number of entries of a deployment.
 const ENTRIES: u8 = 3;
 
-/// Largest number of attempts while waiting for a state, and the pause between
-/// two.
+/// Largest number of attempts of a command or of a check for readiness, and the
+/// pause between two.
 const MAX_ATTEMPTS: u32 = 300;
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
@@ -125,7 +125,7 @@
         Ok(())
     }
 
-    fn start_fabric(&mut self, further: &[&str]) -> Result<()> {
+    fn start_fabric(&mut self, extra_flags: &[&str]) -> Result<()> {
         self.set_fabric_entries(&[1, 2, 3])?;
         let file = self.folder.join("entries").display().to_string();
         let (listen, roster, rota, key) = (
@@ -143,7 +143,7 @@
             "--entries-file",
             &file,
         ]);
-        flags.extend(further);
+        flags.extend(extra_flags);
         self.spawn("fabric", "standin", &flags)
     }
 
@@ -270,8 +270,8 @@
     ///
     /// # Errors
     ///
-    /// Fails where the deployment has no such process, or the signal cannot be
-    /// sent.
+    /// Fails where the deployment has no such process, or the command `kill`
+    /// cannot be started.
     pub fn signal(&self, name: &str, signal: Signal) -> Result<()> {
         let child = self
             .children
@@ -416,7 +416,8 @@
     ///
     /// # Errors
     ///
-    /// Fails where that takes more than the allowed attempts.
+    /// Fails where at the last attempt some running entry still has another
+    /// number of ready targets.
     pub fn wait_ready(&self, targets: usize) -> Result<()> {
         for _ in 0..MAX_ATTEMPTS {
             let ready = (1..=ENTRIES)
--- a/tools/proof/tests/processes.rs
+++ b/tools/proof/tests/processes.rs
@@ -1,5 +1,5 @@
-//! Checks that faults and planned changes of real processes keep the
-//! guarantees.
+//! Checks the guarantees of the system on real processes that are killed,
+//! frozen, restarted and disconnected.
 use std::thread;
 use std::time::Duration;
 
@@ -27,8 +27,14 @@
     assert!(report.answered > 0, "no request was answered: {report:?}");
     assert_eq!(finding.run_twice, 0, "requests ran twice: {report:?}");
     assert_eq!(finding.ran_refused, 0, "refused requests ran: {report:?}");
-    assert_eq!(report.wrong_service, 0, "{report:?}");
-    assert_eq!(report.mismatched, 0, "{report:?}");
+    assert_eq!(
+        report.wrong_service, 0,
+        "answers from another service: {report:?}"
+    );
+    assert_eq!(
+        report.mismatched, 0,
+        "answers to other requests: {report:?}"
+    );
     assert_eq!(report.lost, 0, "requests without an end: {report:?}");
 }
 
@@ -52,6 +58,8 @@
     Ok(())
 }
 
+/// Guards against flows that break at an entry without state: the fabric sends
+/// packets to the entry as soon as it has restarted, and the store is down.
 #[test]
 fn restarts_of_an_entry_in_rotation_without_the_store_break_no_flow() -> Result {
     let mut deployment = Deployment::start(112, Some(&[]))?;
@@ -92,7 +100,8 @@
     assert_guarantees(&outcome);
     assert!(
         outcome.broken < 60,
-        "flows were broken that the agent did not hold"
+        "{} flows were broken, also some that the agent did not hold",
+        outcome.broken
     );
     Ok(())
 }
@@ -123,7 +132,8 @@
     assert_guarantees(&outcome);
     assert!(
         outcome.broken < 60,
-        "flows were broken that the agent did not hold"
+        "{} flows were broken, also some that the agent did not hold",
+        outcome.broken
     );
     Ok(())
 }
@@ -205,8 +215,8 @@
         deployment.wait_ready(6)?;
         deployment.set_fabric_entries(&[1, 2, 3])?;
     }
-    // Each agent is replaced before its neighbour's successor may have taken
-    // over its flows.
+    // An agent may be replaced before the successor of the one before it has
+    // taken over all flows of its predecessor.
     for target in 1..=6 {
         let name = format!("agent-{target}");
         deployment.signal(&name, Signal::Replace)?;
--- a/tools/soak/src/caller.rs
+++ b/tools/soak/src/caller.rs
@@ -33,8 +33,8 @@
 /// Largest number of attempts of one task.
 const MAX_ATTEMPTS: u32 = 3;
 
-/// Pause before a task is retried; also the longest backlog of arrivals that are
-/// made up after a delay of the soak itself.
+/// Pause before a task is retried; also the longest backlog of arrivals that
+/// callers catch up on after the soak itself was delayed.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// First port of callers.
@@ -213,12 +213,12 @@
     /// service.
     fn route_to(&mut self, service: usize) -> Option<usize> {
         let newest = self.history.newest();
-        let leading = newest.iter().filter(|(_, led)| **led == service);
-        let leading: Vec<SocketAddrV4> = leading.map(|(address, _)| *address).collect();
-        if leading.is_empty() {
+        let addresses = newest.iter().filter(|(_, routed)| **routed == service);
+        let addresses: Vec<SocketAddrV4> = addresses.map(|(address, _)| *address).collect();
+        if addresses.is_empty() {
             return None;
         }
-        let address = leading[self.random.usize(..leading.len())];
+        let address = addresses[self.random.usize(..addresses.len())];
         let routes = 0..2 * self.topology.services.len();
         routes
             .into_iter()
@@ -346,8 +346,9 @@
                 (task.id, task.attempt) == (answer.task, answer.attempt) && is_intact
             });
             let Some(task) = pending.filter(|_| fits) else {
-                let text =
-                    format!("{id:?} got {answer:?}, intact: {is_intact}, pending: {pending:?}");
+                let text = format!(
+                    "{id:?} got {answer:?}, intact: {is_intact}, for the pending task {pending:?}"
+                );
                 return self.checker.record_violation(Invariant::Genuine, now, text);
             };
             if !flow.is_long
@@ -366,7 +367,7 @@
 
     /// Ends a flow whose task, if any, got no answer; the task is retried where
     /// that is allowed.
-    fn fail_flow(&mut self, now: Duration, id: FlowId, was_open: bool, how: &'static str) {
+    fn fail_flow(&mut self, now: Duration, id: FlowId, was_open: bool, reason: &'static str) {
         let Some(flow) = self.callers.flows.remove(&id) else {
             return;
         };
@@ -375,7 +376,7 @@
         };
         if !was_open {
             self.checker
-                .record_unopened(now, task.id, task.attempt, how);
+                .record_unopened(now, task.id, task.attempt, reason);
         }
         let is_idempotent = self.topology.services[flow.service].is_idempotent;
         self.retry(now, task, is_idempotent || !was_open);
--- a/tools/soak/src/checker.rs
+++ b/tools/soak/src/checker.rs
@@ -8,7 +8,7 @@
 use crate::request::TaskId;
 
 /// Consecutive packets of an open flow that have to reach other backend servers
-/// before the flow counts as misrouted.
+/// before the flow may count as misrouted.
 const MIN_MISROUTED: u32 = 3;
 
 /// An invariant that holds throughout a run.
@@ -117,8 +117,8 @@
     /// its start.
     #[must_use]
     pub fn holder(&self, flow: &FlowId) -> Option<(usize, u32)> {
-        let open = self.open_flows.get(flow)?;
-        Some((open.server, open.start))
+        let held = self.open_flows.get(flow)?;
+        Some((held.server, held.start))
     }
 
     /// Records that a packet of a flow reached a backend server. Returns true
@@ -131,17 +131,17 @@
         server: usize,
         limit: Duration,
     ) -> bool {
-        let Some(open) = self.open_flows.get_mut(flow) else {
+        let Some(held) = self.open_flows.get_mut(flow) else {
             return false;
         };
-        if open.server == server {
-            open.misrouted = 0;
-            open.misrouted_since = None;
+        if held.server == server {
+            held.misrouted = 0;
+            held.misrouted_since = None;
             return false;
         }
-        open.misrouted += 1;
-        let since = *open.misrouted_since.get_or_insert(now);
-        open.misrouted >= MIN_MISROUTED && now >= since + limit
+        held.misrouted += 1;
+        let since = *held.misrouted_since.get_or_insert(now);
+        held.misrouted >= MIN_MISROUTED && now >= since + limit
     }
 
     /// Records that an attempt ended before its flow opened, so that it must
@@ -151,9 +151,9 @@
         now: Duration,
         task: TaskId,
         attempt: u32,
-        how: &'static str,
+        reason: &'static str,
     ) {
-        self.unopened.insert((task, attempt), how);
+        self.unopened.insert((task, attempt), reason);
         if self
             .runs
             .get(&task)
@@ -162,7 +162,7 @@
             self.record_violation(
                 Invariant::Refused,
                 now,
-                format!("task {task:x} ran, although {how}"),
+                format!("task {task:x} ran, although {reason}"),
             );
         }
     }
@@ -178,8 +178,8 @@
             );
             self.record_violation(Invariant::Once, now, text);
         }
-        if let Some(how) = self.unopened.get(&(task, attempt)) {
-            let text = format!("task {task:x} ran, although {how}");
+        if let Some(reason) = self.unopened.get(&(task, attempt)) {
+            let text = format!("task {task:x} ran, although {reason}");
             self.record_violation(Invariant::Refused, now, text);
         }
     }
--- a/tools/soak/src/harness.rs
+++ b/tools/soak/src/harness.rs
@@ -35,11 +35,11 @@
 use crate::sockets::Sockets;
 use crate::topology::Topology;
 
-/// Entries that a settings file names as seeds.
+/// Largest number of entries that a settings file names as gossip seeds.
 const SEED_ENTRIES: usize = 3;
 
 /// Longest time by which a fault of the store may delay a configuration.
-const MAX_STORE_DELAY: Duration = Duration::from_secs(12);
+const MAX_CONFIGURATION_DELAY: Duration = Duration::from_secs(12);
 
 /// Service time of the slowest possible backend server, relative to the
 /// fastest.
@@ -61,8 +61,8 @@
     pub history: History,
     /// Entry hosts first, then the hosts of backend servers.
     pub hosts: Vec<Host>,
-    /// Whether each entry host is in rotation, which is to say gets new
-    /// packets.
+    /// Whether each entry host is in rotation, according to its readiness
+    /// probes.
     pub rotation: Vec<bool>,
     /// Backend servers, in the order of their hosts.
     pub servers: Vec<Server>,
@@ -156,23 +156,25 @@
         self.store.write_configuration(&value);
     }
 
-    /// Returns by how much faults of the store may delay a configuration now.
+    /// Returns by how much faults of the store may delay a configuration now:
+    /// by `MAX_CONFIGURATION_DELAY` while one is active and for as long after
+    /// the last one ended, otherwise not at all.
     #[must_use]
-    pub fn store_delay(&self, now: Duration) -> Duration {
+    pub fn configuration_delay(&self, now: Duration) -> Duration {
         let (active, since) = self.store_faults;
-        let is_calm = active == 0 && now > since + MAX_STORE_DELAY;
-        if is_calm {
+        let is_undisturbed = active == 0 && now > since + MAX_CONFIGURATION_DELAY;
+        if is_undisturbed {
             Duration::ZERO
         } else {
-            MAX_STORE_DELAY
+            MAX_CONFIGURATION_DELAY
         }
     }
 
     /// Returns the gateway that a flow's packets go to now. While any gateway
     /// of the caller's availability zone is in rotation it is one of that zone:
-    /// one in rotation, or any where fewer than half are. Otherwise it is one
-    /// in rotation of another zone. The choice is stable while the set of
-    /// candidates is.
+    /// one in rotation, or any of them if fewer than half are. Otherwise it is
+    /// one in rotation of another zone, or any if none is in rotation. The
+    /// choice is stable while the set of candidates is.
     #[must_use]
     pub fn gateway_of(&self, flow: &FlowId, caller: usize) -> usize {
         let zone = self.topology.zone(caller);
--- a/tools/soak/src/history.rs
+++ b/tools/soak/src/history.rs
@@ -59,7 +59,7 @@
         service: usize,
     ) -> bool {
         // Skips configurations that a newer one replaced more than `bound`
-        // before.
+        // before `sent`.
         let newer = self.versions.iter().skip(1).map(|version| version.at);
         let newer = newer.map(Some).chain([None]);
         self.versions
--- a/tools/soak/src/host.rs
+++ b/tools/soak/src/host.rs
@@ -146,7 +146,8 @@
     }
 
     /// Undoes one [`Self::take_down`] or [`Self::request_stop`], and starts the
-    /// process unless another one keeps it down.
+    /// process unless another one keeps it down. The new process is not frozen,
+    /// even if its predecessor was.
     ///
     /// # Errors
     ///
--- a/tools/soak/src/injector.rs
+++ b/tools/soak/src/injector.rs
@@ -40,7 +40,7 @@
 const FRAME_DELAY: Duration = Duration::from_millis(80);
 
 /// Delay of each answer of a slow store.
-const STORE_DELAY: Duration = Duration::from_millis(400);
+const ANSWER_DELAY: Duration = Duration::from_millis(400);
 
 /// Delay of each late write.
 const WRITE_DELAY: Duration = Duration::from_secs(2);
@@ -238,7 +238,7 @@
                 let harness = &mut *self.harness.borrow_mut();
                 let now = harness.now();
                 let ended = harness.hosts[host].poll_exit()?;
-                let is_calm = harness.hosts[host].is_undisturbed_since(asked, Cause::Fault);
+                let is_undisturbed = harness.hosts[host].is_undisturbed_since(asked, Cause::Fault);
                 match ended {
                     Some(true) => return Ok(()),
                     Some(false) => {
@@ -250,13 +250,15 @@
                     }
                     None if now < asked + limit => {}
                     None => {
-                        if is_calm {
+                        if is_undisturbed {
                             let text =
                                 format!("the process of host {host} did not stop within {limit:?}");
                             harness
                                 .checker
                                 .record_violation(Invariant::Process, now, text);
                         }
+                        // Kills the process and undoes only the kill; the
+                        // request to stop keeps the process down.
                         harness.hosts[host].take_down()?;
                         return harness.hosts[host].bring_up();
                     }
@@ -286,7 +288,8 @@
         Ok(())
     }
 
-    /// Adds or removes a random spare route, and again after some time.
+    /// Adds or removes a random spare route, and a second random one at the
+    /// end; both draws may give the same route.
     async fn route(&self, duration: Duration) -> io::Result<()> {
         self.toggle_route();
         Timer::after(duration).await;
@@ -341,17 +344,18 @@
         Ok(())
     }
 
-    /// Returns a random backend server whose service has others, and another
-    /// service.
+    /// Returns a random backend server of a service with more than one, and the
+    /// service that its address is to serve; `None` where there is no such
+    /// backend server or only one service.
     fn pick_reusable(&self) -> Option<(usize, usize)> {
         let harness = &mut *self.harness.borrow_mut();
         let services = harness.topology.services.len();
-        let others = |service: usize| {
+        let count_servers = |service: usize| {
             let all = harness.servers.iter();
             all.filter(|one| one.service == service).count()
         };
         let all = 0..harness.servers.len();
-        let reusable = all.filter(|one| others(harness.servers[*one].service) > 1);
+        let reusable = all.filter(|one| count_servers(harness.servers[*one].service) > 1);
         let reusable: Vec<usize> = reusable.collect();
         if services < 2 || reusable.is_empty() {
             return None;
@@ -361,18 +365,18 @@
         Some((server, service))
     }
 
-    /// Kills the processes of hosts, and with `with_power` their backend
-    /// servers too.
+    /// Kills the processes of hosts, and with `with_servers` also ends their
+    /// backend servers, as a loss of power does.
     async fn kill(
         &self,
         hosts: Vec<usize>,
-        with_power: bool,
+        with_servers: bool,
         duration: Duration,
     ) -> io::Result<()> {
         self.disturb(&hosts, Cause::Fault, Host::take_down)?;
         let gateways = self.harness.borrow().topology.gateways;
         let servers = hosts.iter().filter_map(|host| host.checked_sub(gateways));
-        let servers: Vec<usize> = servers.filter(|_| with_power).collect();
+        let servers: Vec<usize> = servers.filter(|_| with_servers).collect();
         for server in &servers {
             self.harness.borrow_mut().server_end(*server);
         }
@@ -450,7 +454,7 @@
     }
 
     async fn slow_store(&self, duration: Duration) -> io::Result<()> {
-        self.disturb_store(|harness| harness.store.set_delay(STORE_DELAY));
+        self.disturb_store(|harness| harness.store.set_delay(ANSWER_DELAY));
         Timer::after(duration).await;
         self.restore_store(|harness| harness.store.set_delay(Duration::ZERO));
         Ok(())
--- a/tools/soak/src/lifecycle.rs
+++ b/tools/soak/src/lifecycle.rs
@@ -64,7 +64,7 @@
         .detach();
 }
 
-/// Returns whether a backend server still runs and has not been restarted since
+/// Returns whether a backend server still runs since its start of the number
 /// `start`.
 fn is_running(harness: &Shared, number: usize, start: u32) -> bool {
     let server = &harness.borrow().servers[number];
--- a/tools/soak/src/plan.rs
+++ b/tools/soak/src/plan.rs
@@ -9,10 +9,10 @@
 /// Number of disturbances of a run.
 const COUNT: std::ops::Range<usize> = 4..12;
 
-/// Share of the disturbances that follow soon after the one before.
+/// Probability that a disturbance follows soon after the one drawn before.
 const FOLLOW_UP_SHARE: f64 = 0.5;
 
-/// Time within which such a disturbance follows.
+/// Longest time after which such a disturbance follows.
 const FOLLOW_UP_WITHIN: Duration = Duration::from_millis(1_500);
 
 /// Range of the duration of a disturbance, in milliseconds.
@@ -21,7 +21,7 @@
 /// A disturbance of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Disturbance {
-    /// Time of its begin, since the start of the traffic.
+    /// Time at which it begins, since the start of the traffic.
     pub at: Duration,
     /// Kind of the disturbance.
     pub kind: Kind,
@@ -65,7 +65,7 @@
     RollSidecars "roll-sidecars" "half of the sidecars are restarted in turn"
     Release "release" "half of the backend servers of a service are drained and replaced in turn"
     Reload "reload" "half of the processes get SIGHUP"
-    Route "route" "a random spare route is added or removed, and again after some time"
+    Route "route" "a random spare route is added or removed, and a second random one at the end"
     Storm "storm" "routes are added and removed in quick succession"
     Reuse "reuse" "a backend server ends without notice and its address serves another service"
     KillGateway "kill-gateway" "a gateway is killed"
@@ -124,8 +124,8 @@
     Duration::try_from_secs_f64(seconds).map_err(|_| Error::Times)
 }
 
-/// Draws the disturbances of a run, which begin within the given time, in the
-/// order of their begins.
+/// Draws the disturbances of a run, which begin within the given time, sorted
+/// by the time at which they begin.
 #[must_use]
 pub fn draw(seed: u64, within: Duration) -> Vec<Disturbance> {
     let random = &mut Rng::with_seed(!seed);
--- a/tools/soak/src/run.rs
+++ b/tools/soak/src/run.rs
@@ -39,14 +39,17 @@
 /// Interval and time-out of the readiness probes of a gateway.
 const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Consecutive failed probes after which a gateway leaves the rotation.
+/// Number of consecutive failed probes after which a gateway leaves the
+/// rotation.
 const MISS_LIMIT: u32 = 2;
 
-/// Longest wait for all gateways to become ready before callers start.
+/// Longest wait for all gateways to become ready; callers start afterwards in
+/// any case.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Interval at which readiness is checked, and pause before callers start.
-const SETTLE: Duration = Duration::from_secs(1);
+/// Interval at which the readiness of all gateways is checked, and pause between
+/// their readiness and the start of the callers.
+const SETTLE_TIME: Duration = Duration::from_secs(1);
 
 /// Time at the end of a run over which the share of served tasks is measured.
 const MEASURED_TIME: Duration = Duration::from_secs(4);
@@ -139,9 +142,9 @@
         executor.spawn(probe(Rc::clone(harness), gateway)).detach();
     }
     while !are_gateways_ready(harness) && harness.borrow().now() < READY_TIMEOUT {
-        Timer::after(SETTLE).await;
+        Timer::after(SETTLE_TIME).await;
     }
-    Timer::after(SETTLE).await;
+    Timer::after(SETTLE_TIME).await;
     executor.spawn(tick(Rc::clone(harness))).detach();
     executor.spawn(watch_processes(Rc::clone(harness))).detach();
     let injector = Injector {
--- a/tools/soak/src/server.rs
+++ b/tools/soak/src/server.rs
@@ -48,6 +48,7 @@
     /// Time at which the sidecar acknowledged that the instance drains.
     pub drained: Option<Duration>,
     flows: HashMap<FlowId, Flow>,
+    /// Running requests, each with the time at which it ends.
     running: Vec<(Duration, FlowId, Request)>,
     waiting: VecDeque<(FlowId, Request)>,
 }
@@ -216,15 +217,16 @@
             .as_ref()
             .and_then(|instance| instance.drained);
         let since = now.saturating_sub(limits.undisturbed);
-        let is_calm = |host: usize| self.hosts[host].is_undisturbed_since(since, Cause::Planned);
-        let are_calm = is_calm(gateway) && is_calm(self.host_of(number));
-        let bound = limits.apply + self.store_delay(now);
+        let is_undisturbed =
+            |host: usize| self.hosts[host].is_undisturbed_since(since, Cause::Planned);
+        let are_undisturbed = is_undisturbed(gateway) && is_undisturbed(self.host_of(number));
+        let bound = limits.apply + self.configuration_delay(now);
         let text = format!("{flow:?} opened at server {number} of service {service}");
         if !self.history.has_ever_routed(flow.service, service) {
             self.checker.record_violation(Invariant::Service, now, text);
-        } else if are_calm && !self.history.allows(sent, bound, flow.service, service) {
+        } else if are_undisturbed && !self.history.allows(sent, bound, flow.service, service) {
             self.checker.record_violation(Invariant::Applied, now, text);
-        } else if are_calm && drained.is_some_and(|drained| now > drained + limits.drain) {
+        } else if are_undisturbed && drained.is_some_and(|drained| now > drained + limits.drain) {
             self.checker.record_violation(Invariant::Drained, now, text);
         }
     }
@@ -284,6 +286,8 @@
         self.server_send(number, &segment, &[]);
     }
 
+    /// Sends a packet that no flow accepts back through the sidecar, marked as
+    /// returned.
     fn return_packet(&mut self, number: usize, segment: &Segment, packet: &[u8]) {
         let returned = Segment {
             is_returned: true,
--- a/tools/soak/src/topology.rs
+++ b/tools/soak/src/topology.rs
@@ -73,7 +73,8 @@
 }
 
 impl Topology {
-    /// Draws a deployment with at most `max_servers` backend servers.
+    /// Draws a deployment with at most `max_servers` backend servers, but at
+    /// least one for each service.
     #[must_use]
     pub fn draw(seed: u64, max_servers: usize) -> Self {
         let random = &mut Rng::with_seed(seed);
--- a/tools/soak/tests/short.rs
+++ b/tools/soak/tests/short.rs
@@ -56,7 +56,7 @@
 }
 
 /// Guards against sidecars that do not stop in time: the sidecar of a backend
-/// server that had ended looped busily instead of stopping.
+/// server that had ended ran in a busy loop instead of stopping.
 #[test]
 fn sidecars_of_ended_backend_servers_stop_in_time() -> Result {
     assert_no_violations(1, 300, plan::draw(300, WITHIN))
