--- a/tools/soak/src/run.rs
+++ b/tools/soak/src/run.rs
@@ -47,8 +47,8 @@
 /// any case.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Interval at which the readiness of all gateways is checked, and pause between
-/// their readiness and the start of the callers.
+/// Interval at which the readiness of all gateways is checked, and pause
+/// between their readiness and the start of the callers.
 const SETTLE_TIME: Duration = Duration::from_secs(1);
 
 /// Time at the end of a run over which the share of served tasks is measured.
