--- a/tools/soak/src/host.rs
+++ b/tools/soak/src/host.rs
@@ -12,95 +12,99 @@
 use proof::program;
 
 use crate::link;
-use crate::tunnel;
+use crate::proxy;
 
-/// Key that the processes of a run share.
+/// Signing key that all processes of a run share: `1:` and the bytes of `soak`,
+/// repeated, in hex.
 const SIGN_KEY: &str = "1:736f616b736f616b736f616b736f616b736f616b736f616b736f616b736f616b";
 
-/// Why a host is not itself.
+/// Cause of a disturbance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// Planned work.
+    /// Planned work, such as a restart.
     Planned,
-    /// Anything else.
+    /// A fault.
     Fault,
 }
 
-/// Since when a host is left alone.
+/// Disturbances of one cause: the number of active ones, and when the last one
+/// ended.
 #[derive(Clone, Copy, Debug, Default)]
-struct Calm {
+struct Disturbances {
     active: u32,
-    since: Duration,
+    ended: Duration,
 }
 
-/// A host with one process of the system.
+/// A host with one process of the system, which is a gateway or a sidecar.
 pub struct Host {
-    /// Its settings file.
+    /// Content of the settings file.
     pub settings: Settings,
-    /// UDP address that its process binds for frames.
+    /// UDP address that the process binds for frames.
     pub bind: SocketAddr,
-    /// What happens to its frames.
-    pub link: link::Fault,
-    /// What happens to its calls of the store.
-    pub tunnel: tunnel::Fault,
+    /// Faults injected into the frames of the host.
+    pub link_fault: link::Fault,
+    /// Faults injected into the connections of the host to the store.
+    pub proxy_fault: proxy::Fault,
     role: &'static str,
     folder: PathBuf,
     child: Option<Child>,
-    downs: u32,
-    freezes: u32,
-    planned: Calm,
-    faults: Calm,
+    down_count: u32,
+    freeze_count: u32,
+    planned: Disturbances,
+    faults: Disturbances,
 }
 
 impl Host {
-    /// A host whose process does not run yet.
+    /// Creates a host whose process does not run yet.
     #[must_use]
     pub fn new(settings: Settings, bind: SocketAddr, role: &'static str, folder: PathBuf) -> Self {
         Self {
             settings,
             bind,
-            link: link::Fault::default(),
-            tunnel: tunnel::Fault::default(),
+            link_fault: link::Fault::default(),
+            proxy_fault: proxy::Fault::default(),
             role,
             folder,
             child: None,
-            downs: 0,
-            freezes: 0,
-            planned: Calm::default(),
-            faults: Calm::default(),
+            down_count: 0,
+            freeze_count: 0,
+            planned: Disturbances::default(),
+            faults: Disturbances::default(),
         }
     }
 
-    /// Notes that something begins to act on the host.
-    pub fn disturb(&mut self, cause: Cause) {
-        self.calm(cause).active += 1;
+    /// Records that a disturbance of the host begins.
+    pub fn begin_disturbance(&mut self, cause: Cause) {
+        self.disturbances(cause).active += 1;
     }
 
-    /// Notes that it no longer does.
-    pub fn relieve(&mut self, now: Duration, cause: Cause) {
-        let calm = self.calm(cause);
-        calm.active = calm.active.saturating_sub(1);
-        calm.since = now;
+    /// Records that a disturbance of the host has ended.
+    pub fn end_disturbance(&mut self, now: Duration, cause: Cause) {
+        let disturbances = self.disturbances(cause);
+        disturbances.active = disturbances.active.saturating_sub(1);
+        disturbances.ended = now;
     }
 
-    /// Whether nothing acted on the host since a time, or nothing but planned
-    /// work.
+    /// Returns whether nothing has disturbed the host since `time`. With
+    /// [`Cause::Fault`] only faults count, with [`Cause::Planned`] planned work
+    /// as well.
     #[must_use]
-    pub fn is_calm_since(&self, time: Duration, cause: Cause) -> bool {
-        let is_calm = |calm: Calm| calm.active == 0 && calm.since <= time;
+    pub fn is_undisturbed_since(&self, time: Duration, cause: Cause) -> bool {
+        let is_undisturbed =
+            |disturbances: Disturbances| disturbances.active == 0 && disturbances.ended <= time;
         match cause {
-            Cause::Planned => is_calm(self.planned) && is_calm(self.faults),
-            Cause::Fault => is_calm(self.faults),
+            Cause::Planned => is_undisturbed(self.planned) && is_undisturbed(self.faults),
+            Cause::Fault => is_undisturbed(self.faults),
         }
     }
 
-    /// Starts the process, unless something holds it down.
+    /// Starts the process, unless it runs or is to stay down.
     ///
     /// # Errors
     ///
     /// The operating system's error.
     pub fn start(&mut self) -> io::Result<()> {
-        if self.downs > 0 || self.child.is_some() {
+        if self.down_count > 0 || self.child.is_some() {
             return Ok(());
         }
         let name = &self.settings.name;
@@ -119,19 +123,19 @@
         Ok(())
     }
 
-    /// The log of all processes of the host.
+    /// Returns the path of the log that all processes of the host append to.
     #[must_use]
     pub fn log(&self) -> PathBuf {
         self.folder.join(format!("{}.log", self.settings.name))
     }
 
-    /// Kills the process and holds it down.
+    /// Kills the process and keeps it down until [`Self::bring_up`].
     ///
     /// # Errors
     ///
     /// The operating system's error.
     pub fn take_down(&mut self) -> io::Result<()> {
-        self.downs += 1;
+        self.down_count += 1;
         match self.child.take() {
             Some(mut child) => {
                 child.signal(Signal::Kill)?;
@@ -141,24 +145,26 @@
         }
     }
 
-    /// Lets the process start again.
+    /// Undoes one [`Self::take_down`] or [`Self::request_stop`], and starts the
+    /// process unless another one keeps it down. The new process is not frozen,
+    /// even if its predecessor was.
     ///
     /// # Errors
     ///
     /// The operating system's error.
     pub fn bring_up(&mut self) -> io::Result<()> {
-        self.downs = self.downs.saturating_sub(1);
-        self.freezes = 0;
+        self.down_count = self.down_count.saturating_sub(1);
+        self.freeze_count = 0;
         self.start()
     }
 
-    /// Asks the process to end, and holds it down afterwards.
+    /// Sends SIGTERM to the process and keeps it down until [`Self::bring_up`].
     ///
     /// # Errors
     ///
     /// The operating system's error.
-    pub fn ask_to_stop(&mut self) -> io::Result<()> {
-        self.downs += 1;
+    pub fn request_stop(&mut self) -> io::Result<()> {
+        self.down_count += 1;
         self.signal(Signal::Stop)
     }
 
@@ -172,41 +178,43 @@
         child.map_or(Ok(()), |child| child.signal(signal))
     }
 
-    /// Freezes the process.
+    /// Freezes the process with SIGSTOP.
     ///
     /// # Errors
     ///
     /// The operating system's error.
     pub fn freeze(&mut self) -> io::Result<()> {
-        self.freezes += 1;
+        self.freeze_count += 1;
         self.signal(Signal::Freeze)
     }
 
-    /// Wakes the process once nothing else freezes it.
+    /// Undoes one [`Self::freeze`], and resumes the process unless another one
+    /// keeps it frozen.
     ///
     /// # Errors
     ///
     /// The operating system's error.
     pub fn thaw(&mut self) -> io::Result<()> {
-        self.freezes = self.freezes.saturating_sub(1);
-        match self.freezes {
+        self.freeze_count = self.freeze_count.saturating_sub(1);
+        match self.freeze_count {
             0 => self.signal(Signal::Thaw),
             _ => Ok(()),
         }
     }
 
-    /// Whether the process is frozen.
+    /// Returns whether the process is frozen.
     #[must_use]
     pub const fn is_frozen(&self) -> bool {
-        self.freezes > 0
+        self.freeze_count > 0
     }
 
-    /// Whether the process has succeeded, once it has ended.
+    /// Returns whether the process succeeded, once it has exited; a host
+    /// without a process counts as exited with success.
     ///
     /// # Errors
     ///
     /// The operating system's error.
-    pub fn ended(&mut self) -> io::Result<Option<bool>> {
+    pub fn poll_exit(&mut self) -> io::Result<Option<bool>> {
         let Some(child) = &mut self.child else {
             return Ok(Some(true));
         };
@@ -217,13 +225,13 @@
         Ok(ended)
     }
 
-    /// Whether the process has ended although nothing asked it to.
-    pub fn has_ended_unasked(&mut self) -> bool {
-        let runs = self.downs == 0 && self.child.is_some();
-        runs && matches!(self.ended(), Ok(Some(_)))
+    /// Returns whether the process has exited although it was not to stay down.
+    pub fn has_exited_unexpectedly(&mut self) -> bool {
+        let runs = self.down_count == 0 && self.child.is_some();
+        runs && matches!(self.poll_exit(), Ok(Some(_)))
     }
 
-    fn calm(&mut self, cause: Cause) -> &mut Calm {
+    fn disturbances(&mut self, cause: Cause) -> &mut Disturbances {
         match cause {
             Cause::Planned => &mut self.planned,
             Cause::Fault => &mut self.faults,
--- a/tools/soak/src/request.rs
+++ b/tools/soak/src/request.rs
@@ -1,65 +1,67 @@
-//! What callers and backend servers say to each other within a flow.
+//! Requests and answers that callers and backend servers exchange within a
+//! flow.
 
-/// Number of a thing that a caller wants done, however often it asks.
+/// Id of a task; all attempts of a task carry it.
 pub type TaskId = u64;
 
-/// Bytes of the head of a request.
-const REQUEST_HEAD: usize = 24;
+/// Bytes of the header of a request.
+const REQUEST_HEADER_BYTES: usize = 24;
 
-/// Bytes of the head of an answer.
-const ANSWER_HEAD: usize = 24;
+/// Bytes of the header of an answer.
+const ANSWER_HEADER_BYTES: usize = 24;
 
-/// A request.
+/// A request, which is one attempt of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// What is to be done.
+    /// Task that the request is for.
     pub task: TaskId,
-    /// Number of the attempt.
+    /// Number of the attempt, from 1.
     pub attempt: u32,
-    /// Bytes of its content.
+    /// Bytes of the request's content.
     pub length: u32,
-    /// Bytes of the answer's content.
-    pub answer: u32,
+    /// Bytes of the content of the answer.
+    pub answer_length: u32,
 }
 
-/// An answer.
+/// An answer to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// What the request asked for.
+    /// Task of the request.
     pub task: TaskId,
     /// Number of the attempt.
     pub attempt: u32,
-    /// Bytes of its content.
+    /// Bytes of the answer's content.
     pub length: u32,
-    /// Whether the request ran.
+    /// Whether the request ran; false where the backend server rejected it.
     pub has_run: bool,
 }
 
 impl Request {
-    /// Writes the request.
+    /// Encodes the header and the content of the request.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = Vec::new();
         bytes.extend(self.task.to_be_bytes());
         bytes.extend(self.attempt.to_be_bytes());
         bytes.extend(self.length.to_be_bytes());
-        bytes.extend(self.answer.to_be_bytes());
+        bytes.extend(self.answer_length.to_be_bytes());
         bytes.extend([0; 4]);
         bytes.extend(content(self.task, self.length));
         bytes
     }
 
-    /// Takes a whole request off the front of a stream.
+    /// Decodes a request and removes it from the front of the received bytes;
+    /// `None` while it is incomplete.
     #[must_use]
-    pub fn take(stream: &mut Vec<u8>) -> Option<Self> {
-        let head = stream.get(..REQUEST_HEAD)?;
+    pub fn decode(stream: &mut Vec<u8>) -> Option<Self> {
+        let header = stream.get(..REQUEST_HEADER_BYTES)?;
         let request = Self {
-            task: u64_at(head, 0),
-            attempt: u32_at(head, 8),
-            length: u32_at(head, 12),
-            answer: u32_at(head, 16),
+            task: u64_at(header, 0),
+            attempt: u32_at(header, 8),
+            length: u32_at(header, 12),
+            answer_length: u32_at(header, 16),
         };
-        let end = REQUEST_HEAD + request.length as usize;
+        let end = REQUEST_HEADER_BYTES + request.length as usize;
         if stream.len() < end {
             return None;
         }
@@ -69,7 +71,7 @@
 }
 
 impl Answer {
-    /// Writes the answer.
+    /// Encodes the header and the content of the answer.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = Vec::new();
@@ -82,29 +84,30 @@
         bytes
     }
 
-    /// Takes a whole answer off the front of a stream; an error where its
-    /// content is not what the backend server writes.
+    /// Decodes an answer and removes it from the front of the received bytes;
+    /// `None` while it is incomplete.
     ///
     /// # Errors
     ///
-    /// The head of the answer.
-    pub fn take(stream: &mut Vec<u8>) -> Result<Option<Self>, Self> {
-        let Some(head) = stream.get(..ANSWER_HEAD) else {
+    /// The header of an answer whose content is not what the backend server
+    /// writes.
+    pub fn decode(stream: &mut Vec<u8>) -> Result<Option<Self>, Self> {
+        let Some(header) = stream.get(..ANSWER_HEADER_BYTES) else {
             return Ok(None);
         };
         let answer = Self {
-            task: u64_at(head, 0),
-            attempt: u32_at(head, 8),
-            length: u32_at(head, 12),
-            has_run: u32_at(head, 16) == 1,
+            task: u64_at(header, 0),
+            attempt: u32_at(header, 8),
+            length: u32_at(header, 12),
+            has_run: u32_at(header, 16) == 1,
         };
-        let end = ANSWER_HEAD + answer.length as usize;
+        let end = ANSWER_HEADER_BYTES + answer.length as usize;
         if stream.len() < end {
             return Ok(None);
         }
-        let is_whole = stream[ANSWER_HEAD..end] == content(answer.task, answer.length);
+        let is_intact = stream[ANSWER_HEADER_BYTES..end] == content(answer.task, answer.length);
         stream.drain(..end);
-        if is_whole {
+        if is_intact {
             Ok(Some(answer))
         } else {
             Err(answer)
@@ -112,7 +115,7 @@
     }
 }
 
-/// Content that belongs to one task alone.
+/// Returns pseudo-random content, which is the same for all attempts of a task.
 fn content(task: TaskId, length: u32) -> Vec<u8> {
     let mut random = fastrand::Rng::with_seed(task);
     (0..length).map(|_| random.u8(..)).collect()
--- a/tools/soak/src/stream.rs
+++ b/tools/soak/src/stream.rs
@@ -5,35 +5,35 @@
 use wire::Segment;
 use wire::segment::Kind;
 
-/// Bytes of content in a packet, at most.
+/// Largest content of a packet, in bytes.
 const MAX_CONTENT: usize = 1_200;
 
-/// Packets that an end has under way, at most.
+/// Largest number of packets in flight.
 const WINDOW: usize = 16;
 
-/// Time until a packet that was not acknowledged is sent again; it doubles.
-const FIRST_REPEAT: Duration = Duration::from_millis(200);
+/// Initial retransmission time-out; it doubles with each retransmission.
+const MIN_RETRANSMIT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Longest such time.
-const LAST_REPEAT: Duration = Duration::from_millis(1_600);
+/// Longest retransmission time-out.
+const MAX_RETRANSMIT_TIMEOUT: Duration = Duration::from_millis(1_600);
 
-/// Repeats after which an end gives the flow up.
-const MAX_REPEATS: u32 = 8;
+/// Retransmissions without an acknowledgement after which a stream times out.
+const MAX_RETRANSMISSIONS: u32 = 8;
 
 /// One end of a flow's reliable stream.
 #[derive(Debug)]
 pub struct Stream {
-    /// What is not yet acknowledged, in order.
+    /// Unacknowledged chunks, in order.
     chunks: VecDeque<Chunk>,
-    /// Position after all that was written.
+    /// Sequence number after everything written.
     end: u32,
-    /// Position up to which the other end's stream has arrived.
+    /// Sequence number up to which the peer's stream has been received.
     pub received: u32,
-    repeat: Duration,
-    repeat_at: Duration,
-    repeats: u32,
-    has_closed: bool,
-    is_closed_there: bool,
+    retransmit_timeout: Duration,
+    retransmit_at: Duration,
+    retransmissions: u32,
+    is_closed_here: bool,
+    is_closed_by_peer: bool,
 }
 
 #[derive(Debug)]
@@ -46,102 +46,105 @@
 
 /// A packet to send.
 #[derive(Debug)]
-pub struct Out {
-    /// Its kind.
+pub struct Packet {
+    /// Kind of the packet.
     pub kind: Kind,
-    /// Position of its content.
+    /// Sequence number of its content.
     pub sequence: u32,
-    /// Its content.
+    /// Content of the packet.
     pub content: Vec<u8>,
 }
 
 impl Stream {
-    /// Starts after the opening packets of both ends.
+    /// Creates a stream from the initial sequence numbers of both ends.
     #[must_use]
     pub fn new(own: u32, other: u32) -> Self {
         Self {
             chunks: VecDeque::new(),
             end: own.wrapping_add(1),
             received: other.wrapping_add(1),
-            repeat: FIRST_REPEAT,
-            repeat_at: Duration::MAX,
-            repeats: 0,
-            has_closed: false,
-            is_closed_there: false,
+            retransmit_timeout: MIN_RETRANSMIT_TIMEOUT,
+            retransmit_at: Duration::MAX,
+            retransmissions: 0,
+            is_closed_here: false,
+            is_closed_by_peer: false,
         }
     }
 
-    /// Queues content.
+    /// Queues content to send.
     pub fn write(&mut self, content: &[u8]) {
         for part in content.chunks(MAX_CONTENT) {
             self.push(part.to_vec(), false);
         }
     }
 
-    /// Queues the end of the stream.
+    /// Queues the end of the stream; has no effect if it is queued already.
     pub fn close(&mut self) {
-        if !self.has_closed {
-            self.has_closed = true;
+        if !self.is_closed_here {
+            self.is_closed_here = true;
             self.push(Vec::new(), true);
         }
     }
 
-    /// Whether both ends have closed and all has arrived.
+    /// Returns whether both ends have closed and everything sent is
+    /// acknowledged.
     #[must_use]
-    pub fn is_over(&self) -> bool {
-        self.has_closed && self.is_closed_there && self.chunks.is_empty()
+    pub fn is_finished(&self) -> bool {
+        self.is_closed_here && self.is_closed_by_peer && self.chunks.is_empty()
     }
 
-    /// Whether the other end has closed.
+    /// Returns whether the peer has closed its end.
     #[must_use]
-    pub const fn is_closed_there(&self) -> bool {
-        self.is_closed_there
+    pub const fn is_closed_by_peer(&self) -> bool {
+        self.is_closed_by_peer
     }
 
-    /// Whether nothing was acknowledged for too long.
+    /// Returns whether too many retransmissions have gone unacknowledged.
     #[must_use]
-    pub const fn is_given_up(&self) -> bool {
-        self.repeats > MAX_REPEATS
+    pub const fn has_timed_out(&self) -> bool {
+        self.retransmissions > MAX_RETRANSMISSIONS
     }
 
-    /// Position of the next content that is sent.
+    /// Returns the sequence number of the first unacknowledged content.
     #[must_use]
     pub fn position(&self) -> u32 {
         let first = self.chunks.front();
         first.map_or(self.end, |chunk| chunk.start)
     }
 
-    /// Takes a packet of the other end; its content where it is the next.
-    pub fn take<'a>(&mut self, now: Duration, segment: &Segment, content: &'a [u8]) -> &'a [u8] {
+    /// Processes a packet of the peer, and returns its content if it is next in
+    /// order.
+    pub fn receive<'a>(&mut self, now: Duration, segment: &Segment, content: &'a [u8]) -> &'a [u8] {
         self.acknowledge(now, segment.acknowledged);
         if segment.sequence != self.received {
             return &[];
         }
         self.received = self.received.wrapping_add(length(content));
         if segment.kind == Kind::Close {
-            self.is_closed_there = true;
+            self.is_closed_by_peer = true;
             self.received = self.received.wrapping_add(1);
         }
         content
     }
 
-    /// What is to be sent now.
-    pub fn poll(&mut self, now: Duration) -> Vec<Out> {
+    /// Returns the packets to send now: a due retransmission, and new packets
+    /// that fit into the window.
+    pub fn poll(&mut self, now: Duration) -> Vec<Packet> {
         let mut out = Vec::new();
-        if now >= self.repeat_at
+        if now >= self.retransmit_at
             && let Some(first) = self.chunks.front()
         {
-            out.push(first.out());
-            self.repeats += 1;
-            self.repeat = (self.repeat * 2).min(LAST_REPEAT);
-            self.repeat_at = now + self.repeat;
+            out.push(first.packet());
+            self.retransmissions += 1;
+            self.retransmit_timeout = (self.retransmit_timeout * 2).min(MAX_RETRANSMIT_TIMEOUT);
+            self.retransmit_at = now + self.retransmit_timeout;
         }
         for chunk in self.chunks.iter_mut().take(WINDOW) {
             if !chunk.is_sent {
                 chunk.is_sent = true;
-                out.push(chunk.out());
-                if self.repeat_at == Duration::MAX {
-                    self.repeat_at = now + self.repeat;
+                out.push(chunk.packet());
+                if self.retransmit_at == Duration::MAX {
+                    self.retransmit_at = now + self.retransmit_timeout;
                 }
             }
         }
@@ -171,12 +174,12 @@
             self.chunks.pop_front();
         }
         if self.chunks.len() < before {
-            self.repeats = 0;
-            self.repeat = FIRST_REPEAT;
-            self.repeat_at = if self.chunks.is_empty() {
+            self.retransmissions = 0;
+            self.retransmit_timeout = MIN_RETRANSMIT_TIMEOUT;
+            self.retransmit_at = if self.chunks.is_empty() {
                 Duration::MAX
             } else {
-                now + self.repeat
+                now + self.retransmit_timeout
             };
         }
     }
@@ -189,8 +192,8 @@
             .wrapping_add(u32::from(self.is_last))
     }
 
-    fn out(&self) -> Out {
-        Out {
+    fn packet(&self) -> Packet {
+        Packet {
             kind: if self.is_last {
                 Kind::Close
             } else {
@@ -202,7 +205,7 @@
     }
 }
 
-/// Whether `position` is at or after `end`; positions wrap around.
+/// Returns whether `position` is at or after `end`, modulo 2^32.
 const fn is_reached(position: u32, end: u32) -> bool {
     position.wrapping_sub(end) <= u32::MAX / 2
 }
--- a/tools/soak/tests/short.rs
+++ b/tools/soak/tests/short.rs
@@ -1,4 +1,5 @@
-//! Short runs: seeds that once broke a promise, and one of all kinds of trouble.
+//! Short runs: seeds that once led to a violation, and a sequence of
+//! disturbances.
 use std::env;
 use std::error::Error;
 use std::fs;
@@ -6,60 +7,63 @@
 
 use soak::address::Network;
 use soak::plan;
+use soak::plan::Disturbance;
 use soak::plan::Kind;
-use soak::plan::Trouble;
 use soak::run;
 use soak::run::Plan;
-use soak::shape::Shape;
+use soak::topology::Topology;
 
 type Result = std::result::Result<(), Box<dyn Error>>;
 
-/// Backend servers of a deployment, at most.
+/// Largest number of backend servers of a deployment.
 const SERVERS: usize = 12;
 
-/// Time within which drawn troubles begin.
+/// Time within which drawn disturbances begin.
 const WITHIN: Duration = Duration::from_secs(12);
 
-/// First of the networks of these runs.
+/// Loopback network of the first run; the others use the next ones.
 const FIRST_NETWORK: u8 = 120;
 
-fn keeps_its_promises(number: u8, seed: u64, troubles: Vec<Trouble>) -> Result {
+fn assert_no_violations(number: u8, seed: u64, disturbances: Vec<Disturbance>) -> Result {
     let network = Network(FIRST_NETWORK + number);
     let plan = Plan {
-        shape: Shape::draw(seed, SERVERS),
-        troubles,
+        topology: Topology::draw(seed, SERVERS),
+        disturbances,
         network,
         folder: env::temp_dir().join(format!("soak-test-{}-{number}", std::process::id())),
     };
-    let result = run::play(&plan)?;
-    let breaches = &result.judge.breaches;
+    let result = run::execute(&plan)?;
+    let violations = &result.checker.violations;
     assert!(
-        breaches.is_empty(),
-        "{breaches:#?}: {}",
+        violations.is_empty(),
+        "{violations:#?}: {}",
         plan.folder.display()
     );
     assert!(
-        result.judge.counted("tasks served") > 0,
-        "nothing was served"
+        result.checker.total("tasks served") > 0,
+        "no task was served"
     );
     fs::remove_dir_all(&plan.folder)?;
     Ok(())
 }
 
-/// An address served another service, whose sidecar took flows of the first.
+/// Guards against flows that reach a backend server of the wrong service: an
+/// address was reused for another service, whose sidecar accepted flows of the
+/// former one.
 #[test]
-fn an_address_that_serves_another_service_gets_no_flows_of_the_first() -> Result {
-    keeps_its_promises(0, 200, plan::draw(200, WITHIN))
+fn a_reused_address_gets_no_flows_of_its_former_service() -> Result {
+    assert_no_violations(0, 200, plan::draw(200, WITHIN))
 }
 
-/// Sidecars beside a backend server that had ended spun instead of stopping.
+/// Guards against sidecars that do not stop in time: the sidecar of a backend
+/// server that had ended ran in a busy loop instead of stopping.
 #[test]
-fn sidecars_beside_ended_backend_servers_stop_in_time() -> Result {
-    keeps_its_promises(1, 300, plan::draw(300, WITHIN))
+fn sidecars_of_ended_backend_servers_stop_in_time() -> Result {
+    assert_no_violations(1, 300, plan::draw(300, WITHIN))
 }
 
 #[test]
-fn one_trouble_after_the_other() -> Result {
+fn successive_disturbances_lead_to_no_violation() -> Result {
     let kinds = [
         Kind::RollGateways,
         Kind::Lossy,
@@ -69,10 +73,10 @@
         Kind::StoreSilent,
         Kind::PowerAll,
     ];
-    let troubles = (0..).zip(kinds).map(|(number, kind)| Trouble {
+    let disturbances = (0..).zip(kinds).map(|(number, kind)| Disturbance {
         at: Duration::from_millis(number * 2_000),
         kind,
-        lasts: Duration::from_millis(1_500),
+        duration: Duration::from_millis(1_500),
     });
-    keeps_its_promises(2, 7, troubles.collect())
+    assert_no_violations(2, 7, disturbances.collect())
 }
