--- a/tools/bench/src/gate.rs
+++ b/tools/bench/src/gate.rs
@@ -21,11 +21,11 @@
 
 const SLOTS: u16 = 4;
 const SERVICE_TIME: Duration = Duration::from_millis(50);
-const END: Duration = Duration::from_mins(2);
+const ARRIVALS_END: Duration = Duration::from_mins(2);
 const LOADS: [f64; 4] = [0.85, 0.95, 1.2, 2.0];
 
 /// Half of the jobs allow the first time, half the second.
-const PATIENCE: [Duration; 2] = [Duration::from_millis(200), Duration::from_secs(2)];
+const TIME_LIMITS: [Duration; 2] = [Duration::from_millis(200), Duration::from_secs(2)];
 
 /// Longest expected waits that a job is queued for, in service times.
 const MAX_WAIT_TIMES: [u32; 5] = [2, 3, 4, 8, 40];
@@ -109,7 +109,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Entry {
+struct Arrival {
     issued: Duration,
     deadline: Duration,
 }
@@ -118,11 +118,11 @@
 struct Trial {
     gate: Gate,
     events: BTreeMap<Duration, Event>,
-    jobs: Vec<Entry>,
+    jobs: Vec<Arrival>,
     random: Rng,
     now: Duration,
     /// The earliest expiry that is planned.
-    wake: Option<Duration>,
+    next_expiry: Option<Duration>,
     row: Row,
 }
 
@@ -134,7 +134,7 @@
             jobs: Vec::new(),
             random: Rng::with_seed(settings.seed),
             now: Duration::ZERO,
-            wake: None,
+            next_expiry: None,
             row: Row {
                 discipline: format!("{:?}", settings.discipline),
                 max_wait_times: settings.max_wait_times,
@@ -142,36 +142,36 @@
                 ..Row::default()
             },
         };
-        trial.plan(Duration::ZERO, Event::Arrive);
+        trial.schedule(Duration::ZERO, Event::Arrive);
         while let Some((now, event)) = trial.events.pop_first() {
             trial.now = now;
-            trial.handle(event);
+            trial.process(event);
         }
         trial.row
     }
 
-    fn handle(&mut self, event: Event) {
+    fn process(&mut self, event: Event) {
         let mut releases = Vec::new();
         match event {
-            Event::Arrive if self.now < END => self.arrive(),
+            Event::Arrive if self.now < ARRIVALS_END => self.arrive(),
             Event::Arrive => {}
             Event::Done(job) => {
-                self.count(job);
+                self.record_finish(job);
                 let id = job as u64;
                 self.gate.finish(self.now, id, Finish::Done, &mut releases);
             }
             Event::Expire => {
-                self.wake = None;
+                self.next_expiry = None;
                 self.gate.expire(self.now, &mut releases);
             }
         }
         for release in releases {
-            self.release(release);
+            self.apply_release(release);
         }
         match self.gate.next_deadline() {
-            Some(deadline) if self.wake.is_none_or(|wake| deadline < wake) => {
-                self.wake = Some(deadline);
-                self.plan(deadline.max(self.now), Event::Expire);
+            Some(deadline) if self.next_expiry.is_none_or(|wake| deadline < wake) => {
+                self.next_expiry = Some(deadline);
+                self.schedule(deadline.max(self.now), Event::Expire);
             }
             _ => {}
         }
@@ -180,11 +180,11 @@
     fn arrive(&mut self) {
         let rate = f64::from(SLOTS) / SERVICE_TIME.as_secs_f64() * self.row.load;
         let pause = -(1.0 - self.random.f64()).ln() / rate;
-        self.plan(self.now + Duration::from_secs_f64(pause), Event::Arrive);
+        self.schedule(self.now + Duration::from_secs_f64(pause), Event::Arrive);
         let hasty = self.random.bool();
-        let patience = PATIENCE[usize::from(!hasty)];
+        let patience = TIME_LIMITS[usize::from(!hasty)];
         let job = self.jobs.len();
-        let entry = Entry {
+        let entry = Arrival {
             issued: self.now,
             deadline: self.now + patience,
         };
@@ -203,7 +203,7 @@
         }
     }
 
-    fn release(&mut self, release: Release) {
+    fn apply_release(&mut self, release: Release) {
         match release {
             Release::Start(id) => self.start(usize::try_from(id).unwrap_or(usize::MAX)),
             Release::Expire(id) => {
@@ -217,19 +217,19 @@
 
     fn start(&mut self, job: usize) {
         let time = SERVICE_TIME.mul_f64(0.5 + self.random.f64());
-        self.plan(self.now + time, Event::Done(job));
+        self.schedule(self.now + time, Event::Done(job));
     }
 
-    fn count(&mut self, job: usize) {
-        let Entry { issued, deadline } = self.jobs[job];
-        let hasty = deadline.saturating_sub(issued) == PATIENCE[0];
+    fn record_finish(&mut self, job: usize) {
+        let Arrival { issued, deadline } = self.jobs[job];
+        let hasty = deadline.saturating_sub(issued) == TIME_LIMITS[0];
         let in_time = self.now <= deadline;
         self.row.in_time += f64::from(u8::from(in_time));
         self.row.late += f64::from(u8::from(!in_time));
         self.row.hasty_in_time += f64::from(u8::from(in_time && hasty));
     }
 
-    fn plan(&mut self, time: Duration, event: Event) {
+    fn schedule(&mut self, time: Duration, event: Event) {
         let mut time = time;
         while self.events.contains_key(&time) {
             time += Duration::from_nanos(1);
--- a/tools/bench/src/member.rs
+++ b/tools/bench/src/member.rs
@@ -1,6 +1,6 @@
 //! Membership: time and bytes to spread a change, what detection costs, how a
 //! zone is lost and returns, and what the directory takes at full size.
-mod clock;
+mod cpu;
 mod directory;
 mod fleet;
 
@@ -14,9 +14,9 @@
 use serde::Serialize;
 use wire::ServiceAddress;
 
-use self::clock::Clock;
+use self::cpu::Timer;
 use self::fleet::Fleet;
-use self::fleet::Reach;
+use self::fleet::Volume;
 use crate::report;
 use crate::table;
 
@@ -25,7 +25,7 @@
 
 /// Agents before each entry, of which an entry watches three times as many
 /// divided by the entries of a region.
-const AGENT_COUNTS: [usize; 3] = [0, 2, 7];
+const AGENTS_PER_ENTRY: [usize; 3] = [0, 2, 7];
 
 /// Entries of the fleets with agents.
 const AGENT_ENTRIES: usize = 45;
@@ -34,13 +34,13 @@
 const CHANGES: u8 = 5;
 
 /// Time in which a fleet settles, and over which bytes are counted.
-const SETTLE: Duration = Duration::from_secs(10);
+const SETTLE_TIME: Duration = Duration::from_secs(10);
 
 /// Longest time that a change or verdict may take.
-const LIMIT: Duration = Duration::from_mins(1);
+const TIMEOUT: Duration = Duration::from_mins(1);
 
 /// Steps in which the spreading of a change is observed.
-const STEP: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Bytes of a configuration.
 const CONFIG_BYTES: usize = 150;
@@ -49,7 +49,7 @@
 struct Figures {
     spread: Vec<Spread>,
     detection: Vec<Detection>,
-    zone: Zone,
+    zone: Outage,
     directory: directory::Figures,
 }
 
@@ -78,7 +78,7 @@
 
 /// Loss and return of one of nine zones.
 #[derive(Debug, Serialize)]
-struct Zone {
+struct Outage {
     entries: usize,
     agents: usize,
     lost_ms: u128,
@@ -132,7 +132,7 @@
     }
 }
 
-impl Zone {
+impl Outage {
     fn rows(&self) -> Vec<Vec<String>> {
         vec![
             row("entries", &self.entries),
@@ -169,11 +169,11 @@
     let rows: Vec<Vec<String>> = spread.iter().map(Spread::row).collect();
     table::print(&SPREAD_HEADER, &rows);
     println!("Heartbeats of agents ({AGENT_ENTRIES} entries)");
-    let detection: Vec<Detection> = AGENT_COUNTS.map(detection).into_iter().collect();
+    let detection: Vec<Detection> = AGENTS_PER_ENTRY.map(detection).into_iter().collect();
     let rows: Vec<Vec<String>> = detection.iter().map(Detection::row).collect();
     table::print(&DETECTION_HEADER, &rows);
     println!("Loss and return of one of 9 zones");
-    let zone = zone();
+    let zone = zone_outage();
     table::print(&["figure", "value"], &zone.rows());
     report::write(
         "member",
@@ -192,15 +192,15 @@
 
 fn spread(entries: usize) -> Spread {
     let mut fleet = Fleet::new(entries, 0);
-    fleet.run(SETTLE);
+    fleet.run(SETTLE_TIME);
     let before = fleet.bytes();
-    let clock = Clock::start();
-    fleet.run(SETTLE);
-    let elapsed = clock.spent().as_micros();
-    let idle = (fleet.bytes() - before) / SETTLE.as_secs() / entries as u64;
+    let clock = Timer::start();
+    fleet.run(SETTLE_TIME);
+    let elapsed = clock.elapsed().as_micros();
+    let idle = (fleet.bytes() - before) / SETTLE_TIME.as_secs() / entries as u64;
     let mut times = Vec::new();
     let mut bytes = 0;
-    fleet.reach = Some(Reach::default());
+    fleet.volume = Some(Volume::default());
     for number in 0..CHANGES {
         let before = fleet.bytes();
         let start = fleet.now;
@@ -218,35 +218,35 @@
             let mut entries = fleet.entries.iter();
             entries.all(|entry| entry.service(&service(number)).is_some())
         };
-        fleet.run_until(LIMIT, STEP, is_everywhere);
+        fleet.run_until(TIMEOUT, POLL_INTERVAL, is_everywhere);
         times.push(fleet.now.saturating_sub(start).as_millis());
-        fleet.run(SETTLE);
+        fleet.run(SETTLE_TIME);
         let millis = fleet.now.saturating_sub(start).as_millis();
         let all = (fleet.bytes() - before) / entries as u64;
         bytes += all.saturating_sub(idle * u64::try_from(millis).unwrap_or(0) / 1_000);
     }
     times.sort_unstable();
-    let reach = fleet.reach.unwrap_or_default();
+    let reach = fleet.volume.unwrap_or_default();
     Spread {
         entries,
         median_ms: times[times.len() / 2],
         largest_ms: times[times.len() - 1],
         bytes_per_entry: bytes / u64::from(CHANGES),
         idle_bytes_a_second: idle,
-        idle_micros_a_second: elapsed / u128::from(SETTLE.as_secs()) / entries as u128,
-        beyond_zone_percent: reach.beyond_zone * 100 / reach.all.max(1),
-        beyond_region_percent: reach.beyond_region * 100 / reach.all.max(1),
+        idle_micros_a_second: elapsed / u128::from(SETTLE_TIME.as_secs()) / entries as u128,
+        beyond_zone_percent: reach.cross_zone * 100 / reach.total.max(1),
+        beyond_region_percent: reach.cross_region * 100 / reach.total.max(1),
     }
 }
 
-fn detection(agents_each: usize) -> Detection {
-    let agents = AGENT_ENTRIES * agents_each;
+fn detection(agents_per_entry: usize) -> Detection {
+    let agents = AGENT_ENTRIES * agents_per_entry;
     let mut fleet = Fleet::new(AGENT_ENTRIES, agents);
-    fleet.run(SETTLE * 2);
+    fleet.run(SETTLE_TIME * 2);
     let before = fleet.bytes();
-    let clock = Clock::start();
-    fleet.run(SETTLE);
-    let elapsed = clock.spent().as_micros();
+    let clock = Timer::start();
+    fleet.run(SETTLE_TIME);
+    let elapsed = clock.elapsed().as_micros();
     let watched: usize = fleet
         .entries
         .iter()
@@ -256,15 +256,17 @@
         entries: AGENT_ENTRIES,
         agents,
         watched: watched / AGENT_ENTRIES,
-        entry_bytes_a_second: (fleet.bytes() - before) / SETTLE.as_secs() / AGENT_ENTRIES as u64,
-        entry_micros_a_second: elapsed / u128::from(SETTLE.as_secs()) / AGENT_ENTRIES as u128,
+        entry_bytes_a_second: (fleet.bytes() - before)
+            / SETTLE_TIME.as_secs()
+            / AGENT_ENTRIES as u64,
+        entry_micros_a_second: elapsed / u128::from(SETTLE_TIME.as_secs()) / AGENT_ENTRIES as u128,
     }
 }
 
-fn zone() -> Zone {
-    let agents = AGENT_ENTRIES * AGENT_COUNTS[2];
+fn zone_outage() -> Outage {
+    let agents = AGENT_ENTRIES * AGENTS_PER_ENTRY[2];
     let mut fleet = Fleet::new(AGENT_ENTRIES, agents);
-    fleet.run(SETTLE * 2);
+    fleet.run(SETTLE_TIME * 2);
     let lost_agents = agents / fleet::ZONES;
     let downs = |fleet: &Fleet, wanted: usize| {
         let entries = (0..AGENT_ENTRIES).filter(|number| !fleet.is_frozen(*number));
@@ -278,19 +280,19 @@
     let before = fleet.bytes();
     let start = fleet.now;
     fleet.frozen_zone = Some(0);
-    fleet.run_until(LIMIT, STEP, |fleet| downs(fleet, lost_agents));
+    fleet.run_until(TIMEOUT, POLL_INTERVAL, |fleet| downs(fleet, lost_agents));
     let lost_ms = fleet.now.saturating_sub(start).as_millis();
-    fleet.run(SETTLE);
+    fleet.run(SETTLE_TIME);
     let loss_seconds = fleet.now.saturating_sub(start).as_secs();
     let loss_bytes = fleet.bytes() - before;
     let before = fleet.bytes();
     let start = fleet.now;
     fleet.frozen_zone = None;
-    fleet.run_until(LIMIT, STEP, |fleet| downs(fleet, 0));
+    fleet.run_until(TIMEOUT, POLL_INTERVAL, |fleet| downs(fleet, 0));
     let back_ms = fleet.now.saturating_sub(start).as_millis();
-    fleet.run(SETTLE);
+    fleet.run(SETTLE_TIME);
     let return_seconds = fleet.now.saturating_sub(start).as_secs();
-    Zone {
+    Outage {
         entries: AGENT_ENTRIES,
         agents,
         lost_ms,
--- a/tools/bench/src/member/clock.rs
+++ b/tools/bench/src/member/cpu.rs
@@ -3,24 +3,26 @@
 use std::time::Duration;
 
 /// Measures processor time from its start.
-pub struct Clock {
+pub struct Timer {
     started: Duration,
 }
 
-impl Clock {
+impl Timer {
     /// Starts to measure.
     pub fn start() -> Self {
-        Self { started: used() }
+        Self {
+            started: cpu_time(),
+        }
     }
 
     /// Processor time since the start.
-    pub fn spent(&self) -> Duration {
-        used().saturating_sub(self.started)
+    pub fn elapsed(&self) -> Duration {
+        cpu_time().saturating_sub(self.started)
     }
 }
 
 /// Processor time of the only thread: the first field of `schedstat`.
-fn used() -> Duration {
+fn cpu_time() -> Duration {
     let schedstat = fs::read_to_string("/proc/self/schedstat").unwrap_or_default();
     let nanos = schedstat.split_whitespace().next();
     Duration::from_nanos(nanos.and_then(|nanos| nanos.parse().ok()).unwrap_or(0))
--- a/tools/bench/src/member/directory.rs
+++ b/tools/bench/src/member/directory.rs
@@ -14,7 +14,7 @@
 use member::message::Subject;
 use serde::Serialize;
 
-use super::clock::Clock;
+use super::cpu::Timer;
 use super::fleet;
 use super::row;
 
@@ -30,7 +30,7 @@
 const WATCHED: usize = TARGETS * 3 / ENTRIES;
 
 /// Seconds of heartbeats that are measured.
-const SECONDS: u64 = 20;
+const HEARTBEAT_SECONDS: u64 = 20;
 
 /// Bytes of a page of memory.
 const PAGE_BYTES: u64 = 4_096;
@@ -85,24 +85,24 @@
         })
     });
     let targets = (0..TARGETS).map(|number| Record::Target(fleet::target(number)));
-    let clock = Clock::start();
+    let clock = Timer::start();
     let mut records = entries.chain(services).chain(targets).peekable();
     let mut count = 0;
     while records.peek().is_some() {
         let records: Vec<Record> = records.by_ref().take(PUSH_RECORDS).collect();
         count += records.len();
-        push(&mut registry, now, own, records);
+        deliver_push(&mut registry, now, own, records);
     }
-    let elapsed = clock.spent().as_nanos();
+    let elapsed = clock.elapsed().as_nanos();
     registry.tick(now, &mut Vec::new());
     registry.changes();
     let memory_bytes = resident_bytes().saturating_sub(memory);
-    let steady_micros_a_second = steady(&mut registry, own);
+    let steady_micros_a_second = steady_micros_a_second(&mut registry, own);
     let mut changed = fleet::identity(5);
     changed.incarnation += 1;
-    let clock = Clock::start();
-    push(&mut registry, now, own, vec![fleet::record(&changed)]);
-    heartbeats(&mut registry, now, own, SECONDS + 1);
+    let clock = Timer::start();
+    deliver_push(&mut registry, now, own, vec![fleet::record(&changed)]);
+    deliver_heartbeats(&mut registry, now, own, HEARTBEAT_SECONDS + 1);
     Figures {
         entries: ENTRIES,
         targets: TARGETS,
@@ -112,25 +112,25 @@
         merge_nanos: elapsed / count as u128,
         watched: registry.status().watched,
         steady_micros_a_second,
-        fleet_change_micros: clock.spent().as_micros(),
+        fleet_change_micros: clock.elapsed().as_micros(),
     }
 }
 
 /// Time of a second with heartbeats of all watched agents and four rounds.
-fn steady(registry: &mut Registry, own: SocketAddr) -> u128 {
-    let clock = Clock::start();
-    for second in 1..=SECONDS {
+fn steady_micros_a_second(registry: &mut Registry, own: SocketAddr) -> u128 {
+    let clock = Timer::start();
+    for second in 1..=HEARTBEAT_SECONDS {
         let now = Duration::from_secs(second);
-        heartbeats(registry, now, own, second);
+        deliver_heartbeats(registry, now, own, second);
         while registry.next_deadline() <= now {
             let next = registry.next_deadline();
             registry.tick(next, &mut Vec::new());
         }
     }
-    clock.spent().as_micros() / u128::from(SECONDS)
+    clock.elapsed().as_micros() / u128::from(HEARTBEAT_SECONDS)
 }
 
-fn heartbeats(registry: &mut Registry, now: Duration, own: SocketAddr, sequence: u64) {
+fn deliver_heartbeats(registry: &mut Registry, now: Duration, own: SocketAddr, sequence: u64) {
     for number in 0..WATCHED {
         let target = fleet::target(number);
         let from = target.address;
@@ -146,7 +146,7 @@
     }
 }
 
-fn push(registry: &mut Registry, now: Duration, from: SocketAddr, records: Vec<Record>) {
+fn deliver_push(registry: &mut Registry, now: Duration, from: SocketAddr, records: Vec<Record>) {
     let push = Push {
         hot: false,
         records,
--- a/tools/bench/src/member/fleet.rs
+++ b/tools/bench/src/member/fleet.rs
@@ -24,10 +24,10 @@
 const ZONES_PER_REGION: usize = 3;
 
 /// Targets of one service.
-const TARGETS: usize = 13;
+const TARGETS_PER_SERVICE: usize = 13;
 
 /// Time on the way between two processes.
-const DELAY: Duration = Duration::from_micros(1_500);
+const ONE_WAY_DELAY: Duration = Duration::from_micros(1_500);
 
 /// Records in one message while the entries are introduced to each other.
 const PUSH_RECORDS: usize = 20;
@@ -41,31 +41,31 @@
     /// Number of a zone whose processes neither run nor receive.
     pub frozen_zone: Option<usize>,
     /// Bytes sent by where they went, while they are counted.
-    pub reach: Option<Reach>,
+    pub volume: Option<Volume>,
     agents: Vec<Announcer>,
-    numbers: HashMap<SocketAddr, Number>,
-    queue: BTreeMap<(Duration, u64), Parcel>,
+    processes: HashMap<SocketAddr, Process>,
+    queue: BTreeMap<(Duration, u64), Envelope>,
     sent: u64,
 }
 
 /// Bytes by how far they went.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Reach {
+pub struct Volume {
     /// All bytes.
-    pub all: u64,
+    pub total: u64,
     /// Bytes to other zones, those to other regions included.
-    pub beyond_zone: u64,
+    pub cross_zone: u64,
     /// Bytes to other regions.
-    pub beyond_region: u64,
+    pub cross_region: u64,
 }
 
 #[derive(Clone, Copy)]
-enum Number {
+enum Process {
     Entry(usize),
     Agent(usize),
 }
 
-struct Parcel {
+struct Envelope {
     from: SocketAddr,
     to: SocketAddr,
     message: Message,
@@ -79,7 +79,7 @@
         let identities: Vec<Identity> = (0..entries).map(identity).collect();
         let mut numbers = HashMap::new();
         for (number, identity) in identities.iter().enumerate() {
-            numbers.insert(identity.address, Number::Entry(number));
+            numbers.insert(identity.address, Process::Entry(number));
         }
         let records: Vec<Record> = identities.iter().map(record).collect();
         let introduce = |(number, identity): (usize, &Identity)| {
@@ -97,7 +97,7 @@
         let announce = |number| {
             let target = target(number);
             let near = (0..3).map(|seed| address(0, (number + seed * 7) % entries));
-            numbers.insert(target.address, Number::Agent(number));
+            numbers.insert(target.address, Process::Agent(number));
             Announcer::new(settings.clone(), target, near.collect(), number as u64, now)
         };
         let agents = (0..agents).map(announce).collect();
@@ -105,9 +105,9 @@
             now,
             entries: registries,
             frozen_zone: None,
-            reach: None,
+            volume: None,
             agents,
-            numbers,
+            processes: numbers,
             queue: BTreeMap::new(),
             sent: 0,
         }
@@ -161,13 +161,13 @@
         for number in 0..self.entries.len() {
             if !self.is_frozen(number) && self.entries[number].next_deadline() <= tick {
                 self.entries[number].tick(tick, &mut actions);
-                self.post(address(0, number), &mut actions);
+                self.send(address(0, number), &mut actions);
             }
         }
         for number in 0..self.agents.len() {
             if !self.is_frozen(number) && self.agents[number].next_deadline() <= tick {
                 self.agents[number].tick(tick, &mut actions);
-                self.post(address(1, number), &mut actions);
+                self.send(address(1, number), &mut actions);
             }
         }
     }
@@ -179,40 +179,40 @@
             if at > end {
                 return;
             }
-            let Parcel { from, to, message } = first.remove();
+            let Envelope { from, to, message } = first.remove();
             self.now = at;
-            match self.numbers.get(&to).copied() {
-                Some(Number::Entry(number)) if !self.is_frozen(number) => {
+            match self.processes.get(&to).copied() {
+                Some(Process::Entry(number)) if !self.is_frozen(number) => {
                     self.entries[number].handle(at, from, message, &mut actions);
                 }
-                Some(Number::Agent(number)) if !self.is_frozen(number) => {
+                Some(Process::Agent(number)) if !self.is_frozen(number) => {
                     self.agents[number].handle(at, from, message, &mut actions);
                 }
                 _ => {}
             }
-            self.post(to, &mut actions);
+            self.send(to, &mut actions);
         }
     }
 
-    fn post(&mut self, from: SocketAddr, actions: &mut Vec<Action>) {
+    fn send(&mut self, from: SocketAddr, actions: &mut Vec<Action>) {
         for Action::Send { to, message } in actions.drain(..) {
             self.sent += 1;
-            if let Some(reach) = &mut self.reach {
+            if let Some(reach) = &mut self.volume {
                 reach.count(zone_of(from), zone_of(to), message.datagram_bytes());
             }
-            let at = (self.now + DELAY, self.sent);
-            self.queue.insert(at, Parcel { from, to, message });
+            let at = (self.now + ONE_WAY_DELAY, self.sent);
+            self.queue.insert(at, Envelope { from, to, message });
         }
     }
 }
 
-impl Reach {
+impl Volume {
     fn count(&mut self, from: ZoneId, to: ZoneId, bytes: u64) {
         let [region, _] = from.to_be_bytes();
         let [other, _] = to.to_be_bytes();
-        self.all += bytes;
-        self.beyond_zone += if from == to { 0 } else { bytes };
-        self.beyond_region += if region == other { 0 } else { bytes };
+        self.total += bytes;
+        self.cross_zone += if from == to { 0 } else { bytes };
+        self.cross_region += if region == other { 0 } else { bytes };
     }
 }
 
@@ -246,7 +246,7 @@
 
 /// The target with this number.
 pub fn target(number: usize) -> Target {
-    let service = service(number / TARGETS);
+    let service = service(number / TARGETS_PER_SERVICE);
     Target {
         id: wire::id::target_id(service, address(2, number)),
         service,
--- a/tools/bench/src/place.rs
+++ b/tools/bench/src/place.rs
@@ -8,8 +8,8 @@
 mod policy;
 mod report;
 mod server;
+mod simulation;
 mod trial;
-mod world;
 
 use std::error::Error;
 
--- a/tools/bench/src/place/outcome.rs
+++ b/tools/bench/src/place/outcome.rs
@@ -4,15 +4,15 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-use super::trial::END;
-use super::trial::WARM;
+use super::trial::RUN_END;
+use super::trial::WARM_UP_END;
 
 /// Largest latency that is told apart, in microseconds.
 const MAX_LATENCY_US: u64 = 120_000_000;
 
 /// Counts during the measurement of one run.
 #[derive(Debug)]
-pub struct Count {
+pub struct Recorder {
     latency: Histogram<u64>,
     /// Latencies by second of the run, in microseconds.
     seconds: Vec<Vec<u64>>,
@@ -21,7 +21,7 @@
     /// Requests refused or expired.
     pub refused: u64,
     /// Requests that ran away from the holder.
-    pub travelled: u64,
+    pub forwarded: u64,
     /// Messages between agents.
     pub messages: u64,
 }
@@ -47,28 +47,28 @@
     pub p99_by_second_ms: Vec<f64>,
 }
 
-impl Count {
+impl Recorder {
     /// Starts counting.
     pub fn new() -> Self {
         Self {
             latency: Histogram::new_with_bounds(1, MAX_LATENCY_US, 3)
                 .expect("the bounds are in range"),
-            seconds: vec![Vec::new(); usize::try_from(END.as_secs()).unwrap_or(0) + 1],
+            seconds: vec![Vec::new(); usize::try_from(RUN_END.as_secs()).unwrap_or(0) + 1],
             issued: 0,
             refused: 0,
-            travelled: 0,
+            forwarded: 0,
             messages: 0,
         }
     }
 
     /// Counts an answer.
-    pub fn answer(&mut self, now: Duration, latency: Duration) {
+    pub fn record_answer(&mut self, now: Duration, latency: Duration) {
         let micros = u64::try_from(latency.as_micros()).unwrap_or(u64::MAX);
         let second = usize::try_from(now.as_secs()).unwrap_or(usize::MAX);
         if let Some(second) = self.seconds.get_mut(second) {
             second.push(micros);
         }
-        if now >= WARM {
+        if now >= WARM_UP_END {
             self.latency.saturating_record(micros);
         }
     }
@@ -80,13 +80,13 @@
         let quantile = |q| self.latency.value_at_quantile(q) as f64 / 1e3;
         let mean = utilisation.iter().sum::<f64>() / utilisation.len() as f64;
         let most = utilisation.iter().copied().fold(0.0, f64::max);
-        let minutes = END.saturating_sub(WARM).as_secs_f64() / 60.0;
+        let minutes = RUN_END.saturating_sub(WARM_UP_END).as_secs_f64() / 60.0;
         Outcome {
             p50_ms: quantile(0.5),
             p99_ms: quantile(0.99),
             refused: self.refused as f64 / issued,
             imbalance: most / mean,
-            travelled: self.travelled as f64 / issued,
+            travelled: self.forwarded as f64 / issued,
             messages: self.messages as f64 / issued,
             weight_changes: changes as f64 / utilisation.len() as f64 / minutes,
             p99_by_second_ms: self.seconds.iter_mut().map(|second| p99(second)).collect(),
--- a/tools/bench/src/place/plot.rs
+++ b/tools/bench/src/place/plot.rs
@@ -25,10 +25,10 @@
 ];
 
 /// Latencies below this are drawn at the foot, in milliseconds.
-const LEAST_MS: f64 = 10.0;
+const MIN_LATENCY_MS: f64 = 10.0;
 
 /// Latencies above this are drawn at the top, in milliseconds.
-const MOST_MS: f64 = 100_000.0;
+const MAX_LATENCY_MS: f64 = 100_000.0;
 
 /// Writes the plots of the results that were run.
 pub fn save(results: &[Results], plots: &Path) -> Result<(), Box<dyn Error>> {
@@ -56,7 +56,7 @@
         .margin(10)
         .x_label_area_size(40)
         .y_label_area_size(70)
-        .build_cartesian_2d(60..seconds, (LEAST_MS..MOST_MS).log_scale())?;
+        .build_cartesian_2d(60..seconds, (MIN_LATENCY_MS..MAX_LATENCY_MS).log_scale())?;
     let mut mesh = chart.configure_mesh();
     mesh.x_desc("second")
         .y_desc("ms")
@@ -65,9 +65,9 @@
     for (row, colour) in results.rows.iter().zip(COLOURS) {
         let points = (0..).zip(&row.outcome.p99_by_second_ms);
         let points = points.filter(|&(second, _)| second >= 60);
-        let points = points.map(|(second, &ms)| (second, ms.clamp(LEAST_MS, MOST_MS)));
+        let points = points.map(|(second, &ms)| (second, ms.clamp(MIN_LATENCY_MS, MAX_LATENCY_MS)));
         let line = chart.draw_series(LineSeries::new(points, colour))?;
-        line.label(&row.name).legend(key(colour));
+        line.label(&row.name).legend(legend_line(colour));
     }
     let mut labels = chart.configure_series_labels();
     labels
@@ -95,7 +95,7 @@
         .configure_mesh()
         .disable_x_mesh()
         .x_labels(end)
-        .x_label_formatter(&|x| middle(trials, *x, width))
+        .x_label_formatter(&|x| group_label(trials, *x, width))
         .label_style(FONT)
         .draw()?;
     for policy in 0..policies {
@@ -107,7 +107,7 @@
         };
         let bars = chart.draw_series(trials.iter().enumerate().map(bar))?;
         let row: &Row = &trials[0].rows[policy];
-        bars.label(&row.name).legend(key(colour));
+        bars.label(&row.name).legend(legend_line(colour));
     }
     let mut labels = chart.configure_series_labels();
     labels
@@ -120,13 +120,13 @@
 }
 
 /// The name of a group of bars, below its middle.
-fn middle(trials: &[&Results], x: usize, width: usize) -> String {
+fn group_label(trials: &[&Results], x: usize, width: usize) -> String {
     match trials.get(x / width) {
         Some(results) if x % width == width / 2 => results.name.clone(),
         _ => String::new(),
     }
 }
 
-fn key(colour: RGBColor) -> impl Fn((i32, i32)) -> PathElement<(i32, i32)> {
+fn legend_line(colour: RGBColor) -> impl Fn((i32, i32)) -> PathElement<(i32, i32)> {
     move |(x, y)| PathElement::new(vec![(x, y), (x + 20, y)], colour.stroke_width(3))
 }
--- a/tools/bench/src/place/policy.rs
+++ b/tools/bench/src/place/policy.rs
@@ -9,7 +9,7 @@
     /// How the holder of a flow is found.
     pub place: Place,
     /// How a busy holder passes single requests on.
-    pub pass: Option<Pass>,
+    pub pass: Option<Forwarding>,
 }
 
 /// How the holder of a flow is found.
@@ -46,7 +46,7 @@
 
 /// How a busy holder passes single requests on.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct Pass {
+pub struct Forwarding {
     /// Other targets that are asked.
     pub width: usize,
     /// Expected wait above which a request is passed on.
--- a/tools/bench/src/place/report.rs
+++ b/tools/bench/src/place/report.rs
@@ -7,11 +7,11 @@
 
 use super::outcome::Outcome;
 use super::policy::Policy;
+use super::simulation::Simulation;
 use super::trial::Fault;
 use super::trial::Fleet;
 use super::trial::Trial;
 use super::trial::Work;
-use super::world::World;
 use crate::table;
 
 /// The results of a trial.
@@ -86,7 +86,7 @@
 
 fn median(trial: &Trial, policy: Policy, seeds: u64) -> Outcome {
     let outcomes: Vec<Outcome> = (1..=seeds)
-        .map(|seed| World::run(trial, policy, seed))
+        .map(|seed| Simulation::run(trial, policy, seed))
         .collect();
     Outcome::median(&outcomes)
 }
--- a/tools/bench/src/place/server.rs
+++ b/tools/bench/src/place/server.rs
@@ -12,14 +12,14 @@
 use super::policy::Signal;
 use super::trial::COLD_END;
 use super::trial::DEADLINE;
-use super::trial::FASTEST;
+use super::trial::FASTEST_SERVICE_TIME;
 use super::trial::FAULT_START;
 use super::trial::Fault;
 use super::trial::Fleet;
 use super::trial::SLOW_END;
 use super::trial::SLOW_FACTOR;
-use super::trial::SLOWEST;
-use super::trial::WARM;
+use super::trial::SLOWEST_SERVICE_TIME;
+use super::trial::WARM_UP_END;
 
 /// A backend server and the gate of the agent beside it.
 #[derive(Debug)]
@@ -48,8 +48,11 @@
     pub fn new(index: usize, fleet: Fleet, fault: Fault, seed: u64) -> Self {
         #[allow(clippy::cast_precision_loss)]
         let place = index as f64 / (fleet.targets - 1) as f64;
-        let (fast, slow) = (FASTEST.as_secs_f64(), SLOWEST.as_secs_f64());
-        let gate = gate(fleet.slots, seed, Duration::ZERO);
+        let (fast, slow) = (
+            FASTEST_SERVICE_TIME.as_secs_f64(),
+            SLOWEST_SERVICE_TIME.as_secs_f64(),
+        );
+        let gate = new_gate(fleet.slots, seed, Duration::ZERO);
         Self {
             held: 0,
             reported: 0.0,
@@ -61,7 +64,7 @@
             mean: fast + (slow - fast) * place,
             fault,
             index,
-            faulty: index == fleet.faulty(),
+            faulty: index == fleet.faulty_target(),
             seed,
         }
     }
@@ -77,10 +80,10 @@
     }
 
     /// Draws the service time of a job that starts now.
-    pub fn draw(&mut self, now: Duration, random: &mut Rng) -> Duration {
-        let factor = if self.slow(now) { SLOW_FACTOR } else { 1.0 };
+    pub fn draw_service_time(&mut self, now: Duration, random: &mut Rng) -> Duration {
+        let factor = if self.is_slow(now) { SLOW_FACTOR } else { 1.0 };
         let time = self.mean * factor * (0.5 + random.f64());
-        if now >= WARM {
+        if now >= WARM_UP_END {
             self.busy += time;
         }
         Duration::from_secs_f64(time)
@@ -88,22 +91,22 @@
 
     /// Replaces the agent's knowledge, as a restart does.
     pub fn restart(&mut self, now: Duration) {
-        self.gate = gate(self.slots, self.seed, now);
+        self.gate = new_gate(self.slots, self.seed, now);
         self.load = Load::new(load::Settings::default(), now);
     }
 
     /// Notes a request of a held flow that has had another before.
-    pub fn note_request(&mut self, now: Duration) {
+    pub fn record_request(&mut self, now: Duration) {
         self.load.request(now);
     }
 
     /// Notes that a flow is held here from now on.
-    pub fn note_open(&mut self) {
+    pub fn record_open(&mut self) {
         self.held += 1;
     }
 
     /// What the load endpoint says.
-    pub fn report(&mut self) {
+    pub fn update_report(&mut self) {
         let jobs = self.gate.queued() + usize::from(self.gate.running().total());
         #[allow(clippy::cast_precision_loss)]
         let load = jobs as f64 / f64::from(self.slots);
@@ -128,7 +131,7 @@
         Bid { free, wait, load }
     }
 
-    fn slow(&self, now: Duration) -> bool {
+    fn is_slow(&self, now: Duration) -> bool {
         let end = match self.fault {
             Fault::Slow => SLOW_END,
             Fault::Cold => COLD_END,
@@ -138,7 +141,7 @@
     }
 }
 
-fn gate(slots: u16, seed: u64, now: Duration) -> Gate {
+fn new_gate(slots: u16, seed: u64, now: Duration) -> Gate {
     let settings = Settings {
         slots,
         max_wait: DEADLINE,
--- a/tools/bench/src/place/world.rs
+++ b/tools/bench/src/place/simulation.rs
@@ -16,18 +16,18 @@
 use wire::Target;
 use wire::target::State;
 
-use super::outcome::Count;
 use super::outcome::Outcome;
+use super::outcome::Recorder;
 use super::policy::Place;
 use super::policy::Policy;
 use super::server::Server;
-use super::trial::END;
 use super::trial::FAULT_START;
-use super::trial::FLOW_LIFE;
 use super::trial::Fault;
-use super::trial::HOP;
+use super::trial::HOP_DELAY;
+use super::trial::MEAN_FLOW_LIFETIME;
+use super::trial::RUN_END;
 use super::trial::Trial;
-use super::trial::WARM;
+use super::trial::WARM_UP_END;
 use super::trial::Work;
 use request::Request;
 
@@ -36,7 +36,7 @@
 const RATE_SIGMA: f64 = 1.25;
 
 /// Time over which the long flows are opened at the start.
-const RAMP: Duration = Duration::from_secs(20);
+const RAMP_UP_TIME: Duration = Duration::from_secs(20);
 
 #[derive(Debug)]
 enum Event {
@@ -49,17 +49,17 @@
     /// A flow's next request reaches the holder.
     Request { flow: usize, life: u32 },
     /// A passed request reaches another agent.
-    Ask {
+    Forward {
         request: usize,
         target: usize,
-        settle: bool,
+        must_queue: bool,
     },
     /// The other agent did not run it.
     NotRun { request: usize, wait: Duration },
     /// A backend server has answered.
     Done { request: usize, target: usize },
     /// A gate's deadline.
-    Wake(usize),
+    GateTimer(usize),
     /// Agents report and entries rebuild their order.
     Report,
     /// The agent beside a target restarts.
@@ -78,45 +78,45 @@
     key: u64,
     holder: usize,
     rate: f64,
-    life: u32,
+    generation: u32,
     /// Whether a request has come in this life.
-    asked: bool,
+    has_requested: bool,
 }
 
 /// One run.
-pub struct World {
+pub struct Simulation {
     trial: Trial,
     policy: Policy,
     now: Duration,
     sequence: u64,
     events: BTreeMap<Due, Event>,
-    wakes: Vec<Option<Duration>>,
+    gate_timers: Vec<Option<Duration>>,
     servers: Vec<Server>,
     flows: Vec<Flow>,
     requests: Vec<Request>,
     order: Order,
-    turns: [usize; ENTRIES],
+    next_targets: [usize; ENTRIES],
     random: Rng,
-    count: Count,
-    changes: u64,
+    recorder: Recorder,
+    weight_changes: u64,
 }
 
-impl World {
+impl Simulation {
     /// Runs a trial under a policy.
     pub fn run(trial: &Trial, policy: Policy, seed: u64) -> Outcome {
         let mut world = Self::new(trial, policy, seed);
         world.start();
         while let Some((due, event)) = world.events.pop_first() {
-            if due.time >= END {
+            if due.time >= RUN_END {
                 break;
             }
             world.now = due.time;
-            world.handle(event);
+            world.process(event);
         }
-        let measured = END.saturating_sub(WARM);
+        let measured = RUN_END.saturating_sub(WARM_UP_END);
         let servers = world.servers.iter();
         let utilisation: Vec<f64> = servers.map(|server| server.utilisation(measured)).collect();
-        world.count.finish(&utilisation, world.changes)
+        world.recorder.finish(&utilisation, world.weight_changes)
     }
 
     fn new(trial: &Trial, policy: Policy, seed: u64) -> Self {
@@ -128,22 +128,25 @@
             now: Duration::ZERO,
             sequence: 0,
             events: BTreeMap::new(),
-            wakes: vec![None; servers.len()],
+            gate_timers: vec![None; servers.len()],
             order: order(&servers),
             servers,
             flows: Vec::new(),
             requests: Vec::new(),
-            turns: [0; ENTRIES],
+            next_targets: [0; ENTRIES],
             random: Rng::with_seed(seed),
-            count: Count::new(),
-            changes: 0,
+            recorder: Recorder::new(),
+            weight_changes: 0,
         }
     }
 
     fn start(&mut self) {
-        self.plan(REPORT_INTERVAL, Event::Report);
+        self.schedule(REPORT_INTERVAL, Event::Report);
         if self.trial.fault == Fault::Cold {
-            self.plan(FAULT_START, Event::Restart(self.trial.fleet.faulty()));
+            self.schedule(
+                FAULT_START,
+                Event::Restart(self.trial.fleet.faulty_target()),
+            );
         }
         match self.trial.work {
             Work::Single { .. } => self.open_single(),
@@ -163,11 +166,11 @@
             key: flow_key,
             holder: 0,
             rate: 0.0,
-            life: 0,
-            asked: false,
+            generation: 0,
+            has_requested: false,
         });
         let pause = self.exponential(1.0 / self.offered());
-        self.plan(pause, Event::Open(flow));
+        self.schedule(pause, Event::Open(flow));
     }
 
     fn open_long(&mut self, flows: usize) {
@@ -181,28 +184,28 @@
                 key,
                 holder: 0,
                 rate: weight / sum * offered,
-                life: 0,
-                asked: false,
+                generation: 0,
+                has_requested: false,
             });
-            let pause = RAMP.mul_f64(self.random.f64());
-            self.plan(pause, Event::Open(flow));
+            let pause = RAMP_UP_TIME.mul_f64(self.random.f64());
+            self.schedule(pause, Event::Open(flow));
         }
     }
 
-    fn handle(&mut self, event: Event) {
+    fn process(&mut self, event: Event) {
         match event {
             Event::Open(flow) => self.open(flow),
             Event::Visit { flow, relay } => self.visit(flow, *relay),
             Event::Close(flow) => self.close(flow),
             Event::Request { flow, life } => self.request(flow, life),
-            Event::Ask {
+            Event::Forward {
                 request,
                 target,
-                settle,
-            } => self.ask(request, target, settle),
+                must_queue: settle,
+            } => self.receive_forwarded(request, target, settle),
             Event::NotRun { request, wait } => self.not_run(request, wait),
             Event::Done { request, target } => self.done(request, target),
-            Event::Wake(target) => self.wake(target),
+            Event::GateTimer(target) => self.expire_queued(target),
             Event::Report => self.report(),
             Event::Restart(target) => self.servers[target].restart(self.now),
         }
@@ -215,22 +218,22 @@
         match self.policy.place {
             Place::Hash => {
                 let home = self.path(flow, 1)[0];
-                self.hold(flow, home);
+                self.assign(flow, home);
             }
             Place::RoundRobin => {
                 let entry = self.random.usize(..ENTRIES);
-                self.turns[entry] += 1;
-                self.hold(flow, self.turns[entry] % self.servers.len());
+                self.next_targets[entry] += 1;
+                self.assign(flow, self.next_targets[entry] % self.servers.len());
             }
             Place::BestOfTwo => {
                 let two = self.random.choose_multiple(0..self.servers.len(), 2);
                 let load = |&target: &usize| self.servers[target].reported;
                 let best = two.into_iter().min_by(|a, b| load(a).total_cmp(&load(b)));
-                self.hold(flow, best.unwrap_or(0));
+                self.assign(flow, best.unwrap_or(0));
             }
             Place::Hunt { width, .. } => {
                 let path = self.path(flow, width);
-                self.visit(flow, relay(&path));
+                self.visit(flow, new_relay(&path));
             }
         }
     }
@@ -247,26 +250,26 @@
         let target = index(relay.path[usize::from(relay.position)].target);
         let bid = self.servers[target].bid(self.now, signal);
         match hunt::step(relay, bid) {
-            Step::Take => self.hold(flow, target),
-            Step::Refuse => self.count.refused += 1,
+            Step::Take => self.assign(flow, target),
+            Step::Refuse => self.recorder.refused += 1,
             Step::Forward(relay) => {
-                self.count.messages += u64::from(self.now >= WARM);
+                self.recorder.messages += u64::from(self.now >= WARM_UP_END);
                 let relay = Box::new(relay);
-                self.plan(HOP, Event::Visit { flow, relay });
+                self.schedule(HOP_DELAY, Event::Visit { flow, relay });
             }
         }
     }
 
-    fn hold(&mut self, flow: usize, holder: usize) {
+    fn assign(&mut self, flow: usize, holder: usize) {
         self.flows[flow].holder = holder;
-        self.servers[holder].note_open();
+        self.servers[holder].record_open();
         match self.trial.work {
             Work::Single { gap } if gap.is_zero() => self.request(flow, 0),
-            Work::Single { gap } => self.plan(gap, Event::Request { flow, life: 0 }),
+            Work::Single { gap } => self.schedule(gap, Event::Request { flow, life: 0 }),
             Work::Long { .. } => {
-                let life = self.exponential(FLOW_LIFE.as_secs_f64());
-                self.plan(life, Event::Close(flow));
-                self.plan_request(flow);
+                let life = self.exponential(MEAN_FLOW_LIFETIME.as_secs_f64());
+                self.schedule(life, Event::Close(flow));
+                self.schedule_request(flow);
             }
         }
     }
@@ -274,30 +277,30 @@
     fn close(&mut self, flow: usize) {
         let holder = self.flows[flow].holder;
         self.servers[holder].held -= 1;
-        self.flows[flow].life += 1;
-        self.flows[flow].asked = false;
+        self.flows[flow].generation += 1;
+        self.flows[flow].has_requested = false;
         self.flows[flow].key = self.random.u64(..);
         self.open(flow);
     }
 
-    fn plan_request(&mut self, flow: usize) {
+    fn schedule_request(&mut self, flow: usize) {
         let pause = self.exponential(1.0 / self.flows[flow].rate);
-        let life = self.flows[flow].life;
-        self.plan(pause, Event::Request { flow, life });
+        let life = self.flows[flow].generation;
+        self.schedule(pause, Event::Request { flow, life });
     }
 
     fn report(&mut self) {
         for server in &mut self.servers {
-            server.report();
+            server.update_report();
             let weight = server.gate.weight();
-            self.changes += u64::from(weight != server.weight && self.now >= WARM);
+            self.weight_changes += u64::from(weight != server.weight && self.now >= WARM_UP_END);
             server.weight = weight;
         }
         self.order = order(&self.servers);
-        self.plan(REPORT_INTERVAL, Event::Report);
+        self.schedule(REPORT_INTERVAL, Event::Report);
     }
 
-    fn plan(&mut self, pause: Duration, event: Event) {
+    fn schedule(&mut self, pause: Duration, event: Event) {
         self.sequence += 1;
         let due = Due {
             time: self.now + pause,
@@ -351,7 +354,7 @@
     index(target.id)
 }
 
-fn relay(path: &[usize]) -> Relay {
+fn new_relay(path: &[usize]) -> Relay {
     let hop = |&target: &usize| Hop {
         target: target as u64,
         address: ADDRESS,
--- a/tools/bench/src/place/trial.rs
+++ b/tools/bench/src/place/trial.rs
@@ -3,8 +3,8 @@
 
 use serde::Serialize;
 
+use super::policy::Forwarding;
 use super::policy::Key;
-use super::policy::Pass;
 use super::policy::Place;
 use super::policy::Policy;
 use super::policy::Signal;
@@ -38,35 +38,35 @@
 
 impl Fleet {
     /// The target that a fault befalls.
-    pub const fn faulty(self) -> usize {
+    pub const fn faulty_target(self) -> usize {
         self.targets / 2
     }
 }
 
 /// Mean service time of the fastest target.
-pub const FASTEST: Duration = Duration::from_millis(20);
+pub const FASTEST_SERVICE_TIME: Duration = Duration::from_millis(20);
 
 /// Mean service time of the slowest target.
-pub const SLOWEST: Duration = Duration::from_millis(80);
+pub const SLOWEST_SERVICE_TIME: Duration = Duration::from_millis(80);
 
 /// Offered load over the capacity of all targets, but for one trial.
-const LOAD: f64 = 0.85;
+const DEFAULT_LOAD: f64 = 0.85;
 
 /// Offered load over the capacity of all targets of the trial with spare
 /// capacity.
 const SPARE_LOAD: f64 = 0.57;
 
 /// Length of a run.
-pub const END: Duration = Duration::from_mins(3);
+pub const RUN_END: Duration = Duration::from_mins(3);
 
 /// Start of the measurement.
-pub const WARM: Duration = Duration::from_mins(1);
+pub const WARM_UP_END: Duration = Duration::from_mins(1);
 
 /// One-way delay between two hosts.
-pub const HOP: Duration = Duration::from_micros(1500);
+pub const HOP_DELAY: Duration = Duration::from_micros(1500);
 
 /// Mean time that a long flow is held.
-pub const FLOW_LIFE: Duration = Duration::from_mins(1);
+pub const MEAN_FLOW_LIFETIME: Duration = Duration::from_mins(1);
 
 /// Time that a caller allows for a request.
 pub const DEADLINE: Duration = Duration::from_secs(30);
@@ -138,19 +138,29 @@
     let roster = |kind, work, fault, policies| trial("roster", kind, ROSTER, work, fault, policies);
     trials.push(Trial {
         load: SPARE_LOAD,
-        ..roster("spare few bound", few, Fault::None, bounds())
+        ..roster("spare few bound", few, Fault::None, bound_policies())
     });
     trials.extend([
-        roster("few bound", few, Fault::None, bounds()),
-        roster("few independent", few, Fault::None, passes()),
-        roster("single with gap", gap, Fault::None, singles()),
-        roster("single lies", SINGLE, Fault::Lies, singles()),
-        roster("single slow", SINGLE, Fault::Slow, singles()),
-        roster("single cold", SINGLE, Fault::Cold, singles()),
-        roster("bound slow", long, Fault::Slow, bounds()),
-        roster("bound cold", long, Fault::Cold, bounds()),
-        roster("independent slow", long, Fault::Slow, passes()),
-        roster("independent cold", long, Fault::Cold, passes()),
+        roster("few bound", few, Fault::None, bound_policies()),
+        roster("few independent", few, Fault::None, independent_policies()),
+        roster("single with gap", gap, Fault::None, single_policies()),
+        roster("single lies", SINGLE, Fault::Lies, single_policies()),
+        roster("single slow", SINGLE, Fault::Slow, single_policies()),
+        roster("single cold", SINGLE, Fault::Cold, single_policies()),
+        roster("bound slow", long, Fault::Slow, bound_policies()),
+        roster("bound cold", long, Fault::Cold, bound_policies()),
+        roster(
+            "independent slow",
+            long,
+            Fault::Slow,
+            independent_policies(),
+        ),
+        roster(
+            "independent cold",
+            long,
+            Fault::Cold,
+            independent_policies(),
+        ),
     ]);
     trials
 }
@@ -167,9 +177,9 @@
         let flows = fleet.targets * 2000;
         let long = Work::Long { flows };
         let add = |kind, work, policies| trial(name, kind, fleet, work, Fault::None, policies);
-        trials.push(add("single", SINGLE, singles()));
-        trials.push(add("bound", long, bounds()));
-        trials.push(add("independent", long, passes()));
+        trials.push(add("single", SINGLE, single_policies()));
+        trials.push(add("bound", long, bound_policies()));
+        trials.push(add("independent", long, independent_policies()));
     }
     trials
 }
@@ -194,7 +204,7 @@
         fleet,
         work,
         fault,
-        load: LOAD,
+        load: DEFAULT_LOAD,
         policies,
     }
 }
@@ -203,34 +213,34 @@
     Place::Hunt { width, signal }
 }
 
-fn baselines() -> Vec<Policy> {
+fn baseline_policies() -> Vec<Policy> {
     [Place::Hash, Place::RoundRobin, Place::BestOfTwo]
         .map(Policy::bound)
         .to_vec()
 }
 
-fn singles() -> Vec<Policy> {
+fn single_policies() -> Vec<Policy> {
     let hunts = (2..=4).map(|width| Policy::bound(hunt(width, Signal::Slots)));
     let bound = Policy::bound(hunt(3, Signal::Blend));
-    baselines()
+    baseline_policies()
         .into_iter()
         .chain(hunts)
         .chain([bound])
         .collect()
 }
 
-fn bounds() -> Vec<Policy> {
+fn bound_policies() -> Vec<Policy> {
     let slots = [2, 3, 5].map(|width| hunt(width, Signal::Slots));
     let signals = [Signal::Held, Signal::Load, Signal::Blend].map(|signal| hunt(3, signal));
     let hunts = slots.into_iter().chain(signals).map(Policy::bound);
-    baselines().into_iter().chain(hunts).collect()
+    baseline_policies().into_iter().chain(hunts).collect()
 }
 
-fn passes() -> Vec<Policy> {
+fn independent_policies() -> Vec<Policy> {
     let place = hunt(3, Signal::Slots);
     let pass = |width, millis, key| Policy {
         place,
-        pass: Some(Pass {
+        pass: Some(Forwarding {
             width,
             threshold: Duration::from_millis(millis),
             key,
--- a/tools/bench/src/relay.rs
+++ b/tools/bench/src/relay.rs
@@ -40,10 +40,10 @@
 use crate::report;
 
 /// Length of one run.
-const RUN: Duration = Duration::from_secs(2);
+const RUN_TIME: Duration = Duration::from_secs(2);
 
 /// Runs of each relay, in turn.
-const ROUNDS: usize = 3;
+const RUNS: usize = 3;
 
 /// Targets of the services that are measured.
 const SIZES: [u16; 3] = [7, 100, 1_000];
@@ -80,7 +80,7 @@
 ///
 /// The operating system's error.
 pub fn run() -> io::Result<()> {
-    let bare = median(|| bare(&datagrams(Kind::Open, 1)))?;
+    let bare = median_rate(|| bare(&datagrams(Kind::Open, 1)))?;
     let mut figures = vec![Figure {
         relay: "bare".to_string(),
         targets: 0,
@@ -89,7 +89,7 @@
     }];
     for (kind, name) in [(Kind::Open, "opens"), (Kind::Request, "requests")] {
         for targets in SIZES {
-            let rate = median(|| through_entry(kind, targets))?;
+            let rate = median_rate(|| through_entry(kind, targets))?;
             figures.push(Figure {
                 relay: name.to_string(),
                 targets,
@@ -111,15 +111,15 @@
     report::write("relay", &figures)
 }
 
-fn median(mut run: impl FnMut() -> io::Result<Run>) -> io::Result<f64> {
-    let mut rates = Vec::with_capacity(ROUNDS);
-    for _ in 0..ROUNDS {
+fn median_rate(mut run: impl FnMut() -> io::Result<Run>) -> io::Result<f64> {
+    let mut rates = Vec::with_capacity(RUNS);
+    for _ in 0..RUNS {
         let run = run()?;
         #[allow(clippy::cast_precision_loss)]
         rates.push(run.packets as f64 / run.cpu.as_secs_f64());
     }
     rates.sort_by(f64::total_cmp);
-    Ok(rates[ROUNDS / 2])
+    Ok(rates[RUNS / 2])
 }
 
 /// Relays with two system calls a packet and nothing else.
@@ -129,12 +129,12 @@
     let to = socket.local_addr()?;
     let sink_address = sink.local_addr()?;
     socket.set_read_timeout(Some(Duration::from_millis(100)))?;
-    let load = Load::start(to, datagrams.to_vec());
+    let load = Generator::start(to, datagrams.to_vec());
     let begun = Instant::now();
     let before = cpu_time()?;
     let mut packets = 0;
     let mut buffer = [0; 2_048];
-    while begun.elapsed() < RUN {
+    while begun.elapsed() < RUN_TIME {
         let Ok((length, _)) = socket.recv_from(&mut buffer) else {
             continue;
         };
@@ -160,7 +160,7 @@
         control,
         counters: Counters::default(),
     });
-    let load = Load::start(to, datagrams(kind, FLOWS));
+    let load = Generator::start(to, datagrams(kind, FLOWS));
     let running = Arc::clone(&traffic);
     // The relay looks at its timer only once the load has stopped.
     let timed = thread::spawn(move || -> io::Result<Duration> {
@@ -170,12 +170,12 @@
                 let _ = running.run().await;
             },
             async {
-                smol::Timer::after(RUN).await;
+                smol::Timer::after(RUN_TIME).await;
             },
         ));
         Ok(cpu_time()?.saturating_sub(before))
     });
-    thread::sleep(RUN);
+    thread::sleep(RUN_TIME);
     load.stop();
     let cpu = timed
         .join()
@@ -270,12 +270,12 @@
 }
 
 /// A thread that sends datagrams as fast as it can until it is stopped.
-struct Load {
+struct Generator {
     stopped: Arc<AtomicBool>,
     thread: JoinHandle<()>,
 }
 
-impl Load {
+impl Generator {
     fn start(to: SocketAddr, datagrams: Vec<Vec<u8>>) -> Self {
         let stopped = Arc::new(AtomicBool::new(false));
         let flag = Arc::clone(&stopped);
--- a/tools/bench/src/route/baseline.rs
+++ b/tools/bench/src/route/baseline.rs
@@ -56,13 +56,13 @@
 }
 
 /// Buckets for each target.
-const BUCKETS_EACH: usize = 100;
+const BUCKETS_PER_TARGET: usize = 100;
 
 impl Buckets {
     /// Fills the table from the flat order.
     pub fn new(leaves: &[Leaf]) -> Self {
         let flat = Flat::new(leaves);
-        let len = (leaves.len() * BUCKETS_EACH).next_power_of_two();
+        let len = (leaves.len() * BUCKETS_PER_TARGET).next_power_of_two();
         let bucket = |bucket| {
             let top = flat.top(bucket as u64, 3);
             let get = |rank: usize| top.get(rank).map_or(0, |&index| index);
--- a/tools/bench/src/route/order.rs
+++ b/tools/bench/src/route/order.rs
@@ -14,7 +14,7 @@
 const TARGETS: [u64; 4] = [7, 100, 1000, 10_000];
 
 /// The table of buckets is not filled for more targets: it takes minutes.
-const MOST_FOR_BUCKETS: u64 = 1000;
+const MAX_BUCKET_TARGETS: u64 = 1000;
 
 /// Flows whose homes are compared.
 const FLOWS: u64 = 1_000_000;
@@ -49,7 +49,7 @@
     for count in TARGETS {
         let leaves = leaves(count);
         rows.push(flat(&leaves));
-        if count <= MOST_FOR_BUCKETS {
+        if count <= MAX_BUCKET_TARGETS {
             rows.push(buckets(&leaves));
         }
         rows.push(tree::<4>(&leaves));
@@ -154,13 +154,13 @@
 /// Flows whose home moves when the target at a position leaves, over those that
 /// it had. Positions after it are one less afterwards.
 #[allow(clippy::cast_precision_loss)]
-fn moved(gone: usize, before: impl Fn(u64) -> usize, after: impl Fn(u64) -> usize) -> f64 {
+fn moved(removed: usize, before: impl Fn(u64) -> usize, after: impl Fn(u64) -> usize) -> f64 {
     let (mut own, mut moved) = (0_u64, 0_u64);
     for key in 0..FLOWS {
         let home = before(key);
-        let stays = home - usize::from(home > gone);
-        own += u64::from(home == gone);
-        moved += u64::from(home == gone || after(key) != stays);
+        let stays = home - usize::from(home > removed);
+        own += u64::from(home == removed);
+        moved += u64::from(home == removed || after(key) != stays);
     }
     moved as f64 / own.max(1) as f64
 }
--- a/tools/bench/src/timing.rs
+++ b/tools/bench/src/timing.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 const REPEATS: usize = 5;
-const LEAST_TIME: Duration = Duration::from_millis(50);
+const MIN_REPEAT_TIME: Duration = Duration::from_millis(50);
 
 /// Nanoseconds of one call, the median of several repeats. The argument counts
 /// the calls.
@@ -18,7 +18,7 @@
     const BATCH: u64 = 64;
     let start = Instant::now();
     let mut calls = 0;
-    while start.elapsed() < LEAST_TIME {
+    while start.elapsed() < MIN_REPEAT_TIME {
         for call in calls..calls + BATCH {
             operation(call);
         }
--- a/tools/standin/src/audit.rs
+++ b/tools/standin/src/audit.rs
@@ -18,15 +18,15 @@
 pub use finding::Report;
 
 const BRIEF: &str = "Usage: standin audit --report FILE... --backend ADDRESS...";
-const EXIT_BROKEN: u8 = 3;
+const EXIT_VIOLATION: u8 = 3;
 
 /// Prints the table; the exit code is 3 where a promise was broken.
 #[must_use]
 pub fn main(args: &[String]) -> ExitCode {
     match run(args) {
-        Ok(true) => ExitCode::from(EXIT_BROKEN),
+        Ok(true) => ExitCode::from(EXIT_VIOLATION),
         Ok(false) => ExitCode::SUCCESS,
-        Err(error) => options::exit(Err(error)),
+        Err(error) => options::exit_code(Err(error)),
     }
 }
 
@@ -49,7 +49,7 @@
         return Ok(false);
     };
     let mut ledgers = BTreeMap::<String, Vec<Ledger>>::new();
-    for address in options::many::<SocketAddr>(&matches, "backend")? {
+    for address in options::repeated::<SocketAddr>(&matches, "backend")? {
         let ledger = smol::block_on(fetch::ledger(address))?;
         ledgers
             .entry(ledger.service.clone())
--- a/tools/standin/src/backend.rs
+++ b/tools/standin/src/backend.rs
@@ -33,8 +33,8 @@
 pub use model::Settings;
 pub use model::answer;
 pub use model::request_name;
+pub use worker::Job;
 pub use worker::Outcome;
-pub use worker::Work;
 pub use worker::Worker;
 
 const BRIEF: &str = "Usage: standin backend --listen ADDRESS --service NAME [FLAGS]";
@@ -43,7 +43,7 @@
 /// Runs the backend server until SIGTERM.
 #[must_use]
 pub fn main(args: &[String]) -> ExitCode {
-    options::exit(run(args))
+    options::exit_code(run(args))
 }
 
 fn run(args: &[String]) -> Result<(), Box<dyn std::error::Error>> {
@@ -66,14 +66,14 @@
     let listen: SocketAddr = options::required(&matches, "listen")?;
     let settings = Settings {
         service: options::required(&matches, "service")?,
-        slots: options::or(&matches, "slots", default.slots)?,
-        queue: options::or(&matches, "queue", default.queue)?,
-        time: Duration::from_millis(options::or(&matches, "time-ms", 20)?),
-        spread: options::or(&matches, "spread", default.spread)?,
-        cold: Duration::from_millis(options::or(&matches, "cold-ms", 0)?),
-        cold_factor: options::or(&matches, "cold-factor", default.cold_factor)?,
-        answer: options::or(&matches, "answer", default.answer)?,
-        lag: Duration::from_millis(options::or(&matches, "lag-ms", 0)?),
+        slots: options::optional(&matches, "slots", default.slots)?,
+        queue_limit: options::optional(&matches, "queue", default.queue_limit)?,
+        mean_time: Duration::from_millis(options::optional(&matches, "time-ms", 20)?),
+        spread_percent: options::optional(&matches, "spread", default.spread_percent)?,
+        cold_start: Duration::from_millis(options::optional(&matches, "cold-ms", 0)?),
+        cold_factor: options::optional(&matches, "cold-factor", default.cold_factor)?,
+        min_answer_bytes: options::optional(&matches, "answer", default.min_answer_bytes)?,
+        report_age: Duration::from_millis(options::optional(&matches, "lag-ms", 0)?),
         mislead: matches.opt_present("mislead"),
     };
     serve(listen, settings)?;
@@ -92,7 +92,7 @@
         ));
         stop::requested().await?;
         worker.drain();
-        worker.idle(STOP_TIMEOUT).await;
+        worker.wait_idle(STOP_TIMEOUT).await;
         accepting.cancel().await;
         Ok(())
     }))
--- a/tools/standin/src/backend/http.rs
+++ b/tools/standin/src/backend/http.rs
@@ -21,8 +21,8 @@
 
 use super::Worker;
 use super::model::request_name;
+use super::worker::Job;
 use super::worker::Outcome;
-use super::worker::Work;
 
 const RETRY_AFTER_S: &str = "1";
 const DEFAULT_DEADLINE: Duration = Duration::from_mins(1);
@@ -38,7 +38,7 @@
             continue;
         };
         let worker = Rc::clone(&worker);
-        let service = service_fn(move |request| handle(request, Rc::clone(&worker)));
+        let service = service_fn(move |request| respond(request, Rc::clone(&worker)));
         let connection = http1::Builder::new().serve_connection(FuturesIo::new(stream), service);
         executor
             .spawn(async move {
@@ -49,7 +49,7 @@
     }
 }
 
-async fn handle(
+async fn respond(
     request: Request<Incoming>,
     worker: Rc<Worker>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
@@ -61,11 +61,11 @@
             worker.drain();
             status(StatusCode::NO_CONTENT)
         }
-        (Method::GET, "/health") if worker.reported().draining => {
+        (Method::GET, "/health") if worker.reported_load().draining => {
             status(StatusCode::SERVICE_UNAVAILABLE)
         }
         (Method::GET, "/health") => status(StatusCode::OK),
-        (Method::GET, "/load") => json(&worker.reported()),
+        (Method::GET, "/load") => json(&worker.reported_load()),
         (Method::GET, "/ledger") => json(&worker.ledger()),
         _ => status(StatusCode::NOT_FOUND),
     };
@@ -82,7 +82,7 @@
         return status(StatusCode::BAD_REQUEST);
     };
     let payload = body.to_bytes();
-    let work = Work {
+    let work = Job {
         name: request_name(&payload, &header),
         idempotent,
         deadline,
@@ -95,7 +95,7 @@
             headers.insert("retry-after", http::HeaderValue::from_static(RETRY_AFTER_S));
             response
         }
-        Outcome::Late => status(StatusCode::GATEWAY_TIMEOUT),
+        Outcome::Expired => status(StatusCode::GATEWAY_TIMEOUT),
     }
 }
 
--- a/tools/standin/src/backend/model.rs
+++ b/tools/standin/src/backend/model.rs
@@ -9,19 +9,19 @@
     /// Requests run at a time.
     pub slots: u32,
     /// Requests that may wait for a slot; more are shed.
-    pub queue: u32,
+    pub queue_limit: u32,
     /// Mean time that a request runs.
-    pub time: Duration,
+    pub mean_time: Duration,
     /// Largest deviation from the mean, in percent of it.
-    pub spread: u32,
+    pub spread_percent: u32,
     /// Length of the cold start.
-    pub cold: Duration,
+    pub cold_start: Duration,
     /// Factor on the run time at the beginning of the cold start.
     pub cold_factor: u32,
     /// Smallest size of an answer, in bytes.
-    pub answer: usize,
+    pub min_answer_bytes: usize,
     /// Age of what the health and load endpoints report.
-    pub lag: Duration,
+    pub report_age: Duration,
     /// Whether those endpoints always report an idle, healthy server.
     pub mislead: bool,
 }
@@ -31,13 +31,13 @@
         Self {
             service: "service".into(),
             slots: 4,
-            queue: 8,
-            time: Duration::from_millis(20),
-            spread: 50,
-            cold: Duration::ZERO,
+            queue_limit: 8,
+            mean_time: Duration::from_millis(20),
+            spread_percent: 50,
+            cold_start: Duration::ZERO,
             cold_factor: 4,
-            answer: 0,
-            lag: Duration::ZERO,
+            min_answer_bytes: 0,
+            report_age: Duration::ZERO,
             mislead: false,
         }
     }
@@ -46,17 +46,18 @@
 impl Settings {
     /// Time that a request started at `age` runs; `dice` is between 0 and 1.
     #[must_use]
-    pub fn run_time(&self, age: Duration, dice: f64) -> Duration {
-        let spread = f64::from(self.spread) / 100.0;
-        let factor = 1.0 + spread * (2.0 * dice - 1.0);
-        self.time.mul_f64(factor.max(0.0) * self.cold_slowdown(age))
+    pub fn run_time(&self, age: Duration, uniform: f64) -> Duration {
+        let spread = f64::from(self.spread_percent) / 100.0;
+        let factor = 1.0 + spread * (2.0 * uniform - 1.0);
+        self.mean_time
+            .mul_f64(factor.max(0.0) * self.cold_slowdown(age))
     }
 
     fn cold_slowdown(&self, age: Duration) -> f64 {
-        if age >= self.cold {
+        if age >= self.cold_start {
             return 1.0;
         }
-        let left = 1.0 - age.as_secs_f64() / self.cold.as_secs_f64();
+        let left = 1.0 - age.as_secs_f64() / self.cold_start.as_secs_f64();
         1.0 + (f64::from(self.cold_factor) - 1.0) * left
     }
 }
--- a/tools/standin/src/backend/worker.rs
+++ b/tools/standin/src/backend/worker.rs
@@ -23,7 +23,7 @@
     started: Instant,
     slots: Semaphore,
     load: Cell<Load>,
-    reports: RefCell<VecDeque<Report>>,
+    samples: RefCell<VecDeque<Sample>>,
     draining: Cell<bool>,
     ledger: RefCell<Ledger>,
 }
@@ -43,7 +43,7 @@
 
 /// One request to run.
 #[derive(Clone, Debug)]
-pub struct Work {
+pub struct Job {
     /// The caller's name of the request.
     pub name: String,
     /// Whether it may run twice.
@@ -60,10 +60,10 @@
     /// It did not run: the queue is full or the server is draining.
     Shed,
     /// It did not run: its deadline passed in the queue.
-    Late,
+    Expired,
 }
 
-struct Report {
+struct Sample {
     time: Instant,
     load: Load,
 }
@@ -80,7 +80,7 @@
                 slots,
                 ..Load::default()
             }),
-            reports: RefCell::default(),
+            samples: RefCell::default(),
             draining: Cell::new(false),
             ledger: RefCell::new(Ledger::new(settings.service.clone(), slots)),
             settings,
@@ -90,11 +90,11 @@
     /// Refuses new requests from now on.
     pub fn drain(&self) {
         self.draining.set(true);
-        self.change(|load| load.draining = true);
+        self.update_load(|load| load.draining = true);
     }
 
     /// Waits until nothing runs, for `limit` at most.
-    pub async fn idle(&self, limit: Duration) {
+    pub async fn wait_idle(&self, limit: Duration) {
         let end = Instant::now() + limit;
         while Instant::now() < end && self.load.get().active + self.load.get().queued > 0 {
             Timer::after(POLL_INTERVAL).await;
@@ -109,15 +109,15 @@
 
     /// What the health and load endpoints say, which may be old or untrue.
     #[must_use]
-    pub fn reported(&self) -> Load {
+    pub fn reported_load(&self) -> Load {
         if self.settings.mislead {
             return Load {
                 slots: self.settings.slots,
                 ..Load::default()
             };
         }
-        let seen = Instant::now().checked_sub(self.settings.lag);
-        let reports = self.reports.borrow();
+        let seen = Instant::now().checked_sub(self.settings.report_age);
+        let reports = self.samples.borrow();
         let report = reports
             .iter()
             .rev()
@@ -133,22 +133,22 @@
 
     /// Runs a request in a slot, after waiting for one. Dropping the future
     /// cancels the request and frees its slot.
-    pub async fn run(self: &Rc<Self>, work: Work) -> Outcome {
-        let queue_full = self.load.get().queued >= self.settings.queue
+    pub async fn run(self: &Rc<Self>, work: Job) -> Outcome {
+        let queue_full = self.load.get().queued >= self.settings.queue_limit
             && self.load.get().active >= self.settings.slots;
         if self.draining.get() || queue_full {
             self.ledger.borrow_mut().shed += 1;
             return Outcome::Shed;
         }
         let arrived = Instant::now();
-        let waiting = Waiting::new(self);
+        let waiting = QueueGuard::new(self);
         let _slot = self.slots.acquire().await;
         drop(waiting);
         if arrived.elapsed() >= work.deadline {
             self.ledger.borrow_mut().shed += 1;
-            return Outcome::Late;
+            return Outcome::Expired;
         }
-        let mut running = Running::new(self, work);
+        let mut running = RunGuard::new(self, work);
         let age = self.started.elapsed();
         Timer::after(self.settings.run_time(age, fastrand::f64())).await;
         running.finished = true;
@@ -158,17 +158,21 @@
     /// Builds the answer to a payload.
     #[must_use]
     pub fn answer(&self, payload: &[u8]) -> Vec<u8> {
-        model::answer(&self.settings.service, payload, self.settings.answer)
+        model::answer(
+            &self.settings.service,
+            payload,
+            self.settings.min_answer_bytes,
+        )
     }
 
-    fn change(&self, change: impl FnOnce(&mut Load)) {
+    fn update_load(&self, change: impl FnOnce(&mut Load)) {
         let mut load = self.load.get();
         change(&mut load);
         self.load.set(load);
         let time = Instant::now();
-        let mut reports = self.reports.borrow_mut();
-        reports.push_back(Report { time, load });
-        let oldest = time.checked_sub(self.settings.lag);
+        let mut reports = self.samples.borrow_mut();
+        reports.push_back(Sample { time, load });
+        let oldest = time.checked_sub(self.settings.report_age);
         // One report older than the lag is kept: it is what is reported now.
         while reports.len() > 1 && oldest.is_some_and(|oldest| reports[1].time <= oldest) {
             reports.pop_front();
@@ -176,31 +180,31 @@
     }
 }
 
-struct Waiting<'a>(&'a Worker);
+struct QueueGuard<'a>(&'a Worker);
 
-impl<'a> Waiting<'a> {
+impl<'a> QueueGuard<'a> {
     fn new(worker: &'a Worker) -> Self {
-        worker.change(|load| load.queued += 1);
+        worker.update_load(|load| load.queued += 1);
         Self(worker)
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for QueueGuard<'_> {
     fn drop(&mut self) {
-        self.0.change(|load| load.queued -= 1);
+        self.0.update_load(|load| load.queued -= 1);
     }
 }
 
-struct Running<'a> {
+struct RunGuard<'a> {
     worker: &'a Worker,
-    work: Work,
+    work: Job,
     started: Instant,
     finished: bool,
 }
 
-impl<'a> Running<'a> {
-    fn new(worker: &'a Worker, work: Work) -> Self {
-        worker.change(|load| load.active += 1);
+impl<'a> RunGuard<'a> {
+    fn new(worker: &'a Worker, work: Job) -> Self {
+        worker.update_load(|load| load.active += 1);
         worker
             .ledger
             .borrow_mut()
@@ -214,9 +218,9 @@
     }
 }
 
-impl Drop for Running<'_> {
+impl Drop for RunGuard<'_> {
     fn drop(&mut self) {
-        self.worker.change(|load| load.active -= 1);
+        self.worker.update_load(|load| load.active -= 1);
         let mut ledger = self.worker.ledger.borrow_mut();
         let busy = self.started.elapsed().as_millis();
         ledger.busy_ms += u64::try_from(busy).unwrap_or(u64::MAX);
--- a/tools/standin/src/fabric.rs
+++ b/tools/standin/src/fabric.rs
@@ -39,7 +39,7 @@
 /// The fabric's sockets and what it does to datagrams.
 pub struct Fabric {
     seal: Seal,
-    back: Async<UdpSocket>,
+    entry_socket: Async<UdpSocket>,
     services: Vec<Service>,
     entries: RefCell<Entries>,
     fault: RefCell<Fault>,
@@ -61,7 +61,7 @@
 /// Runs the fabric until SIGTERM.
 #[must_use]
 pub fn main(args: &[String]) -> ExitCode {
-    options::exit(run(args))
+    options::exit_code(run(args))
 }
 
 fn run(args: &[String]) -> Result<(), Box<dyn std::error::Error>> {
@@ -99,24 +99,24 @@
         return Ok(());
     };
     let key: String = options::required(&matches, "key")?;
-    let key = read_key(&key).ok_or_else(|| options::Error::Invalid {
+    let key = parse_key(&key).ok_or_else(|| options::Error::Invalid {
         name: "key".into(),
         value: key,
     })?;
-    let seed = options::or(&matches, "seed", fastrand::u64(..))?;
+    let seed = options::optional(&matches, "seed", fastrand::u64(..))?;
     let fault = Fault {
-        loss: options::or(&matches, "loss", 0)?,
-        duplicate: options::or(&matches, "duplicate", 0)?,
-        delay: Duration::from_millis(options::or(&matches, "delay-ms", 0)?),
+        loss: options::optional(&matches, "loss", 0)?,
+        duplicate: options::optional(&matches, "duplicate", 0)?,
+        delay: Duration::from_millis(options::optional(&matches, "delay-ms", 0)?),
         random: fastrand::Rng::with_seed(seed),
     };
     let file = matches.opt_str("entries-file").map(PathBuf::from);
-    let entries = Entries::new(options::many(&matches, "entry")?, file);
-    let services: Vec<ServiceAddress> = options::many(&matches, "service")?;
+    let entries = Entries::new(options::repeated(&matches, "entry")?, file);
+    let services: Vec<ServiceAddress> = options::repeated(&matches, "service")?;
     let listen: SocketAddr = options::required(&matches, "listen")?;
     let fabric = Fabric {
         seal: Seal::new(key, Vec::new()),
-        back: Async::<UdpSocket>::bind(listen)?,
+        entry_socket: Async::<UdpSocket>::bind(listen)?,
         services: services
             .into_iter()
             .map(Service::bind)
@@ -155,7 +155,8 @@
             service: service.address,
             packet: Bytes::copy_from_slice(&buffer[..len]),
         });
-        let (Ok(bytes), Some(destination)) = (fabric.seal.seal(&frame), fabric.choose()) else {
+        let (Ok(bytes), Some(destination)) = (fabric.seal.seal(&frame), fabric.choose_entry())
+        else {
             continue;
         };
         let datagram = Datagram {
@@ -171,7 +172,7 @@
 async fn deliver(fabric: Rc<Fabric>, executor: Rc<LocalExecutor<'static>>) {
     let mut buffer = vec![0; BUFFER_BYTES];
     loop {
-        let Ok((len, _)) = fabric.back.recv_from(&mut buffer).await else {
+        let Ok((len, _)) = fabric.entry_socket.recv_from(&mut buffer).await else {
             continue;
         };
         let Ok(Frame::Sprayed(sprayed)) = fabric.seal.open(&buffer[..len]) else {
@@ -208,7 +209,7 @@
 }
 
 impl Fabric {
-    fn choose(&self) -> Option<SocketAddr> {
+    fn choose_entry(&self) -> Option<SocketAddr> {
         let mut fault = self.fault.borrow_mut();
         self.entries.borrow().choose(&mut fault.random)
     }
@@ -237,14 +238,14 @@
     async fn send(&self, datagram: &Datagram) {
         let socket = datagram
             .service
-            .map_or(&self.back, |index| &self.services[index].socket);
+            .map_or(&self.entry_socket, |index| &self.services[index].socket);
         // A datagram may be lost: nobody is told.
         let _ = socket.send_to(&datagram.bytes, datagram.destination).await;
     }
 }
 
 /// Reads a key in the form `ID:HEX`.
-fn read_key(text: &str) -> Option<Key> {
+fn parse_key(text: &str) -> Option<Key> {
     let (id, hex) = text.split_once(':')?;
     let secret: [u8; KEY_LEN] = (0..hex.len())
         .step_by(2)
--- a/tools/standin/src/fabric/entries.rs
+++ b/tools/standin/src/fabric/entries.rs
@@ -8,7 +8,7 @@
 pub struct Entries {
     addresses: Vec<SocketAddr>,
     file: Option<PathBuf>,
-    text: String,
+    contents: String,
 }
 
 impl Entries {
@@ -19,7 +19,7 @@
         let mut entries = Self {
             addresses,
             file,
-            text: String::new(),
+            contents: String::new(),
         };
         entries.reload();
         entries
@@ -32,14 +32,14 @@
             .file
             .as_ref()
             .and_then(|file| fs::read_to_string(file).ok());
-        let Some(text) = text.filter(|text| *text != self.text) else {
+        let Some(text) = text.filter(|text| *text != self.contents) else {
             return;
         };
         let lines = text.lines().map(str::trim).filter(|line| !line.is_empty());
         if let Ok(addresses) = lines.map(str::parse).collect() {
             self.addresses = addresses;
         }
-        self.text = text;
+        self.contents = text;
     }
 
     /// Picks an entry at random, or `None` where there is none.
--- a/tools/standin/src/fabric/fault.rs
+++ b/tools/standin/src/fabric/fault.rs
@@ -17,16 +17,16 @@
 impl Fault {
     /// The delays of the copies to send of one datagram: none where it is lost.
     pub fn copies(&mut self) -> Vec<Duration> {
-        if self.hits(self.loss) {
+        if self.occurs(self.loss) {
             return Vec::new();
         }
-        let count = if self.hits(self.duplicate) { 2 } else { 1 };
+        let count = if self.occurs(self.duplicate) { 2 } else { 1 };
         (0..count)
             .map(|_| self.delay.mul_f64(self.random.f64()))
             .collect()
     }
 
-    fn hits(&mut self, percent: u32) -> bool {
+    fn occurs(&mut self, percent: u32) -> bool {
         self.random.u32(0..100) < percent
     }
 }
--- a/tools/standin/src/options.rs
+++ b/tools/standin/src/options.rs
@@ -17,7 +17,7 @@
 #[derive(Debug, Display, Error)]
 pub enum Error {
     /// {0}; run with --help for the flags
-    Unreadable(#[from] getopts::Fail),
+    Unparsable(#[from] getopts::Fail),
     /// --{0} is missing; give it
     Missing(String),
     /// --{name} does not accept `{value}`; see --help for its form
@@ -57,7 +57,7 @@
     let text = matches
         .opt_str(name)
         .ok_or_else(|| Error::Missing(name.into()))?;
-    value(name, &text)
+    parse_value(name, &text)
 }
 
 /// Reads a flag that has a default.
@@ -65,10 +65,10 @@
 /// # Errors
 ///
 /// [`Error::Invalid`].
-pub fn or<T: FromStr>(matches: &Matches, name: &str, default: T) -> Result<T, Error> {
+pub fn optional<T: FromStr>(matches: &Matches, name: &str, default: T) -> Result<T, Error> {
     matches
         .opt_str(name)
-        .map_or(Ok(default), |text| value(name, &text))
+        .map_or(Ok(default), |text| parse_value(name, &text))
 }
 
 /// Reads a flag that may be given several times.
@@ -76,17 +76,17 @@
 /// # Errors
 ///
 /// [`Error::Invalid`].
-pub fn many<T: FromStr>(matches: &Matches, name: &str) -> Result<Vec<T>, Error> {
+pub fn repeated<T: FromStr>(matches: &Matches, name: &str) -> Result<Vec<T>, Error> {
     matches
         .opt_strs(name)
         .iter()
-        .map(|text| value(name, text))
+        .map(|text| parse_value(name, text))
         .collect()
 }
 
 /// Ends a stand-in: prints the error, if any, and chooses the exit code.
 #[must_use]
-pub fn exit(outcome: Result<(), Box<dyn std::error::Error>>) -> ExitCode {
+pub fn exit_code(outcome: Result<(), Box<dyn std::error::Error>>) -> ExitCode {
     match outcome {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
@@ -97,7 +97,7 @@
     }
 }
 
-fn value<T: FromStr>(name: &str, text: &str) -> Result<T, Error> {
+fn parse_value<T: FromStr>(name: &str, text: &str) -> Result<T, Error> {
     text.parse().map_err(|_| Error::Invalid {
         name: name.into(),
         value: text.into(),
--- a/tools/standin/src/platform.rs
+++ b/tools/standin/src/platform.rs
@@ -41,7 +41,7 @@
 /// Runs `standin platform`.
 #[must_use]
 pub fn main(args: &[String]) -> ExitCode {
-    options::exit(run(args))
+    options::exit_code(run(args))
 }
 
 fn run(args: &[String]) -> Result<(), Box<dyn Error>> {
@@ -55,7 +55,7 @@
     let Some(matches) = options::parse(&mut flags, "Usage: standin platform [FLAGS]", args)? else {
         return Ok(());
     };
-    let address: SocketAddr = options::or(&matches, "listen", DEFAULT_LISTEN)?;
+    let address: SocketAddr = options::optional(&matches, "listen", DEFAULT_LISTEN)?;
     let executor = Arc::new(Executor::new());
     let serve = async {
         let listener = TcpListener::bind(address).await?;
--- a/tools/standin/src/platform/answer.rs
+++ b/tools/standin/src/platform/answer.rs
@@ -10,8 +10,8 @@
 use serde_json::Value;
 use serde_json::json;
 
-use super::state::Cell;
 use super::state::Operation;
+use super::state::Pair;
 
 /// Header that carries the index of an answer.
 pub const INDEX_HEADER: &str = "x-consul-index";
@@ -42,7 +42,7 @@
 
 impl OperationRequest {
     /// Reads the operation; `None` where it is not supported.
-    pub(super) fn read(self) -> Option<Operation> {
+    pub(super) fn into_operation(self) -> Option<Operation> {
         let KvRequest {
             verb,
             key,
@@ -61,14 +61,14 @@
 }
 
 /// A key as the protocol shows it.
-pub(super) fn pair(key: &str, cell: &Cell) -> Value {
+pub(super) fn pair_json(key: &str, cell: &Pair) -> Value {
     let mut pair = json!({
         "LockIndex": u8::from(cell.session.is_some()),
         "Key": key,
         "Flags": 0,
         "Value": STANDARD.encode(&cell.value),
-        "CreateIndex": cell.create,
-        "ModifyIndex": cell.modify,
+        "CreateIndex": cell.created,
+        "ModifyIndex": cell.modified,
     });
     if let Some(session) = &cell.session {
         pair["Session"] = json!(session);
--- a/tools/standin/src/platform/fault.rs
+++ b/tools/standin/src/platform/fault.rs
@@ -87,7 +87,7 @@
 }
 
 /// Counts a fault down; true where it was still to happen.
-pub(super) fn take(count: &mut u32) -> bool {
+pub(super) fn consume(count: &mut u32) -> bool {
     let due = *count > 0;
     *count = count.saturating_sub(1);
     due
--- a/tools/standin/src/platform/query.rs
+++ b/tools/standin/src/platform/query.rs
@@ -16,7 +16,7 @@
 }
 
 /// Reads a time such as `1500ms` or `10s`.
-pub(super) fn duration(text: &str) -> Option<Duration> {
+pub(super) fn parse_duration(text: &str) -> Option<Duration> {
     if let Some(ms) = text.strip_suffix("ms") {
         return ms.parse().ok().map(Duration::from_millis);
     }
--- a/tools/standin/src/platform/read.rs
+++ b/tools/standin/src/platform/read.rs
@@ -7,20 +7,20 @@
 use serde_json::Value;
 
 use super::answer;
-use super::fault::take;
+use super::fault::consume;
 use super::query::Query;
-use super::query::duration;
+use super::query::parse_duration;
 use super::route::Answer;
 use super::route::Platform;
-use super::state::under;
+use super::state::with_prefix;
 
 /// Longest wait of a watch that asks for none.
 const DEFAULT_WAIT: Duration = Duration::from_mins(5);
 
 /// Counts a waiting watch until dropped, also where its client leaves.
-struct Waiting<'a>(&'a Platform);
+struct WatchGuard<'a>(&'a Platform);
 
-impl Drop for Waiting<'_> {
+impl Drop for WatchGuard<'_> {
     fn drop(&mut self) {
         self.0.lock().calls.waiting -= 1;
     }
@@ -35,7 +35,7 @@
         None | Some(0) => platform.lock().calls.reads += 1,
         Some(index) => {
             platform.lock().calls.watches += 1;
-            let timeout = query.get("wait").and_then(duration);
+            let timeout = query.get("wait").and_then(parse_duration);
             wait(platform, key, index, timeout.unwrap_or(DEFAULT_WAIT)).await;
         }
     }
@@ -45,9 +45,9 @@
 fn pairs(platform: &Platform, key: &str, recurse: bool) -> Answer {
     let mut state = platform.lock();
     let index = state.prefix_index(key);
-    let pairs: Vec<Value> = under(&state.readable(), key)
+    let pairs: Vec<Value> = with_prefix(&state.readable_pairs(), key)
         .filter(|(name, _)| recurse || *name == key)
-        .map(|(name, cell)| answer::pair(name, cell))
+        .map(|(name, cell)| answer::pair_json(name, cell))
         .collect();
     let status = if pairs.is_empty() {
         StatusCode::NOT_FOUND
@@ -60,12 +60,12 @@
 /// Waits until something under `prefix` is newer than `index`.
 async fn wait(platform: &Platform, prefix: &str, index: u64, timeout: Duration) {
     platform.lock().calls.waiting += 1;
-    let _waiting = Waiting(platform);
+    let _waiting = WatchGuard(platform);
     let changed = async {
         loop {
             let next = {
                 let mut state = platform.lock();
-                if take(&mut state.faults.repeat_events) || state.prefix_index(prefix) > index {
+                if consume(&mut state.faults.repeat_events) || state.prefix_index(prefix) > index {
                     return;
                 }
                 state.next_write()
--- a/tools/standin/src/platform/route.rs
+++ b/tools/standin/src/platform/route.rs
@@ -21,7 +21,7 @@
 use super::call::Calls;
 use super::fault::Faults;
 use super::fault::Mode;
-use super::fault::take;
+use super::fault::consume;
 use super::query::Query;
 use super::read;
 use super::state::State;
@@ -97,7 +97,7 @@
             &query,
             &body,
         );
-        if take(&mut self.lock().faults.lose_answers) {
+        if consume(&mut self.lock().faults.lose_answers) {
             return Err(io::ErrorKind::ConnectionAborted.into());
         }
         Ok(answer)
--- a/tools/standin/src/platform/session.rs
+++ b/tools/standin/src/platform/session.rs
@@ -5,14 +5,14 @@
 /// Sessions by id. Times count from an arbitrary origin.
 #[derive(Clone, Debug, Default)]
 pub struct Sessions {
-    ends: BTreeMap<String, Session>,
+    by_id: BTreeMap<String, Session>,
     created: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Session {
     ttl: Duration,
-    end: Duration,
+    expires_at: Duration,
 }
 
 impl Sessions {
@@ -25,15 +25,21 @@
             self.created
         );
         let end = now + ttl;
-        self.ends.insert(id.clone(), Session { ttl, end });
+        self.by_id.insert(
+            id.clone(),
+            Session {
+                ttl,
+                expires_at: end,
+            },
+        );
         id
     }
 
     /// Renews a session; false where it has ended.
     pub fn renew(&mut self, id: &str, now: Duration) -> bool {
-        match self.ends.get_mut(id) {
+        match self.by_id.get_mut(id) {
             Some(session) => {
-                session.end = now + session.ttl;
+                session.expires_at = now + session.ttl;
                 true
             }
             None => false,
@@ -43,24 +49,27 @@
     /// Whether the session is there.
     #[must_use]
     pub fn contains(&self, id: &str) -> bool {
-        self.ends.contains_key(id)
+        self.by_id.contains_key(id)
     }
 
     /// Ends a session; false where it had ended.
     pub fn destroy(&mut self, id: &str) -> bool {
-        self.ends.remove(id).is_some()
+        self.by_id.remove(id).is_some()
     }
 
     /// Sessions whose time is over.
     #[must_use]
-    pub fn due(&self, now: Duration) -> Vec<String> {
-        let due = self.ends.iter().filter(|(_, session)| session.end <= now);
+    pub fn expired(&self, now: Duration) -> Vec<String> {
+        let due = self
+            .by_id
+            .iter()
+            .filter(|(_, session)| session.expires_at <= now);
         due.map(|(id, _)| id.clone()).collect()
     }
 
     /// All sessions.
     #[must_use]
     pub fn ids(&self) -> Vec<String> {
-        self.ends.keys().cloned().collect()
+        self.by_id.keys().cloned().collect()
     }
 }
--- a/tools/standin/src/platform/state.rs
+++ b/tools/standin/src/platform/state.rs
@@ -8,7 +8,7 @@
 
 use super::call::Calls;
 use super::fault::Faults;
-use super::fault::take;
+use super::fault::consume;
 use super::session::Sessions;
 
 /// Index of a prefix under which nothing was ever written.
@@ -16,13 +16,13 @@
 
 /// One key.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Cell {
+pub struct Pair {
     /// The value.
     pub value: Vec<u8>,
     /// Revision of the write that created the key.
-    pub create: u64,
+    pub created: u64,
     /// Revision of the latest write.
-    pub modify: u64,
+    pub modified: u64,
     /// The session that holds the key.
     pub session: Option<String>,
 }
@@ -59,9 +59,9 @@
 #[derive(Debug, Default)]
 pub struct State {
     /// Keys in order.
-    pub cells: BTreeMap<String, Cell>,
+    pub pairs: BTreeMap<String, Pair>,
     /// What the latest write replaced, for stale reads.
-    pub replaced: BTreeMap<String, Option<Cell>>,
+    pub replaced: BTreeMap<String, Option<Pair>>,
     /// Sessions.
     pub sessions: Sessions,
     /// Faults in force.
@@ -76,7 +76,7 @@
 impl State {
     /// Ends the sessions whose time is over.
     pub fn expire(&mut self, now: Duration) {
-        for id in self.sessions.due(now) {
+        for id in self.sessions.expired(now) {
             self.end_session(&id);
         }
     }
@@ -85,17 +85,17 @@
     /// was none.
     pub fn end_session(&mut self, id: &str) -> bool {
         let held: Vec<String> = self
-            .cells
+            .pairs
             .iter()
             .filter(|(_, cell)| cell.session.as_deref() == Some(id))
             .map(|(key, _)| key.clone())
             .collect();
         for key in held {
             self.begin_write();
-            let cell = self.cells.remove(&key);
+            let cell = self.pairs.remove(&key);
             self.replaced.insert(key.clone(), cell);
             self.removed.insert(key, self.index);
-            self.wake();
+            self.notify_watches();
         }
         self.sessions.destroy(id)
     }
@@ -105,16 +105,16 @@
         if !self.sessions.contains(session) {
             return None;
         }
-        let holder = self.cells.get(key).and_then(|cell| cell.session.clone());
+        let holder = self.pairs.get(key).and_then(|cell| cell.session.clone());
         if holder.is_some_and(|holder| holder != session) {
             return Some(false);
         }
         self.begin_write();
-        self.put(key, value);
-        if let Some(cell) = self.cells.get_mut(key) {
+        self.write(key, value);
+        if let Some(cell) = self.pairs.get_mut(key) {
             cell.session = Some(session.to_owned());
         }
-        self.wake();
+        self.notify_watches();
         Some(true)
     }
 
@@ -126,7 +126,7 @@
     pub fn transact(&mut self, operations: &[Operation]) -> Result<Vec<String>, usize> {
         if let Some(refused) = operations
             .iter()
-            .position(|operation| !self.holds(operation))
+            .position(|operation| !self.is_satisfied(operation))
         {
             return Err(refused);
         }
@@ -136,20 +136,20 @@
             match operation {
                 Operation::CheckSession { key, .. } => keys.push(key.clone()),
                 Operation::Cas { key, value, .. } | Operation::Set { key, value } => {
-                    self.put(key, value.clone());
+                    self.write(key, value.clone());
                     keys.push(key.clone());
                 }
             }
         }
-        self.wake();
+        self.notify_watches();
         Ok(keys)
     }
 
     /// Revision of the latest change under a prefix; at least 1.
     #[must_use]
     pub fn prefix_index(&self, prefix: &str) -> u64 {
-        let written = under(&self.cells, prefix).map(|(_, cell)| cell.modify);
-        let removed = under(&self.removed, prefix).map(|(_, index)| *index);
+        let written = with_prefix(&self.pairs, prefix).map(|(_, cell)| cell.modified);
+        let removed = with_prefix(&self.removed, prefix).map(|(_, index)| *index);
         written.chain(removed).max().unwrap_or(EMPTY_INDEX)
     }
 
@@ -161,11 +161,11 @@
     }
 
     /// The keys to read from: stale ones where a fault asks for it.
-    pub fn readable(&mut self) -> Cow<'_, BTreeMap<String, Cell>> {
-        if !take(&mut self.faults.stale_reads) {
-            return Cow::Borrowed(&self.cells);
+    pub fn readable_pairs(&mut self) -> Cow<'_, BTreeMap<String, Pair>> {
+        if !consume(&mut self.faults.stale_reads) {
+            return Cow::Borrowed(&self.pairs);
         }
-        let mut cells = self.cells.clone();
+        let mut cells = self.pairs.clone();
         for (key, cell) in &self.replaced {
             match cell {
                 Some(cell) => cells.insert(key.clone(), cell.clone()),
@@ -175,14 +175,14 @@
         Cow::Owned(cells)
     }
 
-    fn holds(&self, operation: &Operation) -> bool {
+    fn is_satisfied(&self, operation: &Operation) -> bool {
         match operation {
             Operation::Set { .. } => true,
             Operation::Cas { key, index, .. } => {
-                self.cells.get(key).map_or(0, |cell| cell.modify) == *index
+                self.pairs.get(key).map_or(0, |cell| cell.modified) == *index
             }
             Operation::CheckSession { key, session } => {
-                self.cells.get(key).and_then(|cell| cell.session.as_ref()) == Some(session)
+                self.pairs.get(key).and_then(|cell| cell.session.as_ref()) == Some(session)
             }
         }
     }
@@ -193,31 +193,31 @@
         self.index = self.index.max(EMPTY_INDEX) + 1;
     }
 
-    fn put(&mut self, key: &str, value: Vec<u8>) {
+    fn write(&mut self, key: &str, value: Vec<u8>) {
         let index = self.index;
         self.replaced
             .entry(key.to_owned())
-            .or_insert_with(|| self.cells.get(key).cloned());
-        let cell = self.cells.entry(key.to_owned()).or_insert(Cell {
+            .or_insert_with(|| self.pairs.get(key).cloned());
+        let cell = self.pairs.entry(key.to_owned()).or_insert(Pair {
             value: Vec::new(),
-            create: index,
-            modify: index,
+            created: index,
+            modified: index,
             session: None,
         });
         cell.value = value;
-        cell.modify = index;
+        cell.modified = index;
         self.removed.remove(key);
     }
 
-    fn wake(&mut self) {
-        if !take(&mut self.faults.drop_events) {
+    fn notify_watches(&mut self) {
+        if !consume(&mut self.faults.drop_events) {
             self.waiters.clear();
         }
     }
 }
 
 /// The entries of `map` whose key begins with `prefix`.
-pub fn under<'a, T>(
+pub fn with_prefix<'a, T>(
     map: &'a BTreeMap<String, T>,
     prefix: &'a str,
 ) -> impl Iterator<Item = (&'a String, &'a T)> {
--- a/tools/standin/src/platform/write.rs
+++ b/tools/standin/src/platform/write.rs
@@ -9,7 +9,7 @@
 use super::answer::OperationRequest;
 use super::answer::SessionRequest;
 use super::query::Query;
-use super::query::duration;
+use super::query::parse_duration;
 use super::route::Answer;
 use super::state::Operation;
 use super::state::State;
@@ -51,7 +51,7 @@
 
 fn create(state: &mut State, now: Duration, body: &[u8]) -> Answer {
     let request = serde_json::from_slice::<SessionRequest>(body).ok();
-    match request.and_then(|request| duration(&request.ttl)) {
+    match request.and_then(|request| parse_duration(&request.ttl)) {
         Some(ttl) => {
             let id = state.sessions.create(ttl, now);
             answer::json(StatusCode::OK, 1, &json!({ "ID": id }))
@@ -65,8 +65,10 @@
         Ok(requests) => requests,
         Err(_) => return answer::status(StatusCode::BAD_REQUEST),
     };
-    let operations: Option<Vec<Operation>> =
-        requests.into_iter().map(OperationRequest::read).collect();
+    let operations: Option<Vec<Operation>> = requests
+        .into_iter()
+        .map(OperationRequest::into_operation)
+        .collect();
     let Some(operations) = operations else {
         return answer::status(StatusCode::BAD_REQUEST);
     };
@@ -79,8 +81,8 @@
         Ok(keys) => {
             let results: Vec<Value> = keys
                 .iter()
-                .filter_map(|key| Some((key, state.cells.get(key)?)))
-                .map(|(key, cell)| json!({ "KV": answer::pair(key, cell) }))
+                .filter_map(|key| Some((key, state.pairs.get(key)?)))
+                .map(|(key, cell)| json!({ "KV": answer::pair_json(key, cell) }))
                 .collect();
             answer::json(
                 StatusCode::OK,
--- a/tools/standin/tests/audit.rs
+++ b/tools/standin/tests/audit.rs
@@ -23,14 +23,14 @@
 }
 
 #[test]
-fn kept_promises_are_not_broken() {
+fn consistent_report_violates_no_guarantee() {
     let ledgers = [ledger(4, 0, &["a", "b"]), ledger(4, 0, &["c"])];
     let finding = Finding::new(report(), &ledgers);
     assert!(!finding.is_broken(), "{finding:?}");
 }
 
 #[test]
-fn second_run_on_another_server_is_found() {
+fn second_run_on_another_server_is_detected() {
     let ledgers = [ledger(4, 0, &["a", "b"]), ledger(4, 0, &["b"])];
     let finding = Finding::new(report(), &ledgers);
     assert_eq!(finding.run_twice, 1);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn run_after_not_run_is_found() {
+fn run_of_a_request_refused_as_not_run_is_detected() {
     let report = Report {
         not_run: vec!["a".into(), "z".into()],
         ..report()
@@ -55,13 +55,13 @@
 }
 
 /// A report with one broken promise.
-fn is_broken(change: fn(&mut Report)) {
+fn violates_a_guarantee(change: fn(&mut Report)) {
     let mut report = report();
     change(&mut report);
     assert!(Finding::new(report, &[]).is_broken());
 }
 
-cases::cases! { is_broken;
+cases::cases! { violates_a_guarantee;
     lost_operation: |report| report.lost = 1,
     wrong_service: |report| report.wrong_service = 1,
     mismatched_answer: |report| report.mismatched = 1,
--- a/tools/standin/tests/backend.rs
+++ b/tools/standin/tests/backend.rs
@@ -5,10 +5,10 @@
 
 use futures_lite::future::block_on;
 use futures_lite::future::poll_once;
+use standin::backend::Job;
 use standin::backend::Outcome;
 use standin::backend::Run;
 use standin::backend::Settings;
-use standin::backend::Work;
 use standin::backend::Worker;
 use standin::backend::answer;
 use standin::backend::request_name;
@@ -20,26 +20,26 @@
 }
 
 /// A server whose requests end at once.
-fn quick() -> Rc<Worker> {
+fn instant() -> Rc<Worker> {
     worker(Settings {
-        time: Duration::ZERO,
+        mean_time: Duration::ZERO,
         ..Settings::default()
     })
 }
 
 /// A server with one slot whose requests do not end.
-fn slow(queue: u32) -> Rc<Worker> {
+fn never_ending(queue: u32) -> Rc<Worker> {
     worker(Settings {
-        time: HOUR,
-        spread: 0,
+        mean_time: HOUR,
+        spread_percent: 0,
         slots: 1,
-        queue,
+        queue_limit: queue,
         ..Settings::default()
     })
 }
 
-fn work(name: &str) -> Work {
-    Work {
+fn job(name: &str) -> Job {
+    Job {
         name: name.into(),
         idempotent: false,
         deadline: HOUR,
@@ -48,9 +48,9 @@
 
 #[test]
 fn ledger_counts_each_run() {
-    let worker = quick();
+    let worker = instant();
     for name in ["a", "b", "a"] {
-        assert_eq!(block_on(worker.run(work(name))), Outcome::Finished);
+        assert_eq!(block_on(worker.run(job(name))), Outcome::Finished);
     }
     let ledger = worker.ledger();
     let twice = Run {
@@ -65,76 +65,76 @@
 
 #[test]
 fn dropped_run_is_cancelled_and_frees_its_slot() {
-    let worker = slow(0);
+    let worker = never_ending(0);
     {
-        let mut running = pin!(worker.run(work("a")));
+        let mut running = pin!(worker.run(job("a")));
         assert!(block_on(poll_once(&mut running)).is_none());
-        assert_eq!(worker.reported().active, 1);
+        assert_eq!(worker.reported_load().active, 1);
     }
-    assert_eq!(worker.reported().active, 0);
+    assert_eq!(worker.reported_load().active, 0);
     let run = worker.ledger().runs["a"];
     assert_eq!((run.begun, run.finished, run.cancelled), (1, 0, 1));
 }
 
 #[test]
 fn full_queue_sheds_without_a_run() {
-    let worker = slow(1);
-    let mut running = pin!(worker.run(work("a")));
-    let mut waiting = pin!(worker.run(work("b")));
+    let worker = never_ending(1);
+    let mut running = pin!(worker.run(job("a")));
+    let mut waiting = pin!(worker.run(job("b")));
     assert!(block_on(poll_once(&mut running)).is_none());
     assert!(block_on(poll_once(&mut waiting)).is_none());
-    assert_eq!(worker.reported().queued, 1);
-    assert_eq!(block_on(worker.run(work("c"))), Outcome::Shed);
+    assert_eq!(worker.reported_load().queued, 1);
+    assert_eq!(block_on(worker.run(job("c"))), Outcome::Shed);
     let ledger = worker.ledger();
     assert_eq!(ledger.shed, 1);
     assert!(!ledger.runs.contains_key("b") && !ledger.runs.contains_key("c"));
 }
 
 #[test]
-fn late_request_does_not_run() {
-    let worker = quick();
-    let late = Work {
+fn request_past_its_deadline_does_not_run() {
+    let worker = instant();
+    let late = Job {
         deadline: Duration::ZERO,
-        ..work("a")
+        ..job("a")
     };
-    assert_eq!(block_on(worker.run(late)), Outcome::Late);
+    assert_eq!(block_on(worker.run(late)), Outcome::Expired);
     assert!(worker.ledger().runs.is_empty());
 }
 
 #[test]
 fn draining_server_sheds() {
-    let worker = quick();
+    let worker = instant();
     worker.drain();
-    assert_eq!(block_on(worker.run(work("a"))), Outcome::Shed);
-    assert!(worker.reported().draining);
+    assert_eq!(block_on(worker.run(job("a"))), Outcome::Shed);
+    assert!(worker.reported_load().draining);
 }
 
 #[test]
-fn lagging_report_is_old() {
+fn delayed_report_omits_the_latest_change() {
     let worker = worker(Settings {
-        lag: HOUR,
+        report_age: HOUR,
         ..Settings::default()
     });
     worker.drain();
-    assert!(!worker.reported().draining);
+    assert!(!worker.reported_load().draining);
 }
 
 #[test]
-fn misleading_report_is_idle_and_healthy() {
+fn misleading_server_reports_that_it_is_not_draining() {
     let worker = worker(Settings {
         mislead: true,
         ..Settings::default()
     });
     worker.drain();
-    assert!(!worker.reported().draining);
+    assert!(!worker.reported_load().draining);
 }
 
 #[test]
-fn cold_server_is_slower() {
+fn run_time_falls_during_the_cold_start() {
     let settings = Settings {
-        time: Duration::from_millis(10),
-        spread: 50,
-        cold: Duration::from_secs(4),
+        mean_time: Duration::from_millis(10),
+        spread_percent: 50,
+        cold_start: Duration::from_secs(4),
         cold_factor: 3,
         ..Settings::default()
     };
--- a/tools/standin/tests/fabric.rs
+++ b/tools/standin/tests/fabric.rs
@@ -21,14 +21,14 @@
     copies: usize,
 }
 
-fn copies_are(share: &Share) {
+fn copies_match(share: &Share) {
     let mut fault = fault(share.loss, share.duplicate);
     for _ in 0..1000 {
         assert_eq!(fault.copies().len(), share.copies);
     }
 }
 
-cases::cases! { copies_are;
+cases::cases! { copies_match;
     no_fault: &Share { loss: 0, duplicate: 0, copies: 1 },
     all_lost: &Share { loss: 100, duplicate: 100, copies: 0 },
     all_doubled: &Share { loss: 0, duplicate: 100, copies: 2 },
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn file_replaces_the_entries() {
+fn file_replaces_the_entries_unless_a_line_is_invalid() {
     let file = std::env::temp_dir().join(format!("standin-entries-{}", std::process::id()));
     fs::write(&file, "127.0.0.1:1\n").expect("the file can be written");
     let mut entries = Entries::new(Vec::new(), Some(file.clone()));
