--- a/check.sh
+++ b/check.sh
@@ -1,13 +1,13 @@
 #!/usr/bin/env bash
-# The test command: format, lints, tests. Faults listed in KNOWN-RED.txt are
-# run, printed and passed over.
+# Checks format, lints and tests. Tests listed in KNOWN-RED.txt as known failures
+# are skipped, and the list is printed.
 set -euo pipefail
 cd "$(dirname "$0")"
 
 cargo fmt --all --check
 cargo clippy --workspace --all-targets -- -D warnings
 
-# The tests of real processes start the binaries.
+# Some tests start the binaries as processes.
 cargo build --workspace
 
 skips=()
@@ -24,6 +24,6 @@
 fi
 
 if [ "${#skips[@]}" -gt 0 ]; then
-    echo "Known red, passed over (see KNOWN-RED.txt):"
+    echo "Known failures, skipped (see KNOWN-RED.txt):"
     cat KNOWN-RED.txt
 fi
--- a/demo.sh
+++ b/demo.sh
@@ -1,13 +1,17 @@
 #!/usr/bin/env bash
-# Builds the binary, runs a small deployment on loopback addresses under load
-# and prints one table. Exits non-zero when a promise was broken.
+# Builds the binaries, runs a small deployment on loopback addresses under load
+# and prints a table of results. Exits non-zero when a guarantee was violated or
+# a step failed.
 #
 #   DEMO_NET      first two numbers of the loopback addresses (127.80)
-#   DEMO_SECONDS  length of the load (12)
-#   DEMO_BINDING  whether requests of the first service need the backend server of
-#                 their flow: bound or independent (independent)
-#   DEMO_FABRIC   faults of the fabric, as "--loss 2 --duplicate 2 --delay-ms 5"
-#   DEMO_OUT      directory of logs and reports (target/demo)
+#   DEMO_SECONDS  duration of the load in seconds (12)
+#   DEMO_BINDING  binding of the first service: bound, if all requests of a flow
+#                 must run on the backend server that holds it, or independent
+#                 (independent)
+#   DEMO_FABRIC   faults that the fabric injects, for example
+#                 "--loss 2 --duplicate 2 --delay-ms 5" (none)
+#   DEMO_OUT      directory for logs and reports, which is deleted first
+#                 (target/demo)
 set -euo pipefail
 cd "$(dirname "$0")"
 
@@ -32,7 +36,7 @@
 
 declare -A pids=()
 
-# Starts a process of the deployment: NAME COMMAND...
+# Starts a process in the background and logs its output: NAME COMMAND...
 start() {
     local name=$1
     shift
@@ -40,7 +44,7 @@
     pids[$name]=$!
 }
 
-# Stops all processes that are left, at first politely.
+# Stops all remaining processes with SIGTERM, and after 8 s with SIGKILL.
 finish() {
     local status=$?
     trap - EXIT
@@ -56,6 +60,7 @@
 trap finish EXIT
 trap 'exit 130' INT TERM
 
+# Starts an entry: NUMBER
 entry() {
     local peers
     peers=$(printf ",$net.1.%d:7000" 1 2 3)
@@ -73,17 +78,19 @@
     agent "$1" "$3" "$4"
 }
 
+# Starts an agent: NUMBER SERVICE SLOTS
 agent() {
     start "agent-$1" "$bin/greengagelug" agent --listen "$net.2.$1:7000" \
         --control "$net.2.$1:7001" --service "$2" --backend "$net.2.$1:8080" \
         --zone $(($1 % 4 + 1)) --slots "$3" --seeds "$net.1.1:7000,$net.1.2:7000"
 }
 
+# Runs an operator command against the first two entries: COMMAND...
 operate() {
     "$bin/greengagelug" operate --entries "$net.1.1:7002,$net.1.2:7002" "$@"
 }
 
-# Repeats a command until it succeeds: SECONDS COMMAND...
+# Repeats a command until it succeeds or the time is over: SECONDS COMMAND...
 retry() {
     local deadline=$((SECONDS + $1))
     shift
@@ -96,12 +103,12 @@
     done
 }
 
-# Prints the id of the target whose agent has an address.
+# Prints the id of the target whose agent has an address: ADDRESS
 target_id() {
     operate status | sed -n "s/^target: \([0-9]*\) .* at $1 .*/\1/p"
 }
 
-# Whether every entry knows 11 targets and both services.
+# Succeeds if every entry knows 11 ready targets and both services.
 ready() {
     local number status
     for number in 1 2 3; do
@@ -121,8 +128,9 @@
 start fabric "$bin/standin" fabric --listen "$fabric" --service "$roster" \
     --service "$rota" --entries-file "$out/entries" --key "$GREENGAGELUG_SIGN_KEY" "${faults[@]}"
 
-# Unequal backend servers: number 2 sheds when full, 5 starts cold, and the
-# second service has long answers.
+# The backend servers differ in speed. Number 2 has no queue and sheds requests
+# when its slots are busy, number 5 has a cold start, and the second service has
+# answers of at least 8000 bytes.
 target 1 roster "$roster" 4 20
 target 2 roster "$roster" 4 25 --queue 0
 target 3 roster "$roster" 4 30
@@ -140,8 +148,9 @@
 retry 10 operate create "$rota" --name rota --binding independent >/dev/null
 retry 15 ready
 
-echo "== calling for $seconds s"
+echo "== load for $seconds s"
 broken=0
+# Runs a caller and writes its report and plot: NAME FLAGS...
 call() {
     local name=$1
     shift
@@ -163,7 +172,7 @@
 printf "$net.1.%d:7000\n" 1 2 >"$out/entries"
 
 sleep "$pause"
-echo "== planned replacement of the agent beside backend server 2"
+echo "== planned replacement of the agent of backend server 2"
 kill -HUP "${pids[agent-2]}"
 wait "${pids[agent-2]}" || broken=$?
 agent 2 "$roster" 4
@@ -173,7 +182,7 @@
 operate drain "$roster" "target:$(target_id "$net.2.3:7000")" >/dev/null || broken=$?
 
 sleep "$pause"
-echo "== planned stop of the agent beside backend server 11"
+echo "== planned stop of the agent of backend server 11"
 kill -TERM "${pids[agent-11]}"
 wait "${pids[agent-11]}" || broken=$?
 
@@ -183,5 +192,5 @@
 echo "== result"
 reports=(--report "$out/roster.json" --report "$out/rota.json")
 "$bin/standin" audit "${reports[@]}" "${backends[@]/#/--backend=}" || broken=$?
-echo "latency through the run: $out/roster.svg and $out/rota.svg"
+echo "latency during the run: $out/roster.svg and $out/rota.svg"
 exit "$broken"
--- a/tools/bench/src/gate.rs
+++ b/tools/bench/src/gate.rs
@@ -1,4 +1,5 @@
-//! Queue disciplines of a gate, and the cost of its decisions.
+//! Simulates the admission gate of an agent under several queue disciplines,
+//! queue limits and loads, and measures the time of its decisions.
 use std::collections::BTreeMap;
 use std::error::Error;
 use std::fs;
@@ -20,14 +21,21 @@
 use crate::timing;
 
 const SLOTS: u16 = 4;
+
+/// Mean service time of a job; single jobs take 0.5 to 1.5 times as long.
 const SERVICE_TIME: Duration = Duration::from_millis(50);
+
+/// Simulated time after which no more jobs arrive.
 const ARRIVALS_END: Duration = Duration::from_mins(2);
+
+/// Offered loads, as multiples of the capacity of all slots.
 const LOADS: [f64; 4] = [0.85, 0.95, 1.2, 2.0];
 
-/// Half of the jobs allow the first time, half the second.
+/// Times from arrival to deadline; each applies to half of the jobs, at random.
 const TIME_LIMITS: [Duration; 2] = [Duration::from_millis(200), Duration::from_secs(2)];
 
-/// Longest expected waits that a job is queued for, in service times.
+/// Limits of the expected wait, in service times; a job that would wait longer
+/// is refused.
 const MAX_WAIT_TIMES: [u32; 5] = [2, 3, 4, 8, 40];
 
 const HEADER: [&str; 9] = [
@@ -42,24 +50,37 @@
     "expired after ms",
 ];
 
-/// One discipline at one load.
+/// Results of one discipline with one limit of the wait at one load. The
+/// fractional fields are counts of jobs, except as noted.
 #[derive(Debug, Default, Serialize)]
 struct Row {
     discipline: String,
     max_wait_times: u32,
+    /// Offered load, as a multiple of the capacity.
     load: f64,
     offered: f64,
+    /// Jobs with the shorter time limit.
     hasty: f64,
+    /// Jobs that finished by their deadline.
     in_time: f64,
+    /// Jobs with the shorter time limit that finished by their deadline.
     hasty_in_time: f64,
+    /// Jobs that finished after their deadline.
     late: f64,
+    /// Jobs refused on arrival.
     refused: f64,
+    /// Jobs whose deadline passed in the queue.
     expired: f64,
-    /// Sum of the times between offer and expiry, in milliseconds.
+    /// Sum of the times from arrival to expiry, in milliseconds.
     expired_ms: f64,
 }
 
-/// Runs all measurements.
+/// Runs all trials, prints their table and writes `gate.json`.
+///
+/// # Errors
+///
+/// An invalid option, or the error of the operating system if the file cannot
+/// be written.
 pub fn run(arguments: &[String]) -> Result<(), Box<dyn Error>> {
     let settings = options::parse(arguments)?;
     let mut rows = Vec::new();
@@ -77,7 +98,7 @@
     }
     println!("4 slots of 50 ms; half of the jobs allow 200 ms, half 2 s\n");
     table::print(&HEADER, &rows.iter().map(cells).collect::<Vec<_>>());
-    println!("offer and finish of a job: {:.0} ns", decision_ns());
+    println!("offering and finishing a job takes {:.0} ns", decision_ns());
     fs::create_dir_all(&settings.out)?;
     fs::write(
         settings.out.join("gate.json"),
@@ -101,27 +122,34 @@
     ]
 }
 
+/// Event of the simulation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
+    /// A job arrives.
     Arrive,
+    /// The job with this index ends.
     Done(usize),
+    /// The deadline of a queued job passes.
     Expire,
 }
 
+/// Arrival of one job.
 #[derive(Clone, Copy, Debug)]
 struct Arrival {
     issued: Duration,
     deadline: Duration,
 }
 
-/// One gate under one load.
+/// Discrete event simulation of one gate at one load.
 struct Trial {
     gate: Gate,
+    /// Pending events by their time.
     events: BTreeMap<Duration, Event>,
+    /// Jobs by id.
     jobs: Vec<Arrival>,
     random: Rng,
     now: Duration,
-    /// The earliest expiry that is planned.
+    /// Time of the earliest expiry that is scheduled.
     next_expiry: Option<Duration>,
     row: Row,
 }
@@ -169,7 +197,11 @@
             self.apply_release(release);
         }
         match self.gate.next_deadline() {
-            Some(deadline) if self.next_expiry.is_none_or(|wake| deadline < wake) => {
+            Some(deadline)
+                if self
+                    .next_expiry
+                    .is_none_or(|scheduled| deadline < scheduled) =>
+            {
                 self.next_expiry = Some(deadline);
                 self.schedule(deadline.max(self.now), Event::Expire);
             }
@@ -182,18 +214,18 @@
         let pause = -(1.0 - self.random.f64()).ln() / rate;
         self.schedule(self.now + Duration::from_secs_f64(pause), Event::Arrive);
         let hasty = self.random.bool();
-        let patience = TIME_LIMITS[usize::from(!hasty)];
+        let time_limit = TIME_LIMITS[usize::from(!hasty)];
         let job = self.jobs.len();
-        let entry = Arrival {
+        let arrival = Arrival {
             issued: self.now,
-            deadline: self.now + patience,
+            deadline: self.now + time_limit,
         };
-        self.jobs.push(entry);
+        self.jobs.push(arrival);
         self.row.offered += 1.0;
         self.row.hasty += f64::from(u8::from(hasty));
         let offer = Job {
             id: job as u64,
-            deadline: entry.deadline,
+            deadline: arrival.deadline,
             class: Class::Short,
         };
         match self.gate.offer(self.now, offer) {
@@ -229,6 +261,8 @@
         self.row.hasty_in_time += f64::from(u8::from(in_time && hasty));
     }
 
+    /// Schedules an event. One at a time that is taken already is put off by
+    /// whole nanoseconds, as the map holds one event per time.
     fn schedule(&mut self, time: Duration, event: Event) {
         let mut time = time;
         while self.events.contains_key(&time) {
@@ -238,6 +272,7 @@
     }
 }
 
+/// Measures the time to offer and finish one job on an idle gate.
 fn decision_ns() -> f64 {
     let mut gate = Gate::new(Settings::default(), Duration::ZERO);
     let mut releases = Vec::new();
--- a/tools/bench/src/main.rs
+++ b/tools/bench/src/main.rs
@@ -1,6 +1,6 @@
-//! Measures the decisions of greengagelug on one machine.
+//! Benchmarks and simulations of greengagelug on one machine.
 //!
-//! Each subcommand prints a table and writes the same figures as data.
+//! Each subcommand prints tables and writes the same figures as JSON.
 mod gate;
 mod member;
 mod options;
@@ -19,11 +19,11 @@
 Usage: measure COMMAND [OPTIONS]
 
 Commands:
-  gate    queue disciplines of a gate, and the cost of its decisions
-  member  membership: spreading, detection, loss of a zone, directory
-  place   imbalance and latency of the ways to place flows
-  relay   packets a second through an entry, against a bare UDP relay
-  route   cost of a routing decision, bytes of a flow
+  gate    queue disciplines of an admission gate, and the time of a decision
+  member  membership: gossip, failure detection, loss of a zone, directory size
+  place   load imbalance and latency of the policies that place flows
+  relay   packets per CPU second through an entry, against a bare UDP relay
+  route   time of a routing decision, and memory per flow
 ";
 
 fn main() -> ExitCode {
--- a/tools/bench/src/member.rs
+++ b/tools/bench/src/member.rs
@@ -1,5 +1,6 @@
-//! Membership: time and bytes to spread a change, what detection costs, how a
-//! zone is lost and returns, and what the directory takes at full size.
+//! Simulates the membership protocol in virtual time: gossip of a change,
+//! heartbeats, loss and return of a zone. Also measures the directory of one
+//! entry at full size.
 mod cpu;
 mod directory;
 mod fleet;
@@ -20,29 +21,30 @@
 use crate::report;
 use crate::table;
 
-/// Fleets over which a change is spread.
+/// Numbers of entries over which a change is gossiped.
 const ENTRY_COUNTS: [usize; 5] = [10, 30, 100, 300, 1_000];
 
-/// Agents before each entry, of which an entry watches three times as many
-/// divided by the entries of a region.
+/// Numbers of agents per entry. Three entries watch each agent, so that an
+/// entry watches three times as many on average.
 const AGENTS_PER_ENTRY: [usize; 3] = [0, 2, 7];
 
-/// Entries of the fleets with agents.
+/// Number of entries in the fleets with agents.
 const AGENT_ENTRIES: usize = 45;
 
-/// Changes that are spread, one after another.
+/// Number of changes that are gossiped, one after another.
 const CHANGES: u8 = 5;
 
-/// Time in which a fleet settles, and over which bytes are counted.
+/// Time that a fleet gets to converge, and over which bytes are counted.
 const SETTLE_TIME: Duration = Duration::from_secs(10);
 
-/// Longest time that a change or verdict may take.
+/// Simulated time after which waiting for all entries to agree ends.
 const TIMEOUT: Duration = Duration::from_mins(1);
 
-/// Steps in which the spreading of a change is observed.
+/// Simulated time between checks whether all entries agree; the resolution of
+/// the measured times.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Bytes of a configuration.
+/// Size of a service's configuration in bytes.
 const CONFIG_BYTES: usize = 150;
 
 #[derive(Debug, Serialize)]
@@ -53,38 +55,49 @@
     directory: directory::Figures,
 }
 
-/// One change on its way to everyone.
+/// Gossip of a change to all entries. Rates are per entry.
 #[derive(Debug, Serialize)]
 struct Spread {
     entries: usize,
+    /// Median time until all entries have a change.
     median_ms: u128,
+    /// Maximum time until all entries have a change.
     largest_ms: u128,
+    /// Bytes sent and received per entry and change, beyond the idle traffic.
     bytes_per_entry: u64,
+    /// Bytes per second without changes.
     idle_bytes_a_second: u64,
+    /// Processor time per second without changes, in microseconds.
     idle_micros_a_second: u128,
+    /// Share of all bytes that went to another zone.
     beyond_zone_percent: u64,
+    /// Share of all bytes that went to another region.
     beyond_region_percent: u64,
 }
 
-/// Cost of heartbeats.
+/// Cost of the heartbeats of agents. Rates are per entry.
 #[derive(Debug, Serialize)]
 struct Detection {
     entries: usize,
     agents: usize,
+    /// Processes that an entry watches, on average.
     watched: usize,
     entry_bytes_a_second: u64,
     entry_micros_a_second: u128,
 }
 
-/// Loss and return of one of nine zones.
+/// Loss and return of one of nine zones. Rates are per entry.
 #[derive(Debug, Serialize)]
 struct Outage {
     entries: usize,
     agents: usize,
+    /// Time until all other entries count the zone's targets as lost.
     lost_ms: u128,
+    /// Time until all entries count the zone's targets as running again.
     back_ms: u128,
     loss_bytes_a_second: u64,
     return_bytes_a_second: u64,
+    /// Suspicions of single processes in all entries.
     suspicions: u64,
 }
 
@@ -149,22 +162,23 @@
     }
 }
 
-/// A row that names one figure.
+/// Returns a table row with the name and the value of one figure.
 fn row(name: &str, value: &impl ToString) -> Vec<String> {
     vec![name.to_string(), value.to_string()]
 }
 
-/// Measures, prints and writes the figures.
+/// Runs all simulations, prints their tables and writes `out/member.json`.
 ///
 /// # Errors
 ///
-/// The operating system's error where the figures cannot be written.
+/// The error of the operating system if the file cannot be written.
 pub fn run() -> io::Result<()> {
-    // First, while no other memory has been taken.
+    // Measured first: memory that other measurements have freed would be used
+    // again, which hides growth of the resident memory.
     let directory = directory::measure();
     println!("The directory at full size");
     table::print(&["figure", "value"], &directory.rows());
-    println!("A change on its way to every entry ({CHANGES} changes, 9 zones, 3 regions)");
+    println!("Gossip of a change to every entry ({CHANGES} changes, 9 zones, 3 regions)");
     let spread: Vec<Spread> = ENTRY_COUNTS.map(spread).into_iter().collect();
     let rows: Vec<Vec<String>> = spread.iter().map(Spread::row).collect();
     table::print(&SPREAD_HEADER, &rows);
@@ -190,13 +204,14 @@
     SocketAddr::from(([10, 200, 0, number], 80))
 }
 
+/// Measures the gossip of changes in a fleet without agents.
 fn spread(entries: usize) -> Spread {
     let mut fleet = Fleet::new(entries, 0);
     fleet.run(SETTLE_TIME);
     let before = fleet.bytes();
-    let clock = Timer::start();
+    let cpu_timer = Timer::start();
     fleet.run(SETTLE_TIME);
-    let elapsed = clock.elapsed().as_micros();
+    let elapsed = cpu_timer.elapsed().as_micros();
     let idle = (fleet.bytes() - before) / SETTLE_TIME.as_secs() / entries as u64;
     let mut times = Vec::new();
     let mut bytes = 0;
@@ -205,8 +220,8 @@
         let before = fleet.bytes();
         let start = fleet.now;
         let now = fleet.now;
-        let author = usize::from(number) * entries / usize::from(CHANGES);
-        fleet.entries[author].put(
+        let source = usize::from(number) * entries / usize::from(CHANGES);
+        fleet.entries[source].put(
             now,
             Service {
                 address: service(number),
@@ -222,11 +237,11 @@
         times.push(fleet.now.saturating_sub(start).as_millis());
         fleet.run(SETTLE_TIME);
         let millis = fleet.now.saturating_sub(start).as_millis();
-        let all = (fleet.bytes() - before) / entries as u64;
-        bytes += all.saturating_sub(idle * u64::try_from(millis).unwrap_or(0) / 1_000);
+        let total = (fleet.bytes() - before) / entries as u64;
+        bytes += total.saturating_sub(idle * u64::try_from(millis).unwrap_or(0) / 1_000);
     }
     times.sort_unstable();
-    let reach = fleet.volume.unwrap_or_default();
+    let volume = fleet.volume.unwrap_or_default();
     Spread {
         entries,
         median_ms: times[times.len() / 2],
@@ -234,19 +249,20 @@
         bytes_per_entry: bytes / u64::from(CHANGES),
         idle_bytes_a_second: idle,
         idle_micros_a_second: elapsed / u128::from(SETTLE_TIME.as_secs()) / entries as u128,
-        beyond_zone_percent: reach.cross_zone * 100 / reach.total.max(1),
-        beyond_region_percent: reach.cross_region * 100 / reach.total.max(1),
+        beyond_zone_percent: volume.cross_zone * 100 / volume.total.max(1),
+        beyond_region_percent: volume.cross_region * 100 / volume.total.max(1),
     }
 }
 
+/// Measures the heartbeats in a fleet with agents.
 fn detection(agents_per_entry: usize) -> Detection {
     let agents = AGENT_ENTRIES * agents_per_entry;
     let mut fleet = Fleet::new(AGENT_ENTRIES, agents);
     fleet.run(SETTLE_TIME * 2);
     let before = fleet.bytes();
-    let clock = Timer::start();
+    let cpu_timer = Timer::start();
     fleet.run(SETTLE_TIME);
-    let elapsed = clock.elapsed().as_micros();
+    let elapsed = cpu_timer.elapsed().as_micros();
     let watched: usize = fleet
         .entries
         .iter()
@@ -263,24 +279,27 @@
     }
 }
 
+/// Measures how the entries learn of the loss and of the return of a zone.
 fn zone_outage() -> Outage {
     let agents = AGENT_ENTRIES * AGENTS_PER_ENTRY[2];
     let mut fleet = Fleet::new(AGENT_ENTRIES, agents);
     fleet.run(SETTLE_TIME * 2);
     let lost_agents = agents / fleet::ZONES;
-    let downs = |fleet: &Fleet, wanted: usize| {
+    let have_down = |fleet: &Fleet, wanted: usize| {
         let entries = (0..AGENT_ENTRIES).filter(|number| !fleet.is_frozen(*number));
-        let mut downs = entries.map(|number| {
+        let mut counts = entries.map(|number| {
             let views = fleet.entries[number].services();
             let members = views.flat_map(|view| view.targets.values());
             members.filter(|member| member.health != Health::Up).count()
         });
-        downs.all(|down| down == wanted)
+        counts.all(|count| count == wanted)
     };
     let before = fleet.bytes();
     let start = fleet.now;
     fleet.frozen_zone = Some(0);
-    fleet.run_until(TIMEOUT, POLL_INTERVAL, |fleet| downs(fleet, lost_agents));
+    fleet.run_until(TIMEOUT, POLL_INTERVAL, |fleet| {
+        have_down(fleet, lost_agents)
+    });
     let lost_ms = fleet.now.saturating_sub(start).as_millis();
     fleet.run(SETTLE_TIME);
     let loss_seconds = fleet.now.saturating_sub(start).as_secs();
@@ -288,7 +307,7 @@
     let before = fleet.bytes();
     let start = fleet.now;
     fleet.frozen_zone = None;
-    fleet.run_until(TIMEOUT, POLL_INTERVAL, |fleet| downs(fleet, 0));
+    fleet.run_until(TIMEOUT, POLL_INTERVAL, |fleet| have_down(fleet, 0));
     let back_ms = fleet.now.saturating_sub(start).as_millis();
     fleet.run(SETTLE_TIME);
     let return_seconds = fleet.now.saturating_sub(start).as_secs();
--- a/tools/bench/src/member/cpu.rs
+++ b/tools/bench/src/member/cpu.rs
@@ -1,27 +1,30 @@
-//! Processor time of this process, which other processes do not disturb.
+//! Processor time of this process. Unlike elapsed time, it does not grow while
+//! other processes run.
 use std::fs;
 use std::time::Duration;
 
-/// Measures processor time from its start.
+/// Measures processor time since its creation.
 pub struct Timer {
+    /// Processor time at the creation.
     started: Duration,
 }
 
 impl Timer {
-    /// Starts to measure.
+    /// Starts the measurement.
     pub fn start() -> Self {
         Self {
             started: cpu_time(),
         }
     }
 
-    /// Processor time since the start.
+    /// Returns the processor time since the start.
     pub fn elapsed(&self) -> Duration {
         cpu_time().saturating_sub(self.started)
     }
 }
 
-/// Processor time of the only thread: the first field of `schedstat`.
+/// Returns the processor time of the main thread, which is the only one: the
+/// first field of `schedstat`.
 fn cpu_time() -> Duration {
     let schedstat = fs::read_to_string("/proc/self/schedstat").unwrap_or_default();
     let nanos = schedstat.split_whitespace().next();
--- a/tools/bench/src/member/directory.rs
+++ b/tools/bench/src/member/directory.rs
@@ -1,4 +1,5 @@
-//! One entry with the directory of the full size.
+//! Measures one entry whose directory has full size: memory, and processor
+//! time of merges and heartbeats.
 use std::fs;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,21 +22,24 @@
 const ENTRIES: usize = 15_000;
 const TARGETS: usize = 99_000;
 const SERVICES: usize = 7_700;
+
+/// Size of a service's configuration in bytes.
 const CONFIG_BYTES: usize = 150;
 
-/// Records in one message.
+/// Maximum number of records in one push message.
 const PUSH_RECORDS: usize = 16;
 
-/// Agents that the entry watches: three watchers each, over all entries.
+/// Number of agents that the entry watches: each agent has three watchers,
+/// spread evenly over all entries.
 const WATCHED: usize = TARGETS * 3 / ENTRIES;
 
-/// Seconds of heartbeats that are measured.
+/// Duration of the measurement of heartbeats, in seconds of virtual time.
 const HEARTBEAT_SECONDS: u64 = 20;
 
-/// Bytes of a page of memory.
+/// Size of a page of memory in bytes.
 const PAGE_BYTES: u64 = 4_096;
 
-/// What the directory takes.
+/// Memory and processor time of the directory.
 #[derive(Debug, Serialize)]
 pub struct Figures {
     entries: usize,
@@ -43,14 +47,19 @@
     services: usize,
     memory_bytes: u64,
     bytes_per_record: u64,
+    /// Processor time to merge one record, in nanoseconds.
     merge_nanos: u128,
+    /// Processes that the entry watches.
     watched: usize,
+    /// Processor time per second without changes, in microseconds.
     steady_micros_a_second: u128,
+    /// Processor time to merge the restart of another entry and to handle the
+    /// next heartbeat of each watched agent, in microseconds.
     fleet_change_micros: u128,
 }
 
 impl Figures {
-    /// A row for each figure.
+    /// Returns a table row for each figure.
     pub fn rows(&self) -> Vec<Vec<String>> {
         vec![
             row("entries", &self.entries),
@@ -69,10 +78,10 @@
     }
 }
 
-/// Fills a directory and runs it.
+/// Fills a directory and measures it.
 pub fn measure() -> Figures {
     let now = Duration::ZERO;
-    let memory = resident_bytes();
+    let memory_before = resident_bytes();
     let identity = fleet::identity(0);
     let own = identity.address;
     let mut registry = Registry::new(Settings::default(), identity, 1, now);
@@ -85,7 +94,7 @@
         })
     });
     let targets = (0..TARGETS).map(|number| Record::Target(fleet::target(number)));
-    let clock = Timer::start();
+    let cpu_timer = Timer::start();
     let mut records = entries.chain(services).chain(targets).peekable();
     let mut count = 0;
     while records.peek().is_some() {
@@ -93,14 +102,14 @@
         count += records.len();
         deliver_push(&mut registry, now, own, records);
     }
-    let elapsed = clock.elapsed().as_nanos();
+    let elapsed = cpu_timer.elapsed().as_nanos();
     registry.tick(now, &mut Vec::new());
     registry.changes();
-    let memory_bytes = resident_bytes().saturating_sub(memory);
+    let memory_bytes = resident_bytes().saturating_sub(memory_before);
     let steady_micros_a_second = steady_micros_a_second(&mut registry, own);
     let mut changed = fleet::identity(5);
     changed.incarnation += 1;
-    let clock = Timer::start();
+    let cpu_timer = Timer::start();
     deliver_push(&mut registry, now, own, vec![fleet::record(&changed)]);
     deliver_heartbeats(&mut registry, now, own, HEARTBEAT_SECONDS + 1);
     Figures {
@@ -112,13 +121,14 @@
         merge_nanos: elapsed / count as u128,
         watched: registry.status().watched,
         steady_micros_a_second,
-        fleet_change_micros: clock.elapsed().as_micros(),
+        fleet_change_micros: cpu_timer.elapsed().as_micros(),
     }
 }
 
-/// Time of a second with heartbeats of all watched agents and four rounds.
+/// Returns the processor time of one second with the heartbeats of all watched
+/// agents and the periodic work of the entry, in microseconds.
 fn steady_micros_a_second(registry: &mut Registry, own: SocketAddr) -> u128 {
-    let clock = Timer::start();
+    let cpu_timer = Timer::start();
     for second in 1..=HEARTBEAT_SECONDS {
         let now = Duration::from_secs(second);
         deliver_heartbeats(registry, now, own, second);
@@ -127,7 +137,7 @@
             registry.tick(next, &mut Vec::new());
         }
     }
-    clock.elapsed().as_micros() / u128::from(HEARTBEAT_SECONDS)
+    cpu_timer.elapsed().as_micros() / u128::from(HEARTBEAT_SECONDS)
 }
 
 fn deliver_heartbeats(registry: &mut Registry, now: Duration, own: SocketAddr, sequence: u64) {
@@ -154,7 +164,8 @@
     registry.handle(now, from, Message::Push(push), &mut Vec::new());
 }
 
-/// Resident memory of this process, from the second field of `statm`.
+/// Returns the resident memory of this process, from the second field of
+/// `statm`.
 fn resident_bytes() -> u64 {
     let statm = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = statm.split_whitespace().nth(1);
--- a/tools/bench/src/member/fleet.rs
+++ b/tools/bench/src/member/fleet.rs
@@ -1,4 +1,5 @@
-//! Entries and agents in one process, which exchange messages in memory.
+//! Simulates entries and agents in one process: messages pass through a queue
+//! in memory, and time is virtual.
 use std::collections::BTreeMap;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -18,53 +19,59 @@
 use wire::ZoneId;
 use wire::target::State;
 
-/// Zones, in regions of three.
+/// Number of zones; each region has three.
 pub const ZONES: usize = 9;
 
 const ZONES_PER_REGION: usize = 3;
 
-/// Targets of one service.
+/// Number of targets of each service.
 const TARGETS_PER_SERVICE: usize = 13;
 
-/// Time on the way between two processes.
+/// Time from the sending of a message to its delivery.
 const ONE_WAY_DELAY: Duration = Duration::from_micros(1_500);
 
-/// Records in one message while the entries are introduced to each other.
+/// Maximum number of records in one push message, with which the entries learn
+/// of each other at the start.
 const PUSH_RECORDS: usize = 20;
 
-/// Entries, agents and the messages on their way.
+/// Entries, agents and the messages in flight between them.
 pub struct Fleet {
-    /// The time of all processes.
+    /// Virtual time of all processes.
     pub now: Duration,
     /// The entries.
     pub entries: Vec<Registry>,
-    /// Number of a zone whose processes neither run nor receive.
+    /// Number of the zone whose processes neither run nor receive messages, if
+    /// any.
     pub frozen_zone: Option<usize>,
-    /// Bytes sent by where they went, while they are counted.
+    /// Bytes sent by destination; `None` while they are not counted.
     pub volume: Option<Volume>,
     agents: Vec<Announcer>,
     processes: HashMap<SocketAddr, Process>,
+    /// Messages in flight by time of delivery, then by number.
     queue: BTreeMap<(Duration, u64), Envelope>,
+    /// Number of messages sent so far.
     sent: u64,
 }
 
-/// Bytes by how far they went.
+/// Bytes sent, by whether they left their zone or region.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Volume {
     /// All bytes.
     pub total: u64,
-    /// Bytes to other zones, those to other regions included.
+    /// Bytes to other zones, including those to other regions.
     pub cross_zone: u64,
     /// Bytes to other regions.
     pub cross_region: u64,
 }
 
+/// Kind of a process, with its index among those of its kind.
 #[derive(Clone, Copy)]
 enum Process {
     Entry(usize),
     Agent(usize),
 }
 
+/// A message in flight.
 struct Envelope {
     from: SocketAddr,
     to: SocketAddr,
@@ -72,17 +79,18 @@
 }
 
 impl Fleet {
-    /// Starts entries that know each other, and agents that know some of them.
+    /// Creates entries that know each other, and agents that know three
+    /// entries each.
     pub fn new(entries: usize, agents: usize) -> Self {
         let now = Duration::ZERO;
         let settings = Settings::default();
         let identities: Vec<Identity> = (0..entries).map(identity).collect();
-        let mut numbers = HashMap::new();
+        let mut processes = HashMap::new();
         for (number, identity) in identities.iter().enumerate() {
-            numbers.insert(identity.address, Process::Entry(number));
+            processes.insert(identity.address, Process::Entry(number));
         }
         let records: Vec<Record> = identities.iter().map(record).collect();
-        let introduce = |(number, identity): (usize, &Identity)| {
+        let new_entry = |(number, identity): (usize, &Identity)| {
             let mut entry = Registry::new(settings.clone(), identity.clone(), number as u64, now);
             for records in records.chunks(PUSH_RECORDS) {
                 let push = Push {
@@ -93,27 +101,33 @@
             }
             entry
         };
-        let registries = identities.iter().enumerate().map(introduce).collect();
-        let announce = |number| {
+        let registries = identities.iter().enumerate().map(new_entry).collect();
+        let new_agent = |number| {
             let target = target(number);
-            let near = (0..3).map(|seed| address(0, (number + seed * 7) % entries));
-            numbers.insert(target.address, Process::Agent(number));
-            Announcer::new(settings.clone(), target, near.collect(), number as u64, now)
+            let seeds = (0..3).map(|index| address(0, (number + index * 7) % entries));
+            processes.insert(target.address, Process::Agent(number));
+            Announcer::new(
+                settings.clone(),
+                target,
+                seeds.collect(),
+                number as u64,
+                now,
+            )
         };
-        let agents = (0..agents).map(announce).collect();
+        let agents = (0..agents).map(new_agent).collect();
         Self {
             now,
             entries: registries,
             frozen_zone: None,
             volume: None,
             agents,
-            processes: numbers,
+            processes,
             queue: BTreeMap::new(),
             sent: 0,
         }
     }
 
-    /// Bytes sent and received by all entries so far.
+    /// Returns the bytes sent and received by all entries so far.
     pub fn bytes(&self) -> u64 {
         let statuses = self.entries.iter().map(Registry::status);
         statuses
@@ -121,12 +135,13 @@
             .sum()
     }
 
-    /// True where the entry belongs to the frozen zone.
+    /// Returns whether the entry or agent with this number is in the frozen
+    /// zone.
     pub fn is_frozen(&self, number: usize) -> bool {
         self.frozen_zone == Some(number % ZONES)
     }
 
-    /// Runs for a while.
+    /// Runs all processes for `time` of virtual time.
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
@@ -134,7 +149,8 @@
         }
     }
 
-    /// Runs until the condition holds, which is looked at after each step.
+    /// Runs until the condition holds or `limit` has passed. Checks the
+    /// condition after every `step` of virtual time.
     pub fn run_until(
         &mut self,
         limit: Duration,
@@ -147,6 +163,8 @@
         }
     }
 
+    /// Advances to the next deadline of any process, at most to `end`: delivers
+    /// the messages that are due, then ticks the processes that are due.
     fn step(&mut self, end: Duration) {
         let entries = (0..self.entries.len()).filter(|number| !self.is_frozen(*number));
         let agents = (0..self.agents.len()).filter(|number| !self.is_frozen(*number));
@@ -172,6 +190,7 @@
         }
     }
 
+    /// Delivers the messages that are due by `end`, in order.
     fn deliver_until(&mut self, end: Duration) {
         let mut actions = Vec::new();
         while let Some(first) = self.queue.first_entry() {
@@ -194,11 +213,12 @@
         }
     }
 
+    /// Queues the messages of a process for delivery.
     fn send(&mut self, from: SocketAddr, actions: &mut Vec<Action>) {
         for Action::Send { to, message } in actions.drain(..) {
             self.sent += 1;
-            if let Some(reach) = &mut self.volume {
-                reach.count(zone_of(from), zone_of(to), message.datagram_bytes());
+            if let Some(volume) = &mut self.volume {
+                volume.count(zone_of(from), zone_of(to), message.datagram_bytes());
             }
             let at = (self.now + ONE_WAY_DELAY, self.sent);
             self.queue.insert(at, Envelope { from, to, message });
@@ -216,7 +236,7 @@
     }
 }
 
-/// Zone of the process at an address of [`address`].
+/// Returns the zone of the process with an address made by [`address`].
 fn zone_of(address: SocketAddr) -> ZoneId {
     let SocketAddr::V4(address) = address else {
         return 0;
@@ -225,7 +245,7 @@
     zone(u32::from_be_bytes([0, high, middle, low]) as usize)
 }
 
-/// Identity of the entry with this number.
+/// Returns the identity of the entry with this number.
 pub fn identity(number: usize) -> Identity {
     Identity {
         address: address(0, number),
@@ -234,7 +254,7 @@
     }
 }
 
-/// Record of an entry.
+/// Returns the membership record of an entry.
 pub fn record(identity: &Identity) -> Record {
     Record::Entry(Entry {
         address: identity.address,
@@ -244,7 +264,7 @@
     })
 }
 
-/// The target with this number.
+/// Returns the target with this number.
 pub fn target(number: usize) -> Target {
     let service = service(number / TARGETS_PER_SERVICE);
     Target {
@@ -261,7 +281,7 @@
     }
 }
 
-/// Address of the service with this number.
+/// Returns the address of the service with this number.
 pub fn service(number: usize) -> ServiceAddress {
     address(3, number)
 }
@@ -272,6 +292,8 @@
     ZoneId::from_be_bytes([region + 1, zone])
 }
 
+/// Returns a distinct address for each kind (0 entry, 1 agent, 2 backend
+/// server, 3 service) and number.
 fn address(kind: u8, number: usize) -> SocketAddr {
     let [_, high, middle, low] = u32::try_from(number).unwrap_or(0).to_be_bytes();
     SocketAddr::from(([10 + kind, high, middle, low], 7_000))
--- a/tools/bench/src/options.rs
+++ b/tools/bench/src/options.rs
@@ -1,32 +1,46 @@
-//! Options that the subcommands share.
+//! Command line options that the subcommands share.
 use std::error::Error;
 use std::path::PathBuf;
 
 use getopts::Options;
 
-/// Where results go and how much is run.
+/// Options of a subcommand.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Runs of each trial, each with its own seed.
+    /// Number of runs of each trial, each with its own seed.
     pub seeds: u64,
-    /// Folder for data.
+    /// Folder that the JSON files are written to.
     pub out: PathBuf,
-    /// Folder for plots.
+    /// Folder that the plots are written to.
     pub plots: PathBuf,
-    /// Only trials whose name contains this.
+    /// Text that the names of the trials to run contain; empty for all trials.
     pub only: String,
 }
 
-/// Reads the options of a subcommand.
+/// Parses the options of a subcommand.
+///
+/// # Errors
+///
+/// An option that is unknown, lacks its value or has one of the wrong type.
 pub fn parse(arguments: &[String]) -> Result<Settings, Box<dyn Error>> {
     let mut options = Options::new();
-    options.optopt("", "seeds", "runs of each trial (default 5)", "COUNT");
-    options.optopt("", "out", "folder for data (default out)", "DIR");
-    options.optopt("", "plots", "folder for plots (default docs/plots)", "DIR");
+    options.optopt(
+        "",
+        "seeds",
+        "runs of each trial, each with its own seed (default 5)",
+        "COUNT",
+    );
+    options.optopt("", "out", "folder for the JSON files (default out)", "DIR");
+    options.optopt(
+        "",
+        "plots",
+        "folder for the plots (default docs/plots)",
+        "DIR",
+    );
     options.optopt(
         "",
         "only",
-        "run the trials whose name contains this",
+        "run only the trials whose name contains this text",
         "TEXT",
     );
     let matches = options.parse(arguments).map_err(|error| {
--- a/tools/bench/src/place.rs
+++ b/tools/bench/src/place.rs
@@ -1,8 +1,9 @@
-//! Imbalance and latency of the ways to place flows.
+//! Simulates policies that place flows, and compares load imbalance and
+//! latency.
 //!
-//! A small discrete event program drives the real order, hunting and gates with
-//! the sizes of the customers in the brief; only the backend servers' service
-//! times, the callers and the delays between hosts are made up.
+//! A discrete event simulation drives the real target order, hunt and admission
+//! gates with the numbers of targets and slots that the customers have. Only
+//! service times, callers and network delays are modelled.
 mod outcome;
 mod plot;
 mod policy;
@@ -15,7 +16,12 @@
 
 use crate::options;
 
-/// Runs all trials.
+/// Runs the selected trials, prints their tables, and writes `place.json` and
+/// the plots.
+///
+/// # Errors
+///
+/// An invalid option, or the error of a file that cannot be written.
 pub fn run(arguments: &[String]) -> Result<(), Box<dyn Error>> {
     let settings = options::parse(arguments)?;
     let mut results = Vec::new();
--- a/tools/bench/src/place/outcome.rs
+++ b/tools/bench/src/place/outcome.rs
@@ -1,4 +1,4 @@
-//! What a run shows.
+//! Measurements of a run.
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
@@ -7,48 +7,51 @@
 use super::trial::RUN_END;
 use super::trial::WARM_UP_END;
 
-/// Largest latency that is told apart, in microseconds.
+/// Upper limit of the latency histogram, in microseconds; larger latencies
+/// count as this one.
 const MAX_LATENCY_US: u64 = 120_000_000;
 
-/// Counts during the measurement of one run.
+/// Latencies and counts of one run. The counts start after the warm-up, except
+/// that refused opens are always counted.
 #[derive(Debug)]
 pub struct Recorder {
+    /// Latencies after the warm-up, in microseconds.
     latency: Histogram<u64>,
-    /// Latencies by second of the run, in microseconds.
+    /// Latencies by second of the whole run, in microseconds.
     seconds: Vec<Vec<u64>>,
-    /// Requests issued.
+    /// Number of requests issued.
     pub issued: u64,
-    /// Requests refused or expired.
+    /// Number of requests refused or expired, and of refused opens.
     pub refused: u64,
-    /// Requests that ran away from the holder.
+    /// Number of requests that another agent than the holder ran.
     pub forwarded: u64,
-    /// Messages between agents.
+    /// Number of messages between agents.
     pub messages: u64,
 }
 
-/// What a run shows, or the median of several.
+/// Figures of a run, or the medians of several runs.
 #[derive(Clone, Debug, Serialize)]
 pub struct Outcome {
     /// Median latency in milliseconds.
     pub p50_ms: f64,
-    /// Latency of the slowest hundredth in milliseconds.
+    /// 99th percentile of the latency in milliseconds.
     pub p99_ms: f64,
-    /// Share of requests refused.
+    /// Requests refused or expired, as a share of those issued.
     pub refused: f64,
-    /// Largest utilisation of a target over the mean.
+    /// Largest utilisation of a target divided by the mean utilisation.
     pub imbalance: f64,
-    /// Share of requests that ran away from the holder.
+    /// Share of requests that another agent than the holder ran.
     pub travelled: f64,
-    /// Messages between agents for each request.
+    /// Messages between agents per request.
     pub messages: f64,
-    /// Weight steps that each target announced in a minute.
+    /// Changes of its weight that a target announced per minute, on average.
     pub weight_changes: f64,
-    /// Slowest hundredth by second of the run, in milliseconds.
+    /// 99th percentile of the latency by second of the run, in milliseconds.
     pub p99_by_second_ms: Vec<f64>,
 }
 
 impl Recorder {
-    /// Starts counting.
+    /// Creates a recorder without measurements.
     pub fn new() -> Self {
         Self {
             latency: Histogram::new_with_bounds(1, MAX_LATENCY_US, 3)
@@ -61,7 +64,7 @@
         }
     }
 
-    /// Counts an answer.
+    /// Records the latency of an answer.
     pub fn record_answer(&mut self, now: Duration, latency: Duration) {
         let micros = u64::try_from(latency.as_micros()).unwrap_or(u64::MAX);
         let second = usize::try_from(now.as_secs()).unwrap_or(usize::MAX);
@@ -73,7 +76,8 @@
         }
     }
 
-    /// Turns the counts into figures.
+    /// Computes the figures from the records, the utilisation of each target
+    /// and the number of weight changes.
     #[allow(clippy::cast_precision_loss)]
     pub fn finish(mut self, utilisation: &[f64], changes: u64) -> Outcome {
         let issued = self.issued.max(1) as f64;
@@ -94,6 +98,8 @@
     }
 }
 
+/// Returns the 99th percentile of latencies in microseconds, in milliseconds;
+/// 0 if there are none.
 #[allow(clippy::cast_precision_loss)]
 fn p99(latencies: &mut [u64]) -> f64 {
     latencies.sort_unstable();
@@ -104,24 +110,24 @@
 }
 
 impl Outcome {
-    /// The median of each figure.
+    /// Returns the median of each figure.
     pub fn median(outcomes: &[Self]) -> Self {
-        let of = |figure: &dyn Fn(&Self) -> f64| {
+        let median_of = |figure: &dyn Fn(&Self) -> f64| {
             let mut values: Vec<f64> = outcomes.iter().map(figure).collect();
             values.sort_by(f64::total_cmp);
             values[values.len() / 2]
         };
         let seconds = outcomes[0].p99_by_second_ms.len();
         Self {
-            p50_ms: of(&|outcome| outcome.p50_ms),
-            p99_ms: of(&|outcome| outcome.p99_ms),
-            refused: of(&|outcome| outcome.refused),
-            imbalance: of(&|outcome| outcome.imbalance),
-            travelled: of(&|outcome| outcome.travelled),
-            messages: of(&|outcome| outcome.messages),
-            weight_changes: of(&|outcome| outcome.weight_changes),
+            p50_ms: median_of(&|outcome| outcome.p50_ms),
+            p99_ms: median_of(&|outcome| outcome.p99_ms),
+            refused: median_of(&|outcome| outcome.refused),
+            imbalance: median_of(&|outcome| outcome.imbalance),
+            travelled: median_of(&|outcome| outcome.travelled),
+            messages: median_of(&|outcome| outcome.messages),
+            weight_changes: median_of(&|outcome| outcome.weight_changes),
             p99_by_second_ms: (0..seconds)
-                .map(|second| of(&|outcome| outcome.p99_by_second_ms[second]))
+                .map(|second| median_of(&|outcome| outcome.p99_by_second_ms[second]))
                 .collect(),
         }
     }
--- a/tools/bench/src/place/plot.rs
+++ b/tools/bench/src/place/plot.rs
@@ -1,4 +1,5 @@
-//! Draws the imbalance of the policies and the latency through a slow-down.
+//! Plots the load imbalance of the policies, and the latency while one target
+//! is slow.
 use std::error::Error;
 use std::fs;
 use std::path::Path;
@@ -13,10 +14,10 @@
 const TITLE: (&str, u32) = ("sans-serif", 18);
 const COLOURS: [RGBColor; 7] = [BLUE, RED, GREEN, MAGENTA, BLACK, CYAN, YELLOW];
 
-/// Trial that the latency through a slow-down is drawn from.
+/// Name of the trial whose latency is plotted.
 const SLOW_TRIAL: &str = "roster single slow";
 
-/// Trials that the imbalance is drawn from.
+/// Names of the trials whose imbalance is plotted.
 const IMBALANCE_TRIALS: [&str; 4] = [
     "roster single",
     "rota single",
@@ -24,13 +25,19 @@
     "intake single",
 ];
 
-/// Latencies below this are drawn at the foot, in milliseconds.
+/// Lower end of the latency axis in milliseconds; lower latencies are drawn
+/// there.
 const MIN_LATENCY_MS: f64 = 10.0;
 
-/// Latencies above this are drawn at the top, in milliseconds.
+/// Upper end of the latency axis in milliseconds; higher latencies are drawn
+/// there.
 const MAX_LATENCY_MS: f64 = 100_000.0;
 
-/// Writes the plots of the results that were run.
+/// Writes each plot whose trials were run.
+///
+/// # Errors
+///
+/// The error of a plot that cannot be drawn or written.
 pub fn save(results: &[Results], plots: &Path) -> Result<(), Box<dyn Error>> {
     fs::create_dir_all(plots)?;
     if let Some(slow) = results.iter().find(|results| results.name == SLOW_TRIAL) {
@@ -44,6 +51,7 @@
     Ok(())
 }
 
+/// Plots the 99th percentile of the latency over time, one line per policy.
 fn latency(results: &Results, path: &Path) -> Result<(), Box<dyn Error>> {
     let area = SVGBackend::new(path, SIZE).into_drawing_area();
     area.fill(&WHITE)?;
@@ -79,6 +87,7 @@
     Ok(())
 }
 
+/// Plots the imbalance as groups of bars: a group per trial, a bar per policy.
 fn imbalance(trials: &[&Results], path: &Path) -> Result<(), Box<dyn Error>> {
     let area = SVGBackend::new(path, SIZE).into_drawing_area();
     area.fill(&WHITE)?;
@@ -119,7 +128,8 @@
     Ok(())
 }
 
-/// The name of a group of bars, below its middle.
+/// Returns the name of a trial at the middle of its group of bars, and an empty
+/// label elsewhere.
 fn group_label(trials: &[&Results], x: usize, width: usize) -> String {
     match trials.get(x / width) {
         Some(results) if x % width == width / 2 => results.name.clone(),
@@ -127,6 +137,7 @@
     }
 }
 
+/// Returns a function that draws the line of a legend entry.
 fn legend_line(colour: RGBColor) -> impl Fn((i32, i32)) -> PathElement<(i32, i32)> {
     move |(x, y)| PathElement::new(vec![(x, y), (x + 20, y)], colour.stroke_width(3))
 }
--- a/tools/bench/src/place/policy.rs
+++ b/tools/bench/src/place/policy.rs
@@ -1,76 +1,80 @@
-//! The ways to place flows and requests that are compared.
+//! Policies that place flows and their requests.
 use std::time::Duration;
 
 use serde::Serialize;
 
-/// A way to place flows and to run their requests.
+/// Policy that chooses the holder of a flow and the agents that run its
+/// requests.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Policy {
-    /// How the holder of a flow is found.
+    /// Choice of the holder of a flow.
     pub place: Place,
-    /// How a busy holder passes single requests on.
+    /// Forwarding of single requests by a busy holder; `None` if the holder runs
+    /// all requests of its flows.
     pub pass: Option<Forwarding>,
 }
 
-/// How the holder of a flow is found.
+/// Choice of the holder of a flow.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub enum Place {
-    /// The first of the weighted order.
+    /// The first target of the weighted rendezvous order.
     Hash,
-    /// The next target in turn, at each of three entries.
+    /// Round robin, separately at each of three entries.
     RoundRobin,
-    /// The less loaded of two random targets, by reports up to 1 s old.
+    /// The less loaded of two random targets, by load reports up to 1 s old.
     BestOfTwo,
-    /// The targets bid; the first with a free slot takes it, else the best bid.
+    /// The first targets of the weighted order are asked one after another. One
+    /// with a free slot and little load accepts at once; if none does, the one
+    /// with the lowest bid gets the flow.
     Hunt {
-        /// Targets that are visited.
+        /// Number of targets that are asked.
         width: usize,
-        /// What a target bids.
+        /// Basis of the bids.
         signal: Signal,
     },
 }
 
-/// What a target bids for a flow.
+/// Basis of a target's bid for a flow; the lowest bid wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum Signal {
-    /// A free slot, or the expected wait.
+    /// Expected wait for a slot; zero when one is free.
     Slots,
-    /// Held flows over capacity.
+    /// Number of held flows divided by the capacity.
     Held,
-    /// Load of the held flows over capacity.
+    /// Load of the held flows divided by the capacity.
     Load,
-    /// The expected wait and the load of the held flows, as agents do for bound
-    /// flows.
+    /// Expected wait plus load of the held flows, as agents bid for bound flows.
     Blend,
 }
 
-/// How a busy holder passes single requests on.
+/// Forwarding of single requests by a busy holder to other agents.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Forwarding {
-    /// Other targets that are asked.
+    /// Number of other targets that are asked.
     pub width: usize,
-    /// Expected wait above which a request is passed on.
+    /// Expected wait at the holder above which it forwards a request.
     pub threshold: Duration,
-    /// Which other targets are asked.
+    /// Choice of the other targets.
     pub key: Key,
 }
 
-/// Which other targets a holder asks.
+/// Choice of the other targets that a holder asks, by the hash key of their
+/// order.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub enum Key {
-    /// The same ones for all requests of a flow.
+    /// The same targets for all requests of a flow.
     Flow,
-    /// Others for each request.
+    /// Different targets for each request.
     Request,
 }
 
 impl Policy {
-    /// Requests run where their flow is held.
+    /// Creates a policy under which the holder runs all requests of its flows.
     pub const fn bound(place: Place) -> Self {
         Self { place, pass: None }
     }
 
-    /// A short name for tables.
+    /// Returns a short name for tables and plots.
     pub fn name(&self) -> String {
         let place = match self.place {
             Place::Hash => "hash".into(),
--- a/tools/bench/src/place/report.rs
+++ b/tools/bench/src/place/report.rs
@@ -1,4 +1,4 @@
-//! Runs a trial and writes its results as a table and as data.
+//! Runs a trial under each policy, prints its table and writes `place.json`.
 use std::error::Error;
 use std::fs;
 use std::path::Path;
@@ -14,31 +14,31 @@
 use super::trial::Work;
 use crate::table;
 
-/// The results of a trial.
+/// Results of a trial.
 #[derive(Debug, Serialize)]
 pub struct Results {
     /// Name of the trial.
     pub name: String,
-    /// The targets.
+    /// Targets of the service.
     pub fleet: Fleet,
-    /// The work.
+    /// Flows and requests of the callers.
     pub work: Work,
-    /// The fault.
+    /// Fault that is injected.
     pub fault: Fault,
-    /// Runs that each median is taken over.
+    /// Number of runs that the medians are taken over, each with its own seed.
     pub seeds: u64,
-    /// One row a policy.
+    /// One row per policy.
     pub rows: Vec<Row>,
 }
 
-/// The median outcome of a policy.
+/// Median figures of a policy.
 #[derive(Debug, Serialize)]
 pub struct Row {
     /// Name of the policy.
     pub name: String,
-    /// The policy.
+    /// Policy.
     pub policy: Policy,
-    /// The figures.
+    /// Median figures.
     pub outcome: Outcome,
 }
 
@@ -53,7 +53,7 @@
     "weight steps a minute",
 ];
 
-/// Runs a trial under all its policies and prints the table.
+/// Runs a trial under all its policies and prints the table of their medians.
 pub fn run(trial: &Trial, seeds: u64) -> Results {
     let rows: Vec<Row> = trial
         .policies
@@ -76,7 +76,11 @@
     }
 }
 
-/// Writes the results to `place.json`.
+/// Writes the results to `place.json` in the folder `out`.
+///
+/// # Errors
+///
+/// The error of the operating system if the file cannot be written.
 pub fn save(results: &[Results], out: &Path) -> Result<(), Box<dyn Error>> {
     fs::create_dir_all(out)?;
     let json = serde_json::to_string_pretty(results)?;
--- a/tools/bench/src/place/server.rs
+++ b/tools/bench/src/place/server.rs
@@ -1,4 +1,4 @@
-//! A backend server and the gate of the agent beside it.
+//! Model of a backend server, with the real admission gate of its agent.
 use std::time::Duration;
 
 use fastrand::Rng;
@@ -21,33 +21,37 @@
 use super::trial::SLOWEST_SERVICE_TIME;
 use super::trial::WARM_UP_END;
 
-/// A backend server and the gate of the agent beside it.
+/// Model of a backend server, with the real admission gate of its agent.
 #[derive(Debug)]
 pub struct Server {
-    /// The real gate.
+    /// Admission gate of the agent.
     pub gate: Gate,
-    /// Flows held.
+    /// Number of flows held.
     pub held: usize,
-    /// Load that the agent reported last: running and queued jobs a slot.
+    /// Load in the latest report: running and queued jobs per slot.
     pub reported: f64,
-    /// Weight that the entries know.
+    /// Weight in the latest report, which the entries use.
     pub weight: u32,
-    /// Time that slots were busy, in seconds, during the measurement.
+    /// Sum of the service times of the jobs started after the warm-up, in
+    /// seconds.
     pub busy: f64,
+    /// Load of the held flows, as the agent estimates it.
     load: Load,
     slots: u16,
+    /// Mean service time without a fault, in seconds.
     mean: f64,
     fault: Fault,
     index: usize,
+    /// Whether a fault that slows one target applies to this one.
     faulty: bool,
     seed: u64,
 }
 
 impl Server {
-    /// Creates a cold server.
+    /// Creates an idle server whose agent has measured nothing yet.
     pub fn new(index: usize, fleet: Fleet, fault: Fault, seed: u64) -> Self {
         #[allow(clippy::cast_precision_loss)]
-        let place = index as f64 / (fleet.targets - 1) as f64;
+        let position = index as f64 / (fleet.targets - 1) as f64;
         let (fast, slow) = (
             FASTEST_SERVICE_TIME.as_secs_f64(),
             SLOWEST_SERVICE_TIME.as_secs_f64(),
@@ -61,7 +65,7 @@
             busy: 0.0,
             load: Load::new(load::Settings::default(), Duration::ZERO),
             slots: fleet.slots,
-            mean: fast + (slow - fast) * place,
+            mean: fast + (slow - fast) * position,
             fault,
             index,
             faulty: index == fleet.faulty_target(),
@@ -69,12 +73,13 @@
         }
     }
 
-    /// Jobs a second without a fault.
+    /// Returns the jobs per second that it can run without a fault.
     pub fn capacity(&self) -> f64 {
         f64::from(self.slots) / self.mean
     }
 
-    /// Share of the slots' time that was busy.
+    /// Returns the utilisation of the slots, from 0 to 1, over the time
+    /// `measured`.
     pub fn utilisation(&self, measured: Duration) -> f64 {
         self.busy / f64::from(self.slots) / measured.as_secs_f64()
     }
@@ -89,32 +94,34 @@
         Duration::from_secs_f64(time)
     }
 
-    /// Replaces the agent's knowledge, as a restart does.
+    /// Resets the gate and the load estimate, as a restart of the agent does.
     pub fn restart(&mut self, now: Duration) {
         self.gate = new_gate(self.slots, self.seed, now);
         self.load = Load::new(load::Settings::default(), now);
     }
 
-    /// Notes a request of a held flow that has had another before.
+    /// Adds a request of a held flow to the load estimate. The first request of
+    /// a flow must not be counted.
     pub fn record_request(&mut self, now: Duration) {
         self.load.request(now);
     }
 
-    /// Notes that a flow is held here from now on.
+    /// Counts a flow that is held here from now on.
     pub fn record_open(&mut self) {
         self.held += 1;
     }
 
-    /// What the load endpoint says.
+    /// Updates the reported load; under [`Fault::Lies`], every third target
+    /// reports that it is idle.
     pub fn update_report(&mut self) {
         let jobs = self.gate.queued() + usize::from(self.gate.running().total());
         #[allow(clippy::cast_precision_loss)]
         let load = jobs as f64 / f64::from(self.slots);
-        let lies = self.fault == Fault::Lies && self.index % 3 == 2;
-        self.reported = if lies { 0.0 } else { load };
+        let misreports = self.fault == Fault::Lies && self.index % 3 == 2;
+        self.reported = if misreports { 0.0 } else { load };
     }
 
-    /// What the agent bids for an open.
+    /// Returns the agent's bid for a new flow.
     pub fn bid(&self, now: Duration, signal: Signal) -> Bid {
         let weight = self.gate.weight();
         let wait = self.gate.expected_wait(now);
@@ -131,6 +138,7 @@
         Bid { free, wait, load }
     }
 
+    /// Returns whether a fault slows this server now.
     fn is_slow(&self, now: Duration) -> bool {
         let end = match self.fault {
             Fault::Slow => SLOW_END,
@@ -141,6 +149,7 @@
     }
 }
 
+/// Creates a gate that queues a job as long as its wait fits its deadline.
 fn new_gate(slots: u16, seed: u64, now: Duration) -> Gate {
     let settings = Settings {
         slots,
--- a/tools/bench/src/place/simulation.rs
+++ b/tools/bench/src/place/simulation.rs
@@ -1,4 +1,4 @@
-//! The discrete event program: callers, entries, agents, backend servers.
+//! Discrete event simulation of callers, entries, agents and backend servers.
 mod request;
 
 use std::collections::BTreeMap;
@@ -21,9 +21,9 @@
 use super::policy::Place;
 use super::policy::Policy;
 use super::server::Server;
+use super::trial::DELAY;
 use super::trial::FAULT_START;
 use super::trial::Fault;
-use super::trial::HOP_DELAY;
 use super::trial::MEAN_FLOW_LIFETIME;
 use super::trial::RUN_END;
 use super::trial::Trial;
@@ -31,92 +31,114 @@
 use super::trial::Work;
 use request::Request;
 
+/// Number of entries, each with its own round robin.
 const ENTRIES: usize = 3;
+/// Time between the load reports of a target.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
+/// Sigma of the log-normal distribution of request rates.
 const RATE_SIGMA: f64 = 1.25;
 
-/// Time over which the long flows are opened at the start.
+/// Time at the start over which the flows of [`Work::Long`] open.
 const RAMP_UP_TIME: Duration = Duration::from_secs(20);
 
+/// Event of the simulation. Flows, requests and targets go by their index.
 #[derive(Debug)]
 enum Event {
-    /// A flow opens.
+    /// A caller opens a flow.
     Open(usize),
-    /// An open reaches the next agent of its path.
+    /// An open reaches the next agent on its path.
     Visit { flow: usize, relay: Box<Relay> },
-    /// A long flow ends, and its caller opens another.
+    /// A long-lived flow ends, and its caller opens another.
     Close(usize),
-    /// A flow's next request reaches the holder.
-    Request { flow: usize, life: u32 },
-    /// A passed request reaches another agent.
+    /// The next request of a flow reaches the holder.
+    Request { flow: usize, generation: u32 },
+    /// A forwarded request reaches another agent.
     Forward {
         request: usize,
         target: usize,
+        /// Whether the agent offers the request to its gate even if no slot is
+        /// free.
         must_queue: bool,
     },
-    /// The other agent did not run it.
+    /// The holder learns that the other agent did not run the request, and the
+    /// wait expected there.
     NotRun { request: usize, wait: Duration },
     /// A backend server has answered.
     Done { request: usize, target: usize },
-    /// A gate's deadline.
+    /// The next deadline of a target's gate has come.
     GateTimer(usize),
-    /// Agents report and entries rebuild their order.
+    /// Agents report load and weight, and entries rebuild the order of targets.
     Report,
-    /// The agent beside a target restarts.
+    /// The agent of a target restarts.
     Restart(usize),
 }
 
-/// Events of the same time come in the sequence in which they were planned.
+/// Time of an event, and a sequence number that orders events at the same time
+/// as they were scheduled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Due {
     time: Duration,
     sequence: u64,
 }
 
+/// Flow of a caller. When one of [`Work::Long`] ends, its caller's next flow
+/// takes its place with the next generation.
 #[derive(Debug)]
 struct Flow {
+    /// Hash key that ranks the targets.
     key: u64,
+    /// Index of the target that holds it.
     holder: usize,
+    /// Mean request rate per second.
     rate: f64,
+    /// Number of flows that ended in this place; requests of earlier
+    /// generations are ignored.
     generation: u32,
-    /// Whether a request has come in this life.
+    /// Whether a request has arrived in this generation.
     has_requested: bool,
 }
 
-/// One run.
+/// One run of a trial under a policy.
 pub struct Simulation {
     trial: Trial,
     policy: Policy,
     now: Duration,
     sequence: u64,
+    /// Pending events.
     events: BTreeMap<Due, Event>,
+    /// Time of the pending [`Event::GateTimer`] of each target.
     gate_timers: Vec<Option<Duration>>,
     servers: Vec<Server>,
     flows: Vec<Flow>,
     requests: Vec<Request>,
+    /// Order of the targets at the entries, by their reported weights.
     order: Order,
+    /// Round-robin counter of each entry.
     next_targets: [usize; ENTRIES],
     random: Rng,
     recorder: Recorder,
+    /// Number of weight changes of all targets after the warm-up.
     weight_changes: u64,
 }
 
 impl Simulation {
-    /// Runs a trial under a policy.
+    /// Runs a trial under a policy and returns its figures.
     pub fn run(trial: &Trial, policy: Policy, seed: u64) -> Outcome {
-        let mut world = Self::new(trial, policy, seed);
-        world.start();
-        while let Some((due, event)) = world.events.pop_first() {
+        let mut simulation = Self::new(trial, policy, seed);
+        simulation.start();
+        while let Some((due, event)) = simulation.events.pop_first() {
             if due.time >= RUN_END {
                 break;
             }
-            world.now = due.time;
-            world.process(event);
+            simulation.now = due.time;
+            simulation.process(event);
         }
         let measured = RUN_END.saturating_sub(WARM_UP_END);
-        let servers = world.servers.iter();
+        let servers = simulation.servers.iter();
         let utilisation: Vec<f64> = servers.map(|server| server.utilisation(measured)).collect();
-        world.recorder.finish(&utilisation, world.weight_changes)
+        simulation
+            .recorder
+            .finish(&utilisation, simulation.weight_changes)
     }
 
     fn new(trial: &Trial, policy: Policy, seed: u64) -> Self {
@@ -154,11 +176,12 @@
         }
     }
 
-    /// Load that all callers together offer, in requests a second.
+    /// Returns the load offered by all callers, in requests per second.
     fn offered(&self) -> f64 {
         self.servers.iter().map(Server::capacity).sum::<f64>() * self.trial.load
     }
 
+    /// Creates a flow of one request and schedules its open.
     fn open_single(&mut self) {
         let flow = self.flows.len();
         let flow_key = self.random.u64(..);
@@ -173,6 +196,7 @@
         self.schedule(pause, Event::Open(flow));
     }
 
+    /// Creates the long-lived flows and schedules their opens.
     fn open_long(&mut self, flows: usize) {
         let weights: Vec<f64> = (0..flows).map(|_| self.log_normal()).collect();
         let sum: f64 = weights.iter().sum();
@@ -197,12 +221,12 @@
             Event::Open(flow) => self.open(flow),
             Event::Visit { flow, relay } => self.visit(flow, *relay),
             Event::Close(flow) => self.close(flow),
-            Event::Request { flow, life } => self.request(flow, life),
+            Event::Request { flow, generation } => self.request(flow, generation),
             Event::Forward {
                 request,
                 target,
-                must_queue: settle,
-            } => self.receive_forwarded(request, target, settle),
+                must_queue,
+            } => self.receive_forwarded(request, target, must_queue),
             Event::NotRun { request, wait } => self.not_run(request, wait),
             Event::Done { request, target } => self.done(request, target),
             Event::GateTimer(target) => self.expire_queued(target),
@@ -211,6 +235,7 @@
         }
     }
 
+    /// Chooses the holder of a new flow by the policy.
     fn open(&mut self, flow: usize) {
         if matches!(self.trial.work, Work::Single { .. }) {
             self.open_single();
@@ -238,11 +263,13 @@
         }
     }
 
+    /// Returns the first `width` targets for a flow, in the order of its key.
     fn path(&self, flow: usize, width: usize) -> Vec<usize> {
         let open = self.order.open(self.flows[flow].key, width);
         open.map(index_of).collect()
     }
 
+    /// Lets the agent at the relay's position accept, forward or refuse an open.
     fn visit(&mut self, flow: usize, relay: Relay) {
         let Place::Hunt { signal, .. } = self.policy.place else {
             return;
@@ -255,25 +282,34 @@
             Step::Forward(relay) => {
                 self.recorder.messages += u64::from(self.now >= WARM_UP_END);
                 let relay = Box::new(relay);
-                self.schedule(HOP_DELAY, Event::Visit { flow, relay });
+                self.schedule(DELAY, Event::Visit { flow, relay });
             }
         }
     }
 
+    /// Makes a target the holder of a flow, and schedules the flow's first
+    /// request and its end.
     fn assign(&mut self, flow: usize, holder: usize) {
         self.flows[flow].holder = holder;
         self.servers[holder].record_open();
         match self.trial.work {
             Work::Single { gap } if gap.is_zero() => self.request(flow, 0),
-            Work::Single { gap } => self.schedule(gap, Event::Request { flow, life: 0 }),
+            Work::Single { gap } => self.schedule(
+                gap,
+                Event::Request {
+                    flow,
+                    generation: 0,
+                },
+            ),
             Work::Long { .. } => {
-                let life = self.exponential(MEAN_FLOW_LIFETIME.as_secs_f64());
-                self.schedule(life, Event::Close(flow));
+                let lifetime = self.exponential(MEAN_FLOW_LIFETIME.as_secs_f64());
+                self.schedule(lifetime, Event::Close(flow));
                 self.schedule_request(flow);
             }
         }
     }
 
+    /// Ends a long-lived flow and opens its successor.
     fn close(&mut self, flow: usize) {
         let holder = self.flows[flow].holder;
         self.servers[holder].held -= 1;
@@ -285,10 +321,11 @@
 
     fn schedule_request(&mut self, flow: usize) {
         let pause = self.exponential(1.0 / self.flows[flow].rate);
-        let life = self.flows[flow].generation;
-        self.schedule(pause, Event::Request { flow, life });
+        let generation = self.flows[flow].generation;
+        self.schedule(pause, Event::Request { flow, generation });
     }
 
+    /// Updates the reports of all targets and rebuilds the order.
     fn report(&mut self) {
         for server in &mut self.servers {
             server.update_report();
@@ -300,6 +337,7 @@
         self.schedule(REPORT_INTERVAL, Event::Report);
     }
 
+    /// Schedules an event `pause` from now.
     fn schedule(&mut self, pause: Duration, event: Event) {
         self.sequence += 1;
         let due = Due {
@@ -309,11 +347,14 @@
         self.events.insert(due, event);
     }
 
+    /// Draws a time from an exponential distribution with a mean in seconds.
     fn exponential(&mut self, mean: f64) -> Duration {
         let uniform = 1.0 - self.random.f64();
         Duration::from_secs_f64(-uniform.ln() * mean)
     }
 
+    /// Draws a request rate from the log-normal distribution, by the Box-Muller
+    /// transform.
     fn log_normal(&mut self) -> f64 {
         let (radius, angle) = (1.0 - self.random.f64(), self.random.f64());
         let normal = (-2.0 * radius.ln()).sqrt() * (std::f64::consts::TAU * angle).cos();
@@ -321,6 +362,7 @@
     }
 }
 
+/// Ranks the targets by their reported weights.
 fn order(servers: &[Server]) -> Order {
     let targets: Vec<Target> = (0..)
         .zip(servers)
@@ -344,6 +386,7 @@
     }
 }
 
+/// Placeholder for all addresses; the simulation identifies targets by index.
 const ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 1);
 
 fn index(target: wire::TargetId) -> usize {
@@ -354,6 +397,7 @@
     index(target.id)
 }
 
+/// Creates the frame of an open that the targets of `path` are asked to accept.
 fn new_relay(path: &[usize]) -> Relay {
     let hop = |&target: &usize| Hop {
         target: target as u64,
--- a/tools/bench/src/place/trial.rs
+++ b/tools/bench/src/place/trial.rs
@@ -1,4 +1,4 @@
-//! The trials: sizes, work, faults and the policies compared.
+//! Trials: targets, work, faults and the policies to compare.
 use std::time::Duration;
 
 use serde::Serialize;
@@ -9,35 +9,35 @@
 use super::policy::Policy;
 use super::policy::Signal;
 
-/// One set of targets and work, run under several policies.
+/// Targets, work and a fault, to be simulated under several policies.
 #[derive(Clone, Debug)]
 pub struct Trial {
-    /// Name for tables and files.
+    /// Name in tables, plots and files.
     pub name: String,
     /// Targets and their slots.
     pub fleet: Fleet,
-    /// What the callers do.
+    /// Flows and requests of the callers.
     pub work: Work,
-    /// What goes wrong.
+    /// Fault that is injected.
     pub fault: Fault,
-    /// Offered load over the capacity of all targets.
+    /// Offered load, as a multiple of the capacity of all targets.
     pub load: f64,
-    /// The policies.
+    /// Policies to compare.
     pub policies: Vec<Policy>,
 }
 
-/// The targets of a service; their mean service times lie evenly between
-/// [`FASTEST`] and [`SLOWEST`].
+/// Targets of a service; their mean service times are evenly spaced from
+/// [`FASTEST_SERVICE_TIME`] to [`SLOWEST_SERVICE_TIME`].
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Fleet {
     /// Number of targets.
     pub targets: usize,
-    /// Slots of each.
+    /// Number of slots of each target.
     pub slots: u16,
 }
 
 impl Fleet {
-    /// The target that a fault befalls.
+    /// Returns the index of the target that a fault slows: the middle one.
     pub const fn faulty_target(self) -> usize {
         self.targets / 2
     }
@@ -49,54 +49,56 @@
 /// Mean service time of the slowest target.
 pub const SLOWEST_SERVICE_TIME: Duration = Duration::from_millis(80);
 
-/// Offered load over the capacity of all targets, but for one trial.
+/// Offered load, as a multiple of the capacity of all targets, of all trials
+/// but one.
 const DEFAULT_LOAD: f64 = 0.85;
 
-/// Offered load over the capacity of all targets of the trial with spare
-/// capacity.
+/// Offered load, as a multiple of the capacity of all targets, of the trial with
+/// spare capacity.
 const SPARE_LOAD: f64 = 0.57;
 
-/// Length of a run.
+/// Simulated time at which a run ends.
 pub const RUN_END: Duration = Duration::from_mins(3);
 
-/// Start of the measurement.
+/// Simulated time at which the warm-up ends and the measurement starts.
 pub const WARM_UP_END: Duration = Duration::from_mins(1);
 
 /// One-way delay between two hosts.
-pub const HOP_DELAY: Duration = Duration::from_micros(1500);
+pub const DELAY: Duration = Duration::from_micros(1500);
 
-/// Mean time that a long flow is held.
+/// Mean lifetime of a flow of [`Work::Long`].
 pub const MEAN_FLOW_LIFETIME: Duration = Duration::from_mins(1);
 
-/// Time that a caller allows for a request.
+/// Time from the issue of a request to its deadline.
 pub const DEADLINE: Duration = Duration::from_secs(30);
 
-/// What the callers do.
+/// Flows and requests of the callers.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub enum Work {
-    /// Each flow carries one request, `gap` after it was taken.
+    /// Each flow carries one request, which arrives `gap` after the flow was
+    /// accepted.
     Single {
-        /// Round trip between the holder and the caller.
+        /// Round-trip time between the holder and the caller.
         gap: Duration,
     },
-    /// Flows that stay, with uneven request rates (log-normal, sigma 1.25).
+    /// Long-lived flows with uneven request rates (log-normal, sigma 1.25).
     Long {
-        /// Number of flows.
+        /// Number of concurrent flows.
         flows: usize,
     },
 }
 
-/// What goes wrong.
+/// Fault that is injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     None,
-    /// Two targets always report that they are idle.
+    /// Every third target, two of seven, always reports that it is idle.
     Lies,
     /// The middle target takes 5 times as long from 90 s to 120 s.
     Slow,
-    /// The middle target is replaced at 90 s, and takes 5 times as long for
-    /// the first 10 s.
+    /// The middle target restarts at 90 s, and takes 5 times as long for the
+    /// first 10 s.
     Cold,
 }
 
@@ -129,7 +131,7 @@
     slots: 2,
 };
 
-/// All trials.
+/// Returns all trials.
 pub fn all() -> Vec<Trial> {
     let mut trials = services();
     let long = Work::Long { flows: 14_000 };
@@ -165,7 +167,7 @@
     trials
 }
 
-/// The services of both customers without a fault.
+/// Returns the trials without a fault of both customers' services.
 fn services() -> Vec<Trial> {
     let mut trials = Vec::new();
     for (name, fleet) in [
@@ -176,10 +178,11 @@
     ] {
         let flows = fleet.targets * 2000;
         let long = Work::Long { flows };
-        let add = |kind, work, policies| trial(name, kind, fleet, work, Fault::None, policies);
-        trials.push(add("single", SINGLE, single_policies()));
-        trials.push(add("bound", long, bound_policies()));
-        trials.push(add("independent", long, independent_policies()));
+        let new_trial =
+            |kind, work, policies| trial(name, kind, fleet, work, Fault::None, policies);
+        trials.push(new_trial("single", SINGLE, single_policies()));
+        trials.push(new_trial("bound", long, bound_policies()));
+        trials.push(new_trial("independent", long, independent_policies()));
     }
     trials
 }
@@ -188,7 +191,7 @@
     gap: Duration::ZERO,
 };
 
-/// Round trip to a caller in Slovakia.
+/// Round-trip time to a caller in Slovakia.
 const ROUND_TRIP: Duration = Duration::from_millis(6);
 
 fn trial(
@@ -213,12 +216,14 @@
     Place::Hunt { width, signal }
 }
 
+/// Returns the usual policies that the hunt is compared with.
 fn baseline_policies() -> Vec<Policy> {
     [Place::Hash, Place::RoundRobin, Place::BestOfTwo]
         .map(Policy::bound)
         .to_vec()
 }
 
+/// Returns the policies for flows that carry one request.
 fn single_policies() -> Vec<Policy> {
     let hunts = (2..=4).map(|width| Policy::bound(hunt(width, Signal::Slots)));
     let bound = Policy::bound(hunt(3, Signal::Blend));
@@ -229,6 +234,8 @@
         .collect()
 }
 
+/// Returns the policies for long-lived flows whose requests the holder must
+/// run.
 fn bound_policies() -> Vec<Policy> {
     let slots = [2, 3, 5].map(|width| hunt(width, Signal::Slots));
     let signals = [Signal::Held, Signal::Load, Signal::Blend].map(|signal| hunt(3, signal));
@@ -236,9 +243,10 @@
     baseline_policies().into_iter().chain(hunts).collect()
 }
 
+/// Returns the policies for long-lived flows whose requests any agent may run.
 fn independent_policies() -> Vec<Policy> {
     let place = hunt(3, Signal::Slots);
-    let pass = |width, millis, key| Policy {
+    let forwarding = |width, millis, key| Policy {
         place,
         pass: Some(Forwarding {
             width,
@@ -246,13 +254,13 @@
             key,
         }),
     };
-    let thresholds = [0, 6, 12, 25, 50, 100].map(|millis| pass(2, millis, Key::Request));
+    let thresholds = [0, 6, 12, 25, 50, 100].map(|millis| forwarding(2, millis, Key::Request));
     let mut policies = vec![Policy::bound(Place::Hash), Policy::bound(place)];
     policies.extend(thresholds);
     policies.extend([
-        pass(2, 12, Key::Flow),
-        pass(1, 12, Key::Request),
-        pass(3, 12, Key::Request),
+        forwarding(2, 12, Key::Flow),
+        forwarding(1, 12, Key::Request),
+        forwarding(3, 12, Key::Request),
     ]);
     policies
 }
--- a/tools/bench/src/relay.rs
+++ b/tools/bench/src/relay.rs
@@ -1,8 +1,9 @@
-//! Packets a second through an entry's traffic thread, against a bare relay.
+//! Compares the throughput of an entry's traffic thread with that of a bare UDP
+//! relay.
 //!
 //! Both relay the same datagrams from one loopback socket to another. The
-//! figure is packets per second of processor time of the relaying thread, so
-//! that other load on the machine weighs little.
+//! throughput is in packets per second of processor time of the relaying
+//! thread, so that other load on the machine has little effect.
 use std::fs;
 use std::io;
 use std::net::SocketAddr;
@@ -39,19 +40,19 @@
 
 use crate::report;
 
-/// Length of one run.
+/// Duration of one run.
 const RUN_TIME: Duration = Duration::from_secs(2);
 
-/// Runs of each relay, in turn.
+/// Number of runs of each relay, of which the median is taken.
 const RUNS: usize = 3;
 
-/// Targets of the services that are measured.
+/// Numbers of targets of the services that are measured.
 const SIZES: [u16; 3] = [7, 100, 1_000];
 
-/// Distinct flows that are sent.
+/// Number of distinct flows that the datagrams belong to.
 const FLOWS: u64 = 1_024;
 
-/// What callers send.
+/// Kind of the packets that callers send.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Kind {
     /// Opens of new flows.
@@ -60,25 +61,28 @@
     Request,
 }
 
+/// Throughput of one relay.
 #[derive(Serialize)]
 struct Figure {
+    /// `bare`, or the kind of the packets through an entry.
     relay: String,
+    /// Number of targets of the service; 0 for the bare relay.
     targets: u16,
     packets_per_cpu_second: f64,
     ratio_to_bare: f64,
 }
 
-/// What one run of a relay did.
+/// Packets relayed in one run, and the processor time of the relaying thread.
 struct Run {
     packets: u64,
     cpu: Duration,
 }
 
-/// Measures and prints the figures.
+/// Measures the relays, prints their throughput and writes `out/relay.json`.
 ///
 /// # Errors
 ///
-/// The operating system's error.
+/// The error of the operating system.
 pub fn run() -> io::Result<()> {
     let bare = median_rate(|| bare(&datagrams(Kind::Open, 1)))?;
     let mut figures = vec![Figure {
@@ -111,6 +115,7 @@
     report::write("relay", &figures)
 }
 
+/// Returns the median of [`RUNS`] runs in packets per second of processor time.
 fn median_rate(mut run: impl FnMut() -> io::Result<Run>) -> io::Result<f64> {
     let mut rates = Vec::with_capacity(RUNS);
     for _ in 0..RUNS {
@@ -122,14 +127,14 @@
     Ok(rates[RUNS / 2])
 }
 
-/// Relays with two system calls a packet and nothing else.
+/// Runs a bare relay, which makes two system calls per packet and nothing else.
 fn bare(datagrams: &[Vec<u8>]) -> io::Result<Run> {
     let socket = UdpSocket::bind(loopback())?;
     let sink = UdpSocket::bind(loopback())?;
     let to = socket.local_addr()?;
     let sink_address = sink.local_addr()?;
     socket.set_read_timeout(Some(Duration::from_millis(100)))?;
-    let load = Generator::start(to, datagrams.to_vec());
+    let generator = Generator::start(to, datagrams.to_vec());
     let begun = Instant::now();
     let before = cpu_time()?;
     let mut packets = 0;
@@ -143,10 +148,11 @@
         }
     }
     let cpu = cpu_time()?.saturating_sub(before);
-    load.stop();
+    generator.stop();
     Ok(Run { packets, cpu })
 }
 
+/// Runs the traffic thread of an entry, which forwards each packet to an agent.
 fn through_entry(kind: Kind, targets: u16) -> io::Result<Run> {
     let sink = UdpSocket::bind(loopback())?;
     let port = Port::bind(loopback(), Arc::new(seal()))?;
@@ -160,9 +166,10 @@
         control,
         counters: Counters::default(),
     });
-    let load = Generator::start(to, datagrams(kind, FLOWS));
+    let generator = Generator::start(to, datagrams(kind, FLOWS));
     let running = Arc::clone(&traffic);
-    // The relay looks at its timer only once the load has stopped.
+    // While datagrams keep arriving, the relay does not yield to its timer. It
+    // ends only after the generator has stopped.
     let timed = thread::spawn(move || -> io::Result<Duration> {
         let before = cpu_time()?;
         smol::block_on(smol::future::or(
@@ -176,10 +183,10 @@
         Ok(cpu_time()?.saturating_sub(before))
     });
     thread::sleep(RUN_TIME);
-    load.stop();
+    generator.stop();
     let cpu = timed
         .join()
-        .map_err(|_| io::Error::other("the relay stopped"))??;
+        .map_err(|_| io::Error::other("the relay thread panicked"))??;
     Ok(Run {
         packets: traffic.counters.relayed.load(Ordering::Relaxed),
         cpu,
@@ -208,7 +215,7 @@
     }
 }
 
-/// The datagrams of a fabric for so many flows.
+/// Returns the datagrams of a fabric, one for each of `flows` flows.
 fn datagrams(kind: Kind, flows: u64) -> Vec<Vec<u8>> {
     let seal = seal();
     (1..=flows)
@@ -257,19 +264,19 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// Processor time of the calling thread.
+/// Returns the processor time of the calling thread.
 fn cpu_time() -> io::Result<Duration> {
     let stat = fs::read_to_string("/proc/thread-self/schedstat")?;
     let nanos = stat
         .split_whitespace()
         .next()
         .and_then(|field| field.parse().ok());
-    nanos
-        .map(Duration::from_nanos)
-        .ok_or_else(|| io::Error::other("schedstat has another form"))
+    nanos.map(Duration::from_nanos).ok_or_else(|| {
+        io::Error::other("/proc/thread-self/schedstat does not start with a number of nanoseconds")
+    })
 }
 
-/// A thread that sends datagrams as fast as it can until it is stopped.
+/// Thread that sends datagrams as fast as it can until it is stopped.
 struct Generator {
     stopped: Arc<AtomicBool>,
     thread: JoinHandle<()>,
--- a/tools/bench/src/route.rs
+++ b/tools/bench/src/route.rs
@@ -1,4 +1,4 @@
-//! Cost of a routing decision, bytes of a flow.
+//! Measures the time of a routing decision and the memory per pinned flow.
 mod baseline;
 mod order;
 mod pins;
@@ -11,14 +11,19 @@
 use crate::options;
 use crate::table;
 
-/// All results.
+/// Results of all measurements.
 #[derive(Debug, Serialize)]
 struct Results {
     orders: Vec<order::Row>,
     pins: Vec<pins::Row>,
 }
 
-/// Runs all measurements.
+/// Runs all measurements, prints their tables and writes `route.json`.
+///
+/// # Errors
+///
+/// An invalid option, or the error of the operating system if the file cannot
+/// be written.
 pub fn run(arguments: &[String]) -> Result<(), Box<dyn Error>> {
     let settings = options::parse(arguments)?;
     let results = Results {
--- a/tools/bench/src/route/baseline.rs
+++ b/tools/bench/src/route/baseline.rs
@@ -1,23 +1,23 @@
-//! The ways to find an order that the tree is compared with.
+//! Algorithms for weighted rankings that the tree is compared with.
 use route::hash::finalize;
 use route::hash::mix;
 use route::logarithm::neg_log2;
 use route::tree::Leaf;
 
-/// Weighted rendezvous hashing with a hash for each target.
+/// Weighted rendezvous hashing that computes a hash for each target.
 pub struct Flat {
     leaves: Vec<Leaf>,
 }
 
 impl Flat {
-    /// Uses the given targets.
+    /// Creates a ranking of the given targets.
     pub fn new(leaves: &[Leaf]) -> Self {
         Self {
             leaves: leaves.to_vec(),
         }
     }
 
-    /// The first `n`, by position.
+    /// Returns the positions of the first `n` targets for a key.
     pub fn top(&self, key: u64, n: usize) -> Vec<usize> {
         let key = finalize(key);
         let scores = self.leaves.iter().map(|leaf| {
@@ -43,23 +43,24 @@
     }
 }
 
+/// A target's position with its score; the lowest score ranks first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Scored {
     score: u128,
     index: usize,
 }
 
-/// A table of buckets that is computed once and published: one hash and one
-/// look-up a packet. Each bucket holds the first targets of its own order.
+/// Precomputed table of buckets, each with the first three targets of its own
+/// ranking. Ranking a key takes one hash and one lookup.
 pub struct Buckets {
     targets: Vec<[u32; 3]>,
 }
 
-/// Buckets for each target.
+/// Minimum number of buckets per target.
 const BUCKETS_PER_TARGET: usize = 100;
 
 impl Buckets {
-    /// Fills the table from the flat order.
+    /// Fills the table by weighted rendezvous hashing.
     pub fn new(leaves: &[Leaf]) -> Self {
         let flat = Flat::new(leaves);
         let len = (leaves.len() * BUCKETS_PER_TARGET).next_power_of_two();
@@ -73,7 +74,7 @@
         }
     }
 
-    /// The first three, by position.
+    /// Returns the positions of the first three targets for a key.
     pub fn top(&self, key: u64) -> [u32; 3] {
         let mask = self.targets.len() as u64 - 1;
         let bucket = usize::try_from(finalize(key) & mask).unwrap_or(0);
--- a/tools/bench/src/route/order.rs
+++ b/tools/bench/src/route/order.rs
@@ -1,4 +1,4 @@
-//! Measures the ways to rank targets.
+//! Measures algorithms that rank the targets of a flow.
 use std::hint::black_box;
 use std::time::Instant;
 
@@ -13,10 +13,11 @@
 
 const TARGETS: [u64; 4] = [7, 100, 1000, 10_000];
 
-/// The table of buckets is not filled for more targets: it takes minutes.
+/// Largest number of targets for which the bucket table is measured; filling it
+/// for more takes minutes.
 const MAX_BUCKET_TARGETS: u64 = 1000;
 
-/// Flows whose homes are compared.
+/// Number of flows whose homes before and after a removal are compared.
 const FLOWS: u64 = 1_000_000;
 
 /// Columns of the table.
@@ -30,20 +31,25 @@
     "moved/own",
 ];
 
-/// One way at one size.
+/// Results of one algorithm with one number of targets.
 #[derive(Debug, Serialize)]
 pub struct Row {
     targets: u64,
+    /// Name of the algorithm.
     way: String,
+    /// Time to find the home of a flow.
     home_ns: f64,
+    /// Time to find the first three targets of a flow.
     top_ns: f64,
     build_us: f64,
+    /// Memory in bytes.
     bytes: usize,
-    /// Flows that move when a target leaves, over the flows that it had.
+    /// Flows whose home changes when a target leaves, divided by the flows whose
+    /// home it was; 1 is the minimum.
     moved: f64,
 }
 
-/// Measures all ways at all sizes.
+/// Measures all algorithms with all numbers of targets.
 pub fn measure() -> Vec<Row> {
     let mut rows = Vec::new();
     for count in TARGETS {
@@ -59,7 +65,7 @@
     rows
 }
 
-/// Formats the rows.
+/// Formats the rows as cells of the table.
 pub fn cells(rows: &[Row]) -> Vec<Vec<String>> {
     let cells = |row: &Row| {
         vec![
@@ -75,6 +81,7 @@
     rows.iter().map(cells).collect()
 }
 
+/// Returns targets of which every second has half the weight.
 fn leaves(count: u64) -> Vec<Leaf> {
     let weight = |index: u64| if index.is_multiple_of(2) { 50 } else { 100 };
     let leaf = |index| Leaf {
@@ -105,21 +112,21 @@
     let built = Instant::now();
     let buckets = Buckets::new(leaves);
     let build_us = micros(built);
-    let look_up = timing::nanos(|key| {
+    let lookup_ns = timing::nanos(|key| {
         black_box(buckets.top(key));
     });
-    let gone = leaves.len() / 2;
-    let rest = Buckets::new(&without(leaves, gone));
+    let removed = leaves.len() / 2;
+    let remaining = Buckets::new(&without(leaves, removed));
     let homes = |key| buckets.top(key)[0] as usize;
-    let after = |key| rest.top(key)[0] as usize;
+    let after = |key| remaining.top(key)[0] as usize;
     Row {
         targets: leaves.len() as u64,
         way: "bucket table".into(),
-        home_ns: look_up,
-        top_ns: look_up,
+        home_ns: lookup_ns,
+        top_ns: lookup_ns,
         build_us,
         bytes: buckets.bytes(),
-        moved: moved(gone, homes, after),
+        moved: moved(removed, homes, after),
     }
 }
 
@@ -127,8 +134,8 @@
     let built = Instant::now();
     let tree = Tree::<BITS>::new(leaves.to_vec());
     let build_us = micros(built);
-    let gone = leaves.len() / 2;
-    let rest = Tree::<BITS>::new(without(leaves, gone));
+    let removed = leaves.len() / 2;
+    let remaining = Tree::<BITS>::new(without(leaves, removed));
     let home = |tree: &Tree<BITS>, key| tree.first(key).map_or(0, |leaf| leaf as usize);
     Row {
         targets: leaves.len() as u64,
@@ -141,18 +148,19 @@
         }),
         build_us,
         bytes: tree.bytes(),
-        moved: moved(gone, |key| home(&tree, key), |key| home(&rest, key)),
+        moved: moved(removed, |key| home(&tree, key), |key| home(&remaining, key)),
     }
 }
 
-fn without(leaves: &[Leaf], gone: usize) -> Vec<Leaf> {
-    let mut rest = leaves.to_vec();
-    rest.remove(gone);
-    rest
+fn without(leaves: &[Leaf], removed: usize) -> Vec<Leaf> {
+    let mut remaining = leaves.to_vec();
+    remaining.remove(removed);
+    remaining
 }
 
-/// Flows whose home moves when the target at a position leaves, over those that
-/// it had. Positions after it are one less afterwards.
+/// Returns the number of flows whose home changes when the target at a position
+/// leaves, divided by the number whose home it was. The positions after it are
+/// one less after the removal.
 #[allow(clippy::cast_precision_loss)]
 fn moved(removed: usize, before: impl Fn(u64) -> usize, after: impl Fn(u64) -> usize) -> f64 {
     let (mut own, mut moved) = (0_u64, 0_u64);
--- a/tools/bench/src/route/pins.rs
+++ b/tools/bench/src/route/pins.rs
@@ -1,4 +1,4 @@
-//! Measures the table of pins.
+//! Measures the pin table: memory per pin and time of each operation.
 use std::hint::black_box;
 use std::net::IpAddr;
 use std::net::Ipv4Addr;
@@ -16,7 +16,7 @@
 
 const FLOWS: [u64; 3] = [1000, 100_000, 500_000];
 
-/// Agents that hold the flows.
+/// Number of agents that hold the flows.
 const HOLDERS: u64 = 7;
 
 const SERVICE: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 1);
@@ -31,23 +31,28 @@
     "expire ns a pin",
 ];
 
-/// One size.
+/// Results with one number of flows.
 #[derive(Debug, Serialize)]
 pub struct Row {
     flows: u64,
+    /// Memory per pin in bytes.
     bytes: f64,
+    /// Time to add a pin.
     pin_ns: f64,
+    /// Time to renew a pin.
     renew_ns: f64,
+    /// Time to look up a pin.
     get_ns: f64,
+    /// Time to expire a pin.
     expire_ns: f64,
 }
 
-/// Measures all sizes.
+/// Measures all numbers of flows.
 pub fn measure() -> Vec<Row> {
     FLOWS.into_iter().map(row).collect()
 }
 
-/// Formats the rows.
+/// Formats the rows as cells of the table.
 pub fn cells(rows: &[Row]) -> Vec<Vec<String>> {
     let cells = |row: &Row| {
         vec![
@@ -66,14 +71,14 @@
 fn row(flows: u64) -> Row {
     let settings = Settings::default();
     let mut table = Table::new(settings);
-    let each = |start: Instant| start.elapsed().as_secs_f64() * 1e9 / flows as f64;
+    let nanos_per_flow = |start: Instant| start.elapsed().as_secs_f64() * 1e9 / flows as f64;
     let start = Instant::now();
     for flow in 0..flows {
-        // Flows opened evenly over one lifetime.
+        // The flows open evenly over the lifetime of a pin.
         let now = settings.lifetime.mul_f64(flow as f64 / flows as f64);
         table.pin(now, SERVICE, finalize(flow), holder(flow));
     }
-    let pin_ns = each(start);
+    let pin_ns = nanos_per_flow(start);
     let bytes = table.bytes() as f64 / flows as f64;
     let get_ns = timing::nanos(|call| {
         black_box(table.get(SERVICE, finalize(call * 7919 % flows)));
@@ -84,9 +89,9 @@
         table.pin(renewed, SERVICE, finalize(flow), holder(flow));
     });
     let start = Instant::now();
-    let dropped = table.expire(renewed + settings.lifetime * 2);
-    let expire_ns = each(start);
-    assert_eq!(dropped as u64, flows, "every pin expires");
+    let expired = table.expire(renewed + settings.lifetime * 2);
+    let expire_ns = nanos_per_flow(start);
+    assert_eq!(expired as u64, flows, "every pin expires");
     Row {
         flows,
         bytes,
--- a/tools/bench/src/table.rs
+++ b/tools/bench/src/table.rs
@@ -1,6 +1,6 @@
-//! Prints results as a table in Markdown.
+//! Prints results as a Markdown table.
 
-/// Prints the rows below the header, in columns of equal width.
+/// Prints a header and rows; each column is as wide as its widest cell.
 pub fn print(header: &[&str], rows: &[Vec<String>]) {
     let width = |column: usize| {
         let cells = rows.iter().map(|row| row[column].len());
--- a/tools/bench/src/timing.rs
+++ b/tools/bench/src/timing.rs
@@ -1,12 +1,15 @@
-//! Times a small operation.
+//! Measures the run time of an operation that takes nanoseconds.
 use std::time::Duration;
 use std::time::Instant;
 
+/// Number of measurements, of which the median is taken.
 const REPEATS: usize = 5;
+/// Minimum time of one measurement.
 const MIN_REPEAT_TIME: Duration = Duration::from_millis(50);
 
-/// Nanoseconds of one call, the median of several repeats. The argument counts
-/// the calls.
+/// Returns the time of one call in nanoseconds, as the median of [`REPEATS`]
+/// measurements. Passes the number of the call within its measurement to
+/// `operation`.
 pub fn nanos(mut operation: impl FnMut(u64)) -> f64 {
     let mut repeats: Vec<f64> = (0..REPEATS).map(|_| repeat(&mut operation)).collect();
     repeats.sort_by(f64::total_cmp);
--- a/tools/cases/src/lib.rs
+++ b/tools/cases/src/lib.rs
@@ -1,6 +1,7 @@
-//! The macro that names test cases.
+//! Macro for table-driven tests.
 
-/// Defines one named test per case; each calls the check with its input.
+/// Defines one test per case, with the name of the case; each test calls the
+/// check with the input of its case.
 ///
 /// ```
 /// fn is_even(number: u32) {
--- a/tools/codegen/src/main.rs
+++ b/tools/codegen/src/main.rs
@@ -1,15 +1,16 @@
-//! Regenerates the committed schema code from `proto/`.
+//! Generates the committed Rust code from the Protobuf schemas in `proto/`.
 //!
-//! Run `cargo run -p codegen` from the repository root after a change of a
-//! schema. The ordinary build never runs it.
+//! Run `cargo run -p codegen` from the repository root after changing a schema.
+//! The ordinary build does not run it.
 use std::error::Error;
 use std::fs;
 use std::path::Path;
 
-/// A schema file and the folder that its generated code is written to.
+/// A schema file and the folder for its generated code.
 struct Schema {
     file: &'static str,
     out: &'static str,
+    /// Whether to generate gRPC clients and servers.
     services: bool,
 }
 
--- a/tools/standin/src/audit.rs
+++ b/tools/standin/src/audit.rs
@@ -1,5 +1,5 @@
-//! Holds callers' reports against backend servers' ledgers and prints one
-//! table of what was promised.
+//! Compares the reports of callers with the ledgers of backend servers, and
+//! prints a table with the violations of the system's guarantees.
 pub mod fetch;
 mod finding;
 mod table;
@@ -18,9 +18,10 @@
 pub use finding::Report;
 
 const BRIEF: &str = "Usage: standin audit --report FILE... --backend ADDRESS...";
+/// Exit code for a violated guarantee.
 const EXIT_VIOLATION: u8 = 3;
 
-/// Prints the table; the exit code is 3 where a promise was broken.
+/// Runs `standin audit`; the exit code is 3 if a guarantee was violated.
 #[must_use]
 pub fn main(args: &[String]) -> ExitCode {
     match run(args) {
@@ -30,7 +31,7 @@
     }
 }
 
-/// Returns whether a promise was broken.
+/// Prints the table and returns whether a guarantee was violated.
 fn run(args: &[String]) -> Result<bool, Box<dyn std::error::Error>> {
     let mut flags = Options::new();
     flags.optmulti(
--- a/tools/standin/src/audit/fetch.rs
+++ b/tools/standin/src/audit/fetch.rs
@@ -19,7 +19,7 @@
 ///
 /// # Errors
 ///
-/// Those of the connection and of the answer's form.
+/// The error of the connection, or of an answer that is not a ledger in JSON.
 pub async fn ledger(address: SocketAddr) -> Result<Ledger, Box<dyn Error>> {
     let stream = Async::<TcpStream>::connect(address).await?;
     let (mut sender, connection) = http1::handshake(FuturesIo::new(stream)).await?;
@@ -33,7 +33,10 @@
     };
     let closed = async {
         connection.await?;
-        Err("the backend server closed the connection; check that it runs".into())
+        Err(
+            "the backend server closed the connection before it answered; check that it runs"
+                .into(),
+        )
     };
     future::or(answer, closed).await
 }
--- a/tools/standin/src/audit/finding.rs
+++ b/tools/standin/src/audit/finding.rs
@@ -1,4 +1,4 @@
-//! What the reports and the ledgers of one service say together.
+//! Comparison of a caller's report with the ledgers of its service.
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 
@@ -7,47 +7,49 @@
 use crate::backend::Ledger;
 use crate::backend::Run;
 
-/// The part of a caller's report that is used here.
+/// The fields of a caller's report that the audit uses.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct Report {
     /// Name of the service.
     pub service: String,
-    /// Operations that were started.
+    /// Number of operations started.
     pub sent: u64,
-    /// Operations that were answered.
+    /// Number of operations answered.
     pub answered: u64,
-    /// Operations that did not run, by reason.
+    /// Number of operations that did not run, by reason.
     pub refused: BTreeMap<String, u64>,
-    /// Operations that may have run, by reason.
+    /// Number of operations that may have run, by reason.
     pub unknown: BTreeMap<String, u64>,
-    /// Operations without an ending.
+    /// Number of operations that ended neither with an answer nor with an error.
     pub lost: u64,
-    /// Answers from another service.
+    /// Number of answers from another service.
     pub wrong_service: u64,
-    /// Answers to other requests.
+    /// Number of answers that belong to another request.
     pub mismatched: u64,
-    /// Flows that were lost, by reason.
+    /// Number of flows that broke, by reason.
     pub broken: BTreeMap<String, u64>,
     /// Median latency in microseconds.
     pub p50_us: u64,
     /// 99th percentile of the latency in microseconds.
     pub p99_us: u64,
-    /// Names of the requests refused as not run.
+    /// Names of the requests that were refused with the outcome `NOT_RUN`.
     pub not_run: Vec<String>,
 }
 
-/// What the reports and the ledgers of one service say together.
+/// Comparison of a caller's report with the ledgers of its service.
 #[derive(Clone, Debug)]
 pub struct Finding {
-    /// The caller's report.
+    /// Report of the caller.
     pub report: Report,
-    /// Non-idempotent requests that were begun more than once.
+    /// Number of non-idempotent requests that started to run more than once.
     pub run_twice: u64,
-    /// Requests that were begun although refused as not run.
+    /// Number of requests that started to run although they were refused with
+    /// the outcome `NOT_RUN`.
     pub ran_refused: u64,
-    /// Largest busy time of a slot over the mean, by backend server.
+    /// Busy time per slot of the busiest backend server, divided by the mean
+    /// over all slots; 0 if nothing ran.
     pub imbalance: f64,
-    /// Requests that backend servers shed.
+    /// Number of requests that backend servers refused without running them.
     pub shed: u64,
 }
 
@@ -72,7 +74,7 @@
         }
     }
 
-    /// Whether a promise was broken.
+    /// Returns whether a guarantee was violated, or no operation was answered.
     #[must_use]
     pub fn is_broken(&self) -> bool {
         let report = &self.report;
@@ -88,6 +90,7 @@
     }
 }
 
+/// Sums the runs of each request over all backend servers.
 fn merge(ledgers: &[Ledger]) -> BTreeMap<String, Run> {
     let mut merged = BTreeMap::<String, Run>::new();
     for (name, run) in ledgers.iter().flat_map(|ledger| &ledger.runs) {
@@ -100,7 +103,8 @@
     merged
 }
 
-/// Largest utilisation over the mean utilisation; 1 is perfect balance.
+/// Returns the largest utilisation divided by the mean utilisation: 1 is
+/// perfect balance, 0 means that nothing ran.
 fn imbalance(ledgers: &[Ledger]) -> f64 {
     let mut busy = 0.0;
     let mut slots = 0.0;
--- a/tools/standin/src/audit/table.rs
+++ b/tools/standin/src/audit/table.rs
@@ -1,4 +1,4 @@
-//! Prints findings as one table: a row a figure, a column a service.
+//! Formats findings as a table with a row per figure and a column per service.
 use std::collections::BTreeMap;
 use std::fmt;
 
@@ -61,6 +61,7 @@
     }
 }
 
+/// Formats the total of counts and, in brackets, the count of each reason.
 fn reasons(counts: &BTreeMap<String, u64>) -> String {
     let total: u64 = counts.values().sum();
     let parts = counts
@@ -73,6 +74,7 @@
     }
 }
 
+/// Formats a time in milliseconds with one decimal place, rounded down.
 fn milliseconds(microseconds: u64) -> String {
     format!("{}.{}", microseconds / 1000, microseconds % 1000 / 100)
 }
--- a/tools/standin/src/backend.rs
+++ b/tools/standin/src/backend.rs
@@ -1,15 +1,16 @@
-//! A backend server: runs requests over HTTP and keeps a ledger of them.
+//! A backend server: runs requests over HTTP and records them in a ledger.
 //!
 //! | request | answer |
 //! |---|---|
-//! | `POST /run` | 200 with the answer; 503 with `retry-after`: not run |
-//! | `POST /drain` | 204; new requests are then refused |
+//! | `POST /run` | 200 with the answer; not run: 503 (shed) or 504 (expired) |
+//! | `POST /drain` | 204; new requests are refused from then on |
 //! | `GET /health` | 200, or 503 while draining |
-//! | `GET /load` | active and queued requests and slots, as JSON |
+//! | `GET /load` | active and queued requests, slots, draining, as JSON |
 //! | `GET /ledger` | [`Ledger`] as JSON |
 //!
 //! `POST /run` reads the headers `request-id`, `deadline-ms` and `idempotent`
-//! (`true` or `false`). A connection that closes cancels what it runs.
+//! (`true` or `false`). Closing a connection cancels its request. A 503 carries
+//! the header `retry-after`.
 mod http;
 mod ledger;
 mod model;
@@ -38,9 +39,10 @@
 pub use worker::Worker;
 
 const BRIEF: &str = "Usage: standin backend --listen ADDRESS --service NAME [FLAGS]";
+/// Maximum time to wait for running requests on SIGTERM.
 const STOP_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Runs the backend server until SIGTERM.
+/// Runs `standin backend` until SIGTERM or SIGINT.
 #[must_use]
 pub fn main(args: &[String]) -> ExitCode {
     options::exit_code(run(args))
@@ -49,16 +51,31 @@
 fn run(args: &[String]) -> Result<(), Box<dyn std::error::Error>> {
     let mut flags = Options::new();
     flags.optopt("", "listen", "TCP address", "ADDRESS");
-    flags.optopt("", "service", "name echoed in answers", "NAME");
-    flags.optopt("", "slots", "requests run at a time (4)", "COUNT");
-    flags.optopt("", "queue", "requests that may wait (8)", "COUNT");
+    flags.optopt("", "service", "service name, echoed in answers", "NAME");
+    flags.optopt("", "slots", "requests that run concurrently (4)", "COUNT");
+    flags.optopt(
+        "",
+        "queue",
+        "requests that may wait for a slot (8)",
+        "COUNT",
+    );
     flags.optopt("", "time-ms", "mean run time (20)", "MS");
-    flags.optopt("", "spread", "deviation from the mean (50)", "PERCENT");
-    flags.optopt("", "cold-ms", "length of the cold start (0)", "MS");
-    flags.optopt("", "cold-factor", "slowdown when cold (4)", "FACTOR");
-    flags.optopt("", "answer", "smallest answer size (0)", "BYTES");
-    flags.optopt("", "lag-ms", "age of health and load reports (0)", "MS");
-    flags.optflag("", "mislead", "always report idle and healthy");
+    flags.optopt(
+        "",
+        "spread",
+        "largest deviation from the mean run time (50)",
+        "PERCENT",
+    );
+    flags.optopt("", "cold-ms", "duration of the cold start (0)", "MS");
+    flags.optopt(
+        "",
+        "cold-factor",
+        "factor on the run time at the beginning of the cold start (4)",
+        "FACTOR",
+    );
+    flags.optopt("", "answer", "minimum size of an answer (0)", "BYTES");
+    flags.optopt("", "lag-ms", "delay of health and load reports (0)", "MS");
+    flags.optflag("", "mislead", "always report an idle, healthy server");
     let Some(matches) = options::parse(&mut flags, BRIEF, args)? else {
         return Ok(());
     };
--- a/tools/standin/src/backend/http.rs
+++ b/tools/standin/src/backend/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP side of a backend server.
+//! HTTP interface of a backend server.
 use std::convert::Infallible;
 use std::net::TcpListener;
 use std::rc::Rc;
@@ -24,10 +24,12 @@
 use super::worker::Job;
 use super::worker::Outcome;
 
+/// Value of the `retry-after` header in seconds.
 const RETRY_AFTER_S: &str = "1";
+/// Deadline of a request without a valid `deadline-ms` header.
 const DEFAULT_DEADLINE: Duration = Duration::from_mins(1);
 
-/// Accepts connections for ever and serves each in its own task.
+/// Accepts connections, without end, and serves each in a task of its own.
 pub async fn accept(
     listener: Async<TcpListener>,
     executor: Rc<LocalExecutor<'static>>,
@@ -42,7 +44,7 @@
         let connection = http1::Builder::new().serve_connection(FuturesIo::new(stream), service);
         executor
             .spawn(async move {
-                // A peer that closes early is not an error here.
+                // A client may close the connection early.
                 let _ = connection.await;
             })
             .detach();
@@ -73,21 +75,21 @@
 }
 
 async fn run(request: Request<Incoming>, worker: &Rc<Worker>) -> Response<Full<Bytes>> {
-    let header = header(&request, "request-id");
-    let idempotent = self::header(&request, "idempotent") == "true";
-    let deadline = self::header(&request, "deadline-ms")
+    let request_id = header(&request, "request-id");
+    let idempotent = header(&request, "idempotent") == "true";
+    let deadline = header(&request, "deadline-ms")
         .parse()
         .map_or(DEFAULT_DEADLINE, Duration::from_millis);
     let Ok(body) = request.into_body().collect().await else {
         return status(StatusCode::BAD_REQUEST);
     };
     let payload = body.to_bytes();
-    let work = Job {
-        name: request_name(&payload, &header),
+    let job = Job {
+        name: request_name(&payload, &request_id),
         idempotent,
         deadline,
     };
-    match worker.run(work).await {
+    match worker.run(job).await {
         Outcome::Finished => Response::new(Full::new(worker.answer(&payload).into())),
         Outcome::Shed => {
             let mut response = status(StatusCode::SERVICE_UNAVAILABLE);
--- a/tools/standin/src/backend/ledger.rs
+++ b/tools/standin/src/backend/ledger.rs
@@ -1,36 +1,36 @@
-//! Records what a backend server ran, so that a test can hold it against what
-//! callers were told.
+//! Record of the requests that a backend server ran, to compare with the
+//! outcomes that callers received.
 use std::collections::BTreeMap;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Everything that one backend server ran.
+/// Record of the requests that one backend server ran.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ledger {
     /// Name of the service.
     pub service: String,
-    /// Requests that the backend server runs at a time.
+    /// Number of requests that the backend server runs concurrently.
     pub slots: u32,
     /// Time during which slots were busy, summed over the slots, in
     /// milliseconds.
     pub busy_ms: u64,
-    /// Requests that were shed without being run.
+    /// Number of requests that were refused without being run.
     pub shed: u64,
-    /// The requests that were run, by the name that the caller gave each.
+    /// Requests that were run, by the caller's name of each.
     pub runs: BTreeMap<String, Run>,
 }
 
-/// What happened to one request.
+/// Runs of one request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Run {
     /// Whether the request was marked idempotent.
     pub idempotent: bool,
-    /// Times that it was begun.
+    /// Number of times that it started to run.
     pub begun: u32,
-    /// Times that it ran to its end.
+    /// Number of times that it ran to its end.
     pub finished: u32,
-    /// Times that it was stopped because its connection closed.
+    /// Number of times that it was cancelled because its connection closed.
     pub cancelled: u32,
 }
 
@@ -45,21 +45,21 @@
         }
     }
 
-    /// Notes that a request starts to run.
+    /// Records that a request starts to run.
     pub fn begin(&mut self, request: &str, idempotent: bool) {
         let run = self.runs.entry(request.into()).or_default();
         run.idempotent = idempotent;
         run.begun += 1;
     }
 
-    /// Notes that a request ran to its end.
+    /// Records that a request ran to its end.
     pub fn finish(&mut self, request: &str) {
         if let Some(run) = self.runs.get_mut(request) {
             run.finished += 1;
         }
     }
 
-    /// Notes that a running request was stopped.
+    /// Records that a running request was cancelled.
     pub fn cancel(&mut self, request: &str) {
         if let Some(run) = self.runs.get_mut(request) {
             run.cancelled += 1;
--- a/tools/standin/src/backend/model.rs
+++ b/tools/standin/src/backend/model.rs
@@ -1,4 +1,4 @@
-//! How a backend server behaves: slots, queue, speed, cold start, drain.
+//! Behaviour of a backend server: slots, queue, run time, cold start, answers.
 use std::time::Duration;
 
 /// Behaviour of a backend server.
@@ -6,23 +6,25 @@
 pub struct Settings {
     /// Name of the service, echoed in answers.
     pub service: String,
-    /// Requests run at a time.
+    /// Number of requests that run concurrently.
     pub slots: u32,
-    /// Requests that may wait for a slot; more are shed.
+    /// Number of requests that may wait for a slot; more are shed.
     pub queue_limit: u32,
-    /// Mean time that a request runs.
+    /// Mean run time of a request.
     pub mean_time: Duration,
-    /// Largest deviation from the mean, in percent of it.
+    /// Largest deviation from the mean run time, in percent of it.
     pub spread_percent: u32,
-    /// Length of the cold start.
+    /// Duration of the cold start.
     pub cold_start: Duration,
-    /// Factor on the run time at the beginning of the cold start.
+    /// Factor on the run time at the beginning of the cold start; it falls
+    /// linearly to 1 until the end.
     pub cold_factor: u32,
-    /// Smallest size of an answer, in bytes.
+    /// Minimum size of an answer in bytes.
     pub min_answer_bytes: usize,
-    /// Age of what the health and load endpoints report.
+    /// Age of the state that the health and load endpoints report.
     pub report_age: Duration,
-    /// Whether those endpoints always report an idle, healthy server.
+    /// Whether the health and load endpoints always report an idle, healthy
+    /// server.
     pub mislead: bool,
 }
 
@@ -44,7 +46,8 @@
 }
 
 impl Settings {
-    /// Time that a request started at `age` runs; `dice` is between 0 and 1.
+    /// Returns the run time of a request that starts when the server has run for
+    /// `age`; `uniform` is a random number from 0 to 1.
     #[must_use]
     pub fn run_time(&self, age: Duration, uniform: f64) -> Duration {
         let spread = f64::from(self.spread_percent) / 100.0;
@@ -62,8 +65,8 @@
     }
 }
 
-/// Builds the answer to a request: the service's name and a line break, then
-/// the payload, repeated until the answer has `size` bytes.
+/// Returns the answer to a request: the service's name and a line break, then
+/// the payload, which is repeated until the answer has at least `size` bytes.
 #[must_use]
 pub fn answer(service: &str, payload: &[u8], size: usize) -> Vec<u8> {
     let mut body = Vec::with_capacity(size.max(service.len() + 1 + payload.len()));
@@ -77,8 +80,8 @@
     body
 }
 
-/// The caller's own name of a request: the first line of its payload, or the
-/// `request-id` header where that is empty.
+/// Returns the caller's name of a request: the first line of its payload, or the
+/// `request-id` header if that line is empty or not UTF-8.
 #[must_use]
 pub fn request_name(payload: &[u8], header: &str) -> String {
     let line = payload.split(|byte| *byte == b'\n').next().unwrap_or(&[]);
--- a/tools/standin/src/backend/worker.rs
+++ b/tools/standin/src/backend/worker.rs
@@ -1,4 +1,4 @@
-//! Runs requests in slots, and reports health and load.
+//! Runs requests in a limited number of slots, and reports health and load.
 use std::cell::Cell;
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -14,45 +14,48 @@
 use super::Settings;
 use super::model;
 
+/// Time between checks whether the worker is idle.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// One backend server's state.
+/// State of one backend server.
 pub struct Worker {
-    /// Behaviour.
+    /// Behaviour of the server.
     pub settings: Settings,
     started: Instant,
     slots: Semaphore,
+    /// Current load.
     load: Cell<Load>,
+    /// Latest loads with their times, oldest first.
     samples: RefCell<VecDeque<Sample>>,
     draining: Cell<bool>,
     ledger: RefCell<Ledger>,
 }
 
-/// What the load endpoint reports.
+/// Load of a backend server, as served by the load endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Load {
-    /// Requests that run.
+    /// Number of running requests.
     pub active: u32,
-    /// Requests that wait for a slot.
+    /// Number of requests that wait for a slot.
     pub queued: u32,
-    /// Requests that can run at a time.
+    /// Number of requests that can run concurrently.
     pub slots: u32,
     /// Whether new requests are refused.
     pub draining: bool,
 }
 
-/// One request to run.
+/// Request to run.
 #[derive(Clone, Debug)]
 pub struct Job {
     /// The caller's name of the request.
     pub name: String,
-    /// Whether it may run twice.
+    /// Whether it may run more than once.
     pub idempotent: bool,
-    /// How long the caller still waits.
+    /// Time, from its arrival, within which it has to start.
     pub deadline: Duration,
 }
 
-/// How a request ended.
+/// Outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// It ran to its end.
@@ -63,6 +66,7 @@
     Expired,
 }
 
+/// Load from a point in time on.
 struct Sample {
     time: Instant,
     load: Load,
@@ -87,13 +91,13 @@
         }
     }
 
-    /// Refuses new requests from now on.
+    /// Starts draining: new requests are refused from now on.
     pub fn drain(&self) {
         self.draining.set(true);
         self.update_load(|load| load.draining = true);
     }
 
-    /// Waits until nothing runs, for `limit` at most.
+    /// Waits until no request runs or is queued, at most for `limit`.
     pub async fn wait_idle(&self, limit: Duration) {
         let end = Instant::now() + limit;
         while Instant::now() < end && self.load.get().active + self.load.get().queued > 0 {
@@ -101,13 +105,14 @@
         }
     }
 
-    /// Copy of the ledger.
+    /// Returns a copy of the ledger.
     #[must_use]
     pub fn ledger(&self) -> Ledger {
         self.ledger.borrow().clone()
     }
 
-    /// What the health and load endpoints say, which may be old or untrue.
+    /// Returns the load that the health and load endpoints report: that of
+    /// `report_age` ago, or always an idle server with `mislead`.
     #[must_use]
     pub fn reported_load(&self) -> Load {
         if self.settings.mislead {
@@ -116,24 +121,24 @@
                 ..Load::default()
             };
         }
-        let seen = Instant::now().checked_sub(self.settings.report_age);
-        let reports = self.samples.borrow();
-        let report = reports
+        let cutoff = Instant::now().checked_sub(self.settings.report_age);
+        let samples = self.samples.borrow();
+        let sample = samples
             .iter()
             .rev()
-            .find(|report| seen.is_some_and(|seen| report.time <= seen));
-        report.map_or(
+            .find(|sample| cutoff.is_some_and(|cutoff| sample.time <= cutoff));
+        sample.map_or(
             Load {
                 slots: self.settings.slots,
                 ..Load::default()
             },
-            |report| report.load,
+            |sample| sample.load,
         )
     }
 
-    /// Runs a request in a slot, after waiting for one. Dropping the future
-    /// cancels the request and frees its slot.
-    pub async fn run(self: &Rc<Self>, work: Job) -> Outcome {
+    /// Waits for a slot and runs a request in it. Dropping the future cancels
+    /// the request and frees its slot.
+    pub async fn run(self: &Rc<Self>, job: Job) -> Outcome {
         let queue_full = self.load.get().queued >= self.settings.queue_limit
             && self.load.get().active >= self.settings.slots;
         if self.draining.get() || queue_full {
@@ -141,21 +146,21 @@
             return Outcome::Shed;
         }
         let arrived = Instant::now();
-        let waiting = QueueGuard::new(self);
+        let queue_guard = QueueGuard::new(self);
         let _slot = self.slots.acquire().await;
-        drop(waiting);
-        if arrived.elapsed() >= work.deadline {
+        drop(queue_guard);
+        if arrived.elapsed() >= job.deadline {
             self.ledger.borrow_mut().shed += 1;
             return Outcome::Expired;
         }
-        let mut running = RunGuard::new(self, work);
+        let mut run_guard = RunGuard::new(self, job);
         let age = self.started.elapsed();
         Timer::after(self.settings.run_time(age, fastrand::f64())).await;
-        running.finished = true;
+        run_guard.finished = true;
         Outcome::Finished
     }
 
-    /// Builds the answer to a payload.
+    /// Returns the answer to a payload.
     #[must_use]
     pub fn answer(&self, payload: &[u8]) -> Vec<u8> {
         model::answer(
@@ -165,21 +170,24 @@
         )
     }
 
+    /// Changes the load and records it for later samples.
     fn update_load(&self, change: impl FnOnce(&mut Load)) {
         let mut load = self.load.get();
         change(&mut load);
         self.load.set(load);
         let time = Instant::now();
-        let mut reports = self.samples.borrow_mut();
-        reports.push_back(Sample { time, load });
+        let mut samples = self.samples.borrow_mut();
+        samples.push_back(Sample { time, load });
         let oldest = time.checked_sub(self.settings.report_age);
-        // One report older than the lag is kept: it is what is reported now.
-        while reports.len() > 1 && oldest.is_some_and(|oldest| reports[1].time <= oldest) {
-            reports.pop_front();
+        // The latest sample that is older than the report age is kept, since it
+        // is the one that is reported now.
+        while samples.len() > 1 && oldest.is_some_and(|oldest| samples[1].time <= oldest) {
+            samples.pop_front();
         }
     }
 }
 
+/// Counts a request as queued until dropped.
 struct QueueGuard<'a>(&'a Worker);
 
 impl<'a> QueueGuard<'a> {
@@ -195,23 +203,21 @@
     }
 }
 
+/// Counts a request as running until dropped, then records its end.
 struct RunGuard<'a> {
     worker: &'a Worker,
-    work: Job,
+    job: Job,
     started: Instant,
     finished: bool,
 }
 
 impl<'a> RunGuard<'a> {
-    fn new(worker: &'a Worker, work: Job) -> Self {
+    fn new(worker: &'a Worker, job: Job) -> Self {
         worker.update_load(|load| load.active += 1);
-        worker
-            .ledger
-            .borrow_mut()
-            .begin(&work.name, work.idempotent);
+        worker.ledger.borrow_mut().begin(&job.name, job.idempotent);
         Self {
             worker,
-            work,
+            job,
             started: Instant::now(),
             finished: false,
         }
@@ -225,9 +231,9 @@
         let busy = self.started.elapsed().as_millis();
         ledger.busy_ms += u64::try_from(busy).unwrap_or(u64::MAX);
         if self.finished {
-            ledger.finish(&self.work.name);
+            ledger.finish(&self.job.name);
         } else {
-            ledger.cancel(&self.work.name);
+            ledger.cancel(&self.job.name);
         }
     }
 }
--- a/tools/standin/src/fabric.rs
+++ b/tools/standin/src/fabric.rs
@@ -1,5 +1,5 @@
-//! The fabric: hands each caller's datagram to a random entry and delivers what
-//! entries send back, from the service's own address.
+//! The fabric: forwards each datagram of a caller to a random entry, and sends
+//! the replies of entries to the caller from the service address.
 mod entries;
 mod fault;
 
@@ -32,33 +32,38 @@
 
 const BRIEF: &str = "Usage: standin fabric --listen ADDRESS --service ADDRESS... \
     --entry ADDRESS... --key ID:HEX [FLAGS]";
+/// Time between checks of the file of entries.
 const RELOAD_INTERVAL: Duration = Duration::from_millis(200);
-/// Room for the prefix and the addresses around a caller's datagram.
+/// Buffer size: a datagram of a caller and room for the frame around it.
 const BUFFER_BYTES: usize = MAX_DATAGRAM_BYTES + 1024;
 
-/// The fabric's sockets and what it does to datagrams.
+/// State of the fabric.
 pub struct Fabric {
+    /// Signs and checks the frames exchanged with entries.
     seal: Seal,
+    /// Socket for the traffic with entries.
     entry_socket: Async<UdpSocket>,
     services: Vec<Service>,
     entries: RefCell<Entries>,
     fault: RefCell<Fault>,
 }
 
+/// A service address and the socket bound to it.
 struct Service {
     address: ServiceAddress,
     socket: Async<UdpSocket>,
 }
 
-/// A datagram and where it goes.
+/// A datagram and its destination.
 struct Datagram {
-    /// Index of the service whose socket sends it, or `None` towards entries.
+    /// Index of the service whose socket sends it; `None` for datagrams to
+    /// entries.
     service: Option<usize>,
     destination: SocketAddr,
     bytes: Vec<u8>,
 }
 
-/// Runs the fabric until SIGTERM.
+/// Runs `standin fabric` until SIGTERM or SIGINT.
 #[must_use]
 pub fn main(args: &[String]) -> ExitCode {
     options::exit_code(run(args))
@@ -66,7 +71,12 @@
 
 fn run(args: &[String]) -> Result<(), Box<dyn std::error::Error>> {
     let mut flags = Options::new();
-    flags.optopt("", "listen", "UDP address that entries reply to", "ADDRESS");
+    flags.optopt(
+        "",
+        "listen",
+        "UDP address for the traffic with entries",
+        "ADDRESS",
+    );
     flags.optmulti("", "service", "service address; may be repeated", "ADDRESS");
     flags.optmulti(
         "",
@@ -77,24 +87,24 @@
     flags.optopt(
         "",
         "entries-file",
-        "file with an entry a line, read again when it changes",
+        "file with the address of an entry per line; read again when it changes",
         "FILE",
     );
-    flags.optopt("", "key", "key shared with the entries", "ID:HEX");
-    flags.optopt("", "loss", "datagrams lost (0)", "PERCENT");
-    flags.optopt("", "duplicate", "datagrams doubled (0)", "PERCENT");
+    flags.optopt("", "key", "signing key shared with the entries", "ID:HEX");
+    flags.optopt("", "loss", "share of datagrams lost (0)", "PERCENT");
     flags.optopt(
         "",
-        "delay-ms",
-        "largest random delay, which reorders (0)",
-        "MS",
+        "duplicate",
+        "share of datagrams duplicated (0)",
+        "PERCENT",
     );
     flags.optopt(
         "",
-        "seed",
-        "seed of all random choices (from the system)",
-        "SEED",
+        "delay-ms",
+        "upper limit of the random delay, which reorders datagrams (0)",
+        "MS",
     );
+    flags.optopt("", "seed", "seed of all random choices (random)", "SEED");
     let Some(matches) = options::parse(&mut flags, BRIEF, args)? else {
         return Ok(());
     };
@@ -142,7 +152,7 @@
     }))
 }
 
-/// Hands each datagram of one service's callers to a random entry.
+/// Forwards each datagram that arrives for a service to a random entry.
 async fn spray(fabric: Rc<Fabric>, executor: Rc<LocalExecutor<'static>>, index: usize) {
     let service = &fabric.services[index];
     let mut buffer = vec![0; BUFFER_BYTES];
@@ -168,7 +178,7 @@
     }
 }
 
-/// Delivers what entries send to the callers.
+/// Forwards the replies of entries to the callers.
 async fn deliver(fabric: Rc<Fabric>, executor: Rc<LocalExecutor<'static>>) {
     let mut buffer = vec![0; BUFFER_BYTES];
     loop {
@@ -194,6 +204,7 @@
     }
 }
 
+/// Reads the file of entries again at a fixed interval.
 async fn reload(fabric: Rc<Fabric>) {
     loop {
         Timer::after(RELOAD_INTERVAL).await;
@@ -214,7 +225,8 @@
         self.entries.borrow().choose(&mut fault.random)
     }
 
-    /// Sends a datagram, after what the faults do to it.
+    /// Sends the copies of a datagram that the faults leave, each after its
+    /// delay.
     async fn forward(self: &Rc<Self>, executor: &LocalExecutor<'static>, datagram: Datagram) {
         let copies = self.fault.borrow_mut().copies();
         for delay in copies {
@@ -227,11 +239,11 @@
                 bytes: datagram.bytes.clone(),
                 ..datagram
             };
-            let later = async move {
+            let delayed_send = async move {
                 Timer::after(delay).await;
                 fabric.send(&datagram).await;
             };
-            executor.spawn(later).detach();
+            executor.spawn(delayed_send).detach();
         }
     }
 
@@ -239,12 +251,12 @@
         let socket = datagram
             .service
             .map_or(&self.entry_socket, |index| &self.services[index].socket);
-        // A datagram may be lost: nobody is told.
+        // Like any lost datagram, one that cannot be sent goes unreported.
         let _ = socket.send_to(&datagram.bytes, datagram.destination).await;
     }
 }
 
-/// Reads a key in the form `ID:HEX`.
+/// Parses a key in the form `ID:HEX`; returns `None` if it is malformed.
 fn parse_key(text: &str) -> Option<Key> {
     let (id, hex) = text.split_once(':')?;
     let secret: [u8; KEY_LEN] = (0..hex.len())
--- a/tools/standin/src/fabric/entries.rs
+++ b/tools/standin/src/fabric/entries.rs
@@ -1,19 +1,21 @@
-//! The entries that datagrams are handed to; may change while the fabric runs.
+//! Entries that datagrams are forwarded to; they may change while the fabric
+//! runs.
 use std::fs;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The entries that datagrams are handed to.
+/// Entries that datagrams are forwarded to.
 #[derive(Clone, Debug, Default)]
 pub struct Entries {
     addresses: Vec<SocketAddr>,
     file: Option<PathBuf>,
+    /// Contents of the file when it was last read.
     contents: String,
 }
 
 impl Entries {
-    /// Starts with the given addresses, replaced by those of `file` once it
-    /// can be read.
+    /// Starts with the given addresses. Those of `file` replace them once the
+    /// file can be read.
     #[must_use]
     pub fn new(addresses: Vec<SocketAddr>, file: Option<PathBuf>) -> Self {
         let mut entries = Self {
@@ -25,8 +27,8 @@
         entries
     }
 
-    /// Reads the file again. One with a line that is no address is ignored as
-    /// a whole.
+    /// Reads the file again. If a line is not an address, the whole file is
+    /// ignored and the entries stay.
     pub fn reload(&mut self) {
         let text = self
             .file
@@ -42,7 +44,7 @@
         self.contents = text;
     }
 
-    /// Picks an entry at random, or `None` where there is none.
+    /// Returns a random entry, or `None` if there are none.
     #[must_use]
     pub fn choose(&self, random: &mut fastrand::Rng) -> Option<SocketAddr> {
         random.choice(&self.addresses).copied()
--- a/tools/standin/src/fabric/fault.rs
+++ b/tools/standin/src/fabric/fault.rs
@@ -1,21 +1,22 @@
-//! What the fabric does wrong to datagrams.
+//! Network faults that the fabric injects.
 use std::time::Duration;
 
-/// What the fabric does wrong to datagrams.
+/// Network faults that the fabric injects.
 #[derive(Clone, Debug, Default)]
 pub struct Fault {
     /// Share of datagrams that are lost, in percent.
     pub loss: u32,
     /// Share of datagrams that are sent twice, in percent.
     pub duplicate: u32,
-    /// Largest random delay of a datagram.
+    /// Upper limit of the random delay of a datagram.
     pub delay: Duration,
-    /// Source of all choices.
+    /// Generator of all random choices.
     pub random: fastrand::Rng,
 }
 
 impl Fault {
-    /// The delays of the copies to send of one datagram: none where it is lost.
+    /// Returns the delay of each copy of a datagram to send; no copy if it is
+    /// lost.
     pub fn copies(&mut self) -> Vec<Duration> {
         if self.occurs(self.loss) {
             return Vec::new();
@@ -26,6 +27,7 @@
             .collect()
     }
 
+    /// Draws whether a fault with this probability occurs.
     fn occurs(&mut self, percent: u32) -> bool {
         self.random.u32(0..100) < percent
     }
--- a/tools/standin/src/lib.rs
+++ b/tools/standin/src/lib.rs
@@ -1,5 +1,6 @@
-//! Stand-ins for what surrounds the system: the fabric, the platform and the
-//! backend servers. They are for tests and demonstrations and are not shipped.
+//! Stand-ins for the system's surroundings: the fabric, the platform's store
+//! and the backend servers. They serve tests and demonstrations and are not
+//! released.
 pub mod audit;
 pub mod backend;
 pub mod fabric;
--- a/tools/standin/src/options.rs
+++ b/tools/standin/src/options.rs
@@ -1,4 +1,4 @@
-//! Reads the flags of a stand-in.
+//! Parses the command line flags of a stand-in.
 use std::process::ExitCode;
 use std::str::FromStr;
 
@@ -7,33 +7,33 @@
 use getopts::Options;
 use thiserror::Error;
 
-/// Exit code for flags that cannot be used.
+/// Exit code for invalid flags.
 pub const EXIT_USAGE: u8 = 2;
 
 /// Exit code for a stand-in that failed while it ran.
 pub const EXIT_FAILED: u8 = 1;
 
-/// Why the flags were not accepted.
+/// Invalid command line flag.
 #[derive(Debug, Display, Error)]
 pub enum Error {
-    /// {0}; run with --help for the flags
+    /// {0}; run with --help to list the flags
     Unparsable(#[from] getopts::Fail),
-    /// --{0} is missing; give it
+    /// --{0} is required but was not given
     Missing(String),
-    /// --{name} does not accept `{value}`; see --help for its form
+    /// --{name} does not accept `{value}`; run with --help for the expected value
     Invalid {
         /// Name of the flag.
         name: String,
-        /// The text given.
+        /// Text that was given.
         value: String,
     },
 }
 
-/// Parses `args`, or prints the help and returns `None`.
+/// Parses `args`; with `--help`, prints the flags and returns `None` instead.
 ///
 /// # Errors
 ///
-/// [`Error::Unreadable`] where a flag is unknown or lacks its value.
+/// [`Error::Unparsable`] if a flag is unknown or lacks its value.
 pub fn parse(
     options: &mut Options,
     brief: &str,
@@ -48,11 +48,12 @@
     Ok(Some(matches))
 }
 
-/// Reads a flag that must be given.
+/// Parses the value of a required flag.
 ///
 /// # Errors
 ///
-/// [`Error::Missing`] or [`Error::Invalid`].
+/// [`Error::Missing`] if the flag was not given, [`Error::Invalid`] if its value
+/// does not parse.
 pub fn required<T: FromStr>(matches: &Matches, name: &str) -> Result<T, Error> {
     let text = matches
         .opt_str(name)
@@ -60,22 +61,22 @@
     parse_value(name, &text)
 }
 
-/// Reads a flag that has a default.
+/// Parses the value of an optional flag, or returns its default.
 ///
 /// # Errors
 ///
-/// [`Error::Invalid`].
+/// [`Error::Invalid`] if the value does not parse.
 pub fn optional<T: FromStr>(matches: &Matches, name: &str, default: T) -> Result<T, Error> {
     matches
         .opt_str(name)
         .map_or(Ok(default), |text| parse_value(name, &text))
 }
 
-/// Reads a flag that may be given several times.
+/// Parses all values of a flag that may be repeated.
 ///
 /// # Errors
 ///
-/// [`Error::Invalid`].
+/// [`Error::Invalid`] if a value does not parse.
 pub fn repeated<T: FromStr>(matches: &Matches, name: &str) -> Result<Vec<T>, Error> {
     matches
         .opt_strs(name)
@@ -84,7 +85,7 @@
         .collect()
 }
 
-/// Ends a stand-in: prints the error, if any, and chooses the exit code.
+/// Prints the error, if any, and returns the exit code.
 #[must_use]
 pub fn exit_code(outcome: Result<(), Box<dyn std::error::Error>>) -> ExitCode {
     match outcome {
--- a/tools/standin/src/platform.rs
+++ b/tools/standin/src/platform.rs
@@ -1,9 +1,8 @@
-//! Stands in for the platform's key-value service: Consul's published HTTP
-//! protocol for keys, sessions and transactions, in memory, with faults on
-//! demand.
+//! In-memory stand-in for the platform's key-value store. It serves Consul's
+//! HTTP protocol for keys, sessions and transactions, and injects faults.
 //!
 //! `PUT /fault?NAME=VALUE&...` sets faults (see [`fault::Faults`]), `PUT /lapse`
-//! ends all sessions, and `GET /calls` counts the calls.
+//! ends all sessions, and `GET /calls` returns the numbers of calls received.
 pub mod answer;
 pub mod call;
 pub mod fault;
@@ -38,7 +37,7 @@
 
 const DEFAULT_LISTEN: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 8500);
 
-/// Runs `standin platform`.
+/// Runs `standin platform` until SIGTERM or SIGINT.
 #[must_use]
 pub fn main(args: &[String]) -> ExitCode {
     options::exit_code(run(args))
@@ -46,12 +45,7 @@
 
 fn run(args: &[String]) -> Result<(), Box<dyn Error>> {
     let mut flags = Options::new();
-    flags.optopt(
-        "",
-        "listen",
-        "address to serve on; default 127.0.0.1:8500",
-        "ADDR",
-    );
+    flags.optopt("", "listen", "TCP address (127.0.0.1:8500)", "ADDR");
     let Some(matches) = options::parse(&mut flags, "Usage: standin platform [FLAGS]", args)? else {
         return Ok(());
     };
@@ -69,7 +63,7 @@
 ///
 /// # Errors
 ///
-/// The error of the listener.
+/// The error of the listener that ended accepting.
 pub async fn serve(
     listener: TcpListener,
     platform: Platform,
@@ -88,7 +82,8 @@
         let platform = platform.clone();
         async move { platform.answer(request).await }
     });
-    // An error here is a client that left, or an answer lost on purpose.
+    // An error means that the client disconnected or that a fault dropped the
+    // answer.
     let _ = http1::Builder::new()
         .serve_connection(FuturesIo::new(stream), service)
         .await;
--- a/tools/standin/src/platform/answer.rs
+++ b/tools/standin/src/platform/answer.rs
@@ -13,10 +13,10 @@
 use super::state::Operation;
 use super::state::Pair;
 
-/// Header that carries the index of an answer.
+/// Header with the index of an answer: the revision that it reflects.
 pub const INDEX_HEADER: &str = "x-consul-index";
 
-/// Body of a session request.
+/// Body of a request that creates a session.
 #[derive(Debug, Deserialize)]
 pub(super) struct SessionRequest {
     #[serde(rename = "TTL")]
@@ -41,7 +41,8 @@
 }
 
 impl OperationRequest {
-    /// Reads the operation; `None` where it is not supported.
+    /// Converts the request; returns `None` if the operation is not supported or
+    /// its value is not Base64.
     pub(super) fn into_operation(self) -> Option<Operation> {
         let KvRequest {
             verb,
@@ -60,23 +61,23 @@
     }
 }
 
-/// A key as the protocol shows it.
-pub(super) fn pair_json(key: &str, cell: &Pair) -> Value {
-    let mut pair = json!({
-        "LockIndex": u8::from(cell.session.is_some()),
+/// Returns the JSON form of a key with its value.
+pub(super) fn pair_json(key: &str, pair: &Pair) -> Value {
+    let mut object = json!({
+        "LockIndex": u8::from(pair.session.is_some()),
         "Key": key,
         "Flags": 0,
-        "Value": STANDARD.encode(&cell.value),
-        "CreateIndex": cell.created,
-        "ModifyIndex": cell.modified,
+        "Value": STANDARD.encode(&pair.value),
+        "CreateIndex": pair.created,
+        "ModifyIndex": pair.modified,
     });
-    if let Some(session) = &cell.session {
-        pair["Session"] = json!(session);
+    if let Some(session) = &pair.session {
+        object["Session"] = json!(session);
     }
-    pair
+    object
 }
 
-/// A response with a JSON body.
+/// Returns a response with a JSON body.
 pub(super) fn json(status: StatusCode, index: u64, body: &impl Serialize) -> Response<Full<Bytes>> {
     let body = serde_json::to_vec(body).unwrap_or_default();
     let mut response = Response::new(Full::new(body.into()));
@@ -85,7 +86,7 @@
     response
 }
 
-/// A response without a body.
+/// Returns a response without a body.
 pub(super) fn status(status: StatusCode) -> Response<Full<Bytes>> {
     let mut response = Response::default();
     *response.status_mut() = status;
--- a/tools/standin/src/platform/call.rs
+++ b/tools/standin/src/platform/call.rs
@@ -1,20 +1,21 @@
-//! Counts of the calls received.
+//! Numbers of the calls received.
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Calls received since the start; controls are not counted.
+/// Numbers of calls since the start, without those that set faults, end
+/// sessions or read these numbers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Calls {
-    /// Reads of a key or prefix that did not wait.
+    /// Reads of a key or prefix that returned at once.
     pub reads: u64,
     /// Transactions.
     pub writes: u64,
-    /// Watches; each counts once.
+    /// Watches: reads that wait for a change.
     pub watches: u64,
-    /// Session calls and acquired keys.
+    /// All other calls that write: sessions and acquisitions of keys.
     pub leases: u64,
-    /// Calls that a fault refused or hung.
+    /// Calls that a fault refused or left without an answer.
     pub refused: u64,
-    /// Watches that wait now.
+    /// Watches that are waiting now.
     pub waiting: u64,
 }
--- a/tools/standin/src/platform/fault.rs
+++ b/tools/standin/src/platform/fault.rs
@@ -1,30 +1,30 @@
-//! Faults on demand.
+//! Faults that the stand-in injects.
 use std::str::FromStr;
 use std::time::Duration;
 
 use displaydoc::Display;
 use thiserror::Error;
 
-/// Whether the service answers.
+/// Availability of the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Mode {
-    /// Answers.
+    /// Answers calls.
     #[default]
     Up,
-    /// Closes each connection without an answer; nothing is applied.
+    /// Closes the connection of each call without an answer; applies nothing.
     Down,
-    /// Answers status 500; nothing is applied.
+    /// Answers each call with status 500; applies nothing.
     Fail,
-    /// Never answers; nothing is applied.
+    /// Never answers; applies nothing.
     Hang,
 }
 
-/// A control that is not known, or whose value cannot be read.
+/// Invalid name or value of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, Error)]
 pub enum Error {
-    /// the control is unknown; see the fields of the faults
+    /// unknown fault; the fields of `Faults` list the names
     UnknownName,
-    /// the control's value cannot be read; give a whole number or a mode
+    /// invalid value of a fault; give a whole number, or for the mode: up, down, fail or hang
     UnknownValue,
 }
 
@@ -42,28 +42,28 @@
     }
 }
 
-/// The faults in force.
+/// Faults in force. The name in code font is that of the parameter.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
     /// `mode`: up, down, fail or hang.
     pub mode: Mode,
-    /// `slow_ms`: delay of each answer.
+    /// `slow_ms`: delay before each call is handled.
     pub slow: Duration,
-    /// `lose_answers`: number of writes to come that are applied, but whose
-    /// answer is lost.
+    /// `lose_answers`: number of next writes that are applied, but whose answer
+    /// is lost.
     pub lose_answers: u32,
-    /// `drop_events`: number of writes to come that wake no watch.
+    /// `drop_events`: number of next writes that notify no watch.
     pub drop_events: u32,
-    /// `repeat_events`: number of watches to come that answer at once although
+    /// `repeat_events`: number of next watches that return at once although
     /// nothing changed.
     pub repeat_events: u32,
-    /// `stale_reads`: number of reads to come that answer what was there
-    /// before the latest write.
+    /// `stale_reads`: number of next reads that return the state before the
+    /// latest write.
     pub stale_reads: u32,
 }
 
 impl Faults {
-    /// Applies one control.
+    /// Sets the fault with this name.
     ///
     /// # Errors
     ///
@@ -86,7 +86,7 @@
     }
 }
 
-/// Counts a fault down; true where it was still to happen.
+/// Decrements the count of a fault; returns whether the fault is to happen now.
 pub(super) fn consume(count: &mut u32) -> bool {
     let due = *count > 0;
     *count = count.saturating_sub(1);
--- a/tools/standin/src/platform/read.rs
+++ b/tools/standin/src/platform/read.rs
@@ -14,10 +14,10 @@
 use super::route::Platform;
 use super::state::with_prefix;
 
-/// Longest wait of a watch that asks for none.
+/// Timeout of a watch that names none.
 const DEFAULT_WAIT: Duration = Duration::from_mins(5);
 
-/// Counts a waiting watch until dropped, also where its client leaves.
+/// Counts a watch as waiting until dropped, also when its client disconnects.
 struct WatchGuard<'a>(&'a Platform);
 
 impl Drop for WatchGuard<'_> {
@@ -26,7 +26,7 @@
     }
 }
 
-/// Answers a read of a key or prefix, once it is due.
+/// Answers a read of a key or prefix; a watch waits for a change first.
 pub(super) async fn answer(platform: &Platform, path: &str, query: &Query) -> Answer {
     let Some(key) = path.strip_prefix("/v1/kv/") else {
         return answer::status(StatusCode::NOT_FOUND);
@@ -42,12 +42,13 @@
     pairs(platform, key, query.get("recurse").is_some())
 }
 
+/// Returns a key, or with `recurse` all keys under a prefix.
 fn pairs(platform: &Platform, key: &str, recurse: bool) -> Answer {
     let mut state = platform.lock();
     let index = state.prefix_index(key);
     let pairs: Vec<Value> = with_prefix(&state.readable_pairs(), key)
         .filter(|(name, _)| recurse || *name == key)
-        .map(|(name, cell)| answer::pair_json(name, cell))
+        .map(|(name, pair)| answer::pair_json(name, pair))
         .collect();
     let status = if pairs.is_empty() {
         StatusCode::NOT_FOUND
@@ -57,10 +58,11 @@
     answer::json(status, index, &pairs)
 }
 
-/// Waits until something under `prefix` is newer than `index`.
+/// Waits until something under `prefix` is newer than `index`, at most for
+/// `timeout`.
 async fn wait(platform: &Platform, prefix: &str, index: u64, timeout: Duration) {
     platform.lock().calls.waiting += 1;
-    let _waiting = WatchGuard(platform);
+    let _guard = WatchGuard(platform);
     let changed = async {
         loop {
             let next = {
@@ -70,7 +72,7 @@
                 }
                 state.next_write()
             };
-            // Closed by the next write.
+            // The next write closes the channel.
             let _ = next.recv().await;
         }
     };
--- a/tools/standin/src/platform/route.rs
+++ b/tools/standin/src/platform/route.rs
@@ -1,4 +1,4 @@
-//! Answers requests.
+//! Dispatches requests and applies the faults in force.
 use std::io;
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -29,10 +29,11 @@
 
 pub(super) type Answer = Response<Full<Bytes>>;
 
-/// The stand-in's state, shared by its connections.
+/// Shared handle to the state of the stand-in.
 #[derive(Clone, Debug)]
 pub struct Platform {
     state: Arc<Mutex<State>>,
+    /// Origin of the times of sessions.
     origin: Instant,
 }
 
@@ -59,13 +60,18 @@
         }
     }
 
-    /// Calls received so far.
+    /// Returns the numbers of calls received so far.
     #[must_use]
     pub fn calls(&self) -> Calls {
         self.lock().calls
     }
 
-    /// Answers one request; an error drops the connection.
+    /// Answers one request.
+    ///
+    /// # Errors
+    ///
+    /// An error that makes the caller close the connection without an answer, if
+    /// the body cannot be read or a fault asks for it.
     pub(super) async fn answer(&self, request: Request<Incoming>) -> io::Result<Answer> {
         let method = request.method().clone();
         let path = request.uri().path().to_owned();
@@ -103,6 +109,8 @@
         Ok(answer)
     }
 
+    /// Answers a request that sets faults, ends sessions or reads the numbers of
+    /// calls; returns `None` for others.
     fn control(&self, method: &Method, path: &str, query: &Query) -> Option<Answer> {
         let status = match (method, path) {
             (&Method::GET, "/calls") => {
--- a/tools/standin/src/platform/state.rs
+++ b/tools/standin/src/platform/state.rs
@@ -1,4 +1,4 @@
-//! Keys with their revisions, and what waits for them.
+//! Keys with their revisions, and the watches that wait for changes.
 use std::borrow::Cow;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,118 +11,123 @@
 use super::fault::consume;
 use super::session::Sessions;
 
-/// Index of a prefix under which nothing was ever written.
+/// Index of a prefix under which nothing has been written.
 const EMPTY_INDEX: u64 = 1;
 
-/// One key.
+/// Value of a key, with its revisions and lock.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Pair {
-    /// The value.
+    /// Value.
     pub value: Vec<u8>,
     /// Revision of the write that created the key.
     pub created: u64,
     /// Revision of the latest write.
     pub modified: u64,
-    /// The session that holds the key.
+    /// Session that holds the lock of the key.
     pub session: Option<String>,
 }
 
-/// The operations of a transaction.
+/// Operation of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Operation {
-    /// Writes a key on condition of its revision; 0 where it must not exist.
+    /// Compare-and-set: writes a key if its revision is the expected one.
     Cas {
-        /// The key.
+        /// Key.
         key: String,
-        /// The new value.
+        /// New value.
         value: Vec<u8>,
-        /// Revision that it must have.
+        /// Expected revision; 0 if the key must not exist.
         index: u64,
     },
-    /// Writes a key.
+    /// Writes a key unconditionally.
     Set {
-        /// The key.
+        /// Key.
         key: String,
-        /// The new value.
+        /// New value.
         value: Vec<u8>,
     },
-    /// Fails where the session does not hold the key.
+    /// Fails if the session does not hold the lock of the key.
     CheckSession {
-        /// The key.
+        /// Key.
         key: String,
-        /// The session.
+        /// Id of the session.
         session: String,
     },
 }
 
-/// Everything that the stand-in keeps.
+/// State of the stand-in.
 #[derive(Debug, Default)]
 pub struct State {
-    /// Keys in order.
+    /// Values by key.
     pub pairs: BTreeMap<String, Pair>,
-    /// What the latest write replaced, for stale reads.
+    /// Values before the latest write of the keys that it changed, for stale
+    /// reads; `None` for a key that did not exist.
     pub replaced: BTreeMap<String, Option<Pair>>,
     /// Sessions.
     pub sessions: Sessions,
     /// Faults in force.
     pub faults: Faults,
-    /// Calls received.
+    /// Numbers of calls received.
     pub calls: Calls,
+    /// Revision of the deletion of each deleted key.
     removed: BTreeMap<String, u64>,
+    /// Revision of the latest write.
     index: u64,
+    /// Channels of the waiting watches; closing one notifies its watch.
     waiters: Vec<Sender<()>>,
 }
 
 impl State {
-    /// Ends the sessions whose time is over.
+    /// Ends the sessions that have expired.
     pub fn expire(&mut self, now: Duration) {
         for id in self.sessions.expired(now) {
             self.end_session(&id);
         }
     }
 
-    /// Ends a session and deletes the keys that it holds; false where there
-    /// was none.
+    /// Ends a session and deletes the keys whose lock it holds; returns false if
+    /// there is no such session.
     pub fn end_session(&mut self, id: &str) -> bool {
         let held: Vec<String> = self
             .pairs
             .iter()
-            .filter(|(_, cell)| cell.session.as_deref() == Some(id))
+            .filter(|(_, pair)| pair.session.as_deref() == Some(id))
             .map(|(key, _)| key.clone())
             .collect();
         for key in held {
             self.begin_write();
-            let cell = self.pairs.remove(&key);
-            self.replaced.insert(key.clone(), cell);
+            let pair = self.pairs.remove(&key);
+            self.replaced.insert(key.clone(), pair);
             self.removed.insert(key, self.index);
             self.notify_watches();
         }
         self.sessions.destroy(id)
     }
 
-    /// Takes a key for a session; `None` where there is no such session.
+    /// Writes a key and takes its lock for a session; returns false if another
+    /// session holds the lock, and `None` if there is no such session.
     pub fn acquire(&mut self, key: &str, session: &str, value: Vec<u8>) -> Option<bool> {
         if !self.sessions.contains(session) {
             return None;
         }
-        let holder = self.pairs.get(key).and_then(|cell| cell.session.clone());
+        let holder = self.pairs.get(key).and_then(|pair| pair.session.clone());
         if holder.is_some_and(|holder| holder != session) {
             return Some(false);
         }
         self.begin_write();
         self.write(key, value);
-        if let Some(cell) = self.pairs.get_mut(key) {
-            cell.session = Some(session.to_owned());
+        if let Some(pair) = self.pairs.get_mut(key) {
+            pair.session = Some(session.to_owned());
         }
         self.notify_watches();
         Some(true)
     }
 
-    /// Applies all operations or none.
+    /// Applies all operations or none, and returns their keys.
     ///
     /// # Errors
     ///
-    /// Position of the first operation that does not hold.
+    /// Position of the first operation whose condition is not met.
     pub fn transact(&mut self, operations: &[Operation]) -> Result<Vec<String>, usize> {
         if let Some(refused) = operations
             .iter()
@@ -145,70 +150,75 @@
         Ok(keys)
     }
 
-    /// Revision of the latest change under a prefix; at least 1.
+    /// Returns the revision of the latest change under a prefix, at least 1.
     #[must_use]
     pub fn prefix_index(&self, prefix: &str) -> u64 {
-        let written = with_prefix(&self.pairs, prefix).map(|(_, cell)| cell.modified);
+        let written = with_prefix(&self.pairs, prefix).map(|(_, pair)| pair.modified);
         let removed = with_prefix(&self.removed, prefix).map(|(_, index)| *index);
         written.chain(removed).max().unwrap_or(EMPTY_INDEX)
     }
 
-    /// Resolves, by being closed, at the next write that wakes watches.
+    /// Returns a channel that is closed by the next write that notifies watches.
     pub fn next_write(&mut self) -> Receiver<()> {
         let (sender, receiver) = smol::channel::bounded(1);
         self.waiters.push(sender);
         receiver
     }
 
-    /// The keys to read from: stale ones where a fault asks for it.
+    /// Returns the keys for a read: those before the latest write if a fault
+    /// asks for it.
     pub fn readable_pairs(&mut self) -> Cow<'_, BTreeMap<String, Pair>> {
         if !consume(&mut self.faults.stale_reads) {
             return Cow::Borrowed(&self.pairs);
         }
-        let mut cells = self.pairs.clone();
-        for (key, cell) in &self.replaced {
-            match cell {
-                Some(cell) => cells.insert(key.clone(), cell.clone()),
-                None => cells.remove(key),
+        let mut pairs = self.pairs.clone();
+        for (key, pair) in &self.replaced {
+            match pair {
+                Some(pair) => pairs.insert(key.clone(), pair.clone()),
+                None => pairs.remove(key),
             };
         }
-        Cow::Owned(cells)
+        Cow::Owned(pairs)
     }
 
+    /// Returns whether the condition of an operation is met.
     fn is_satisfied(&self, operation: &Operation) -> bool {
         match operation {
             Operation::Set { .. } => true,
             Operation::Cas { key, index, .. } => {
-                self.pairs.get(key).map_or(0, |cell| cell.modified) == *index
+                self.pairs.get(key).map_or(0, |pair| pair.modified) == *index
             }
             Operation::CheckSession { key, session } => {
-                self.pairs.get(key).and_then(|cell| cell.session.as_ref()) == Some(session)
+                self.pairs.get(key).and_then(|pair| pair.session.as_ref()) == Some(session)
             }
         }
     }
 
+    /// Starts a write with the next revision.
     fn begin_write(&mut self) {
         self.replaced.clear();
-        // The first write must be newer than an empty prefix.
+        // The first write must have a larger revision than an empty prefix.
         self.index = self.index.max(EMPTY_INDEX) + 1;
     }
 
+    /// Sets the value of a key at the current revision.
     fn write(&mut self, key: &str, value: Vec<u8>) {
         let index = self.index;
         self.replaced
             .entry(key.to_owned())
             .or_insert_with(|| self.pairs.get(key).cloned());
-        let cell = self.pairs.entry(key.to_owned()).or_insert(Pair {
+        let pair = self.pairs.entry(key.to_owned()).or_insert(Pair {
             value: Vec::new(),
             created: index,
             modified: index,
             session: None,
         });
-        cell.value = value;
-        cell.modified = index;
+        pair.value = value;
+        pair.modified = index;
         self.removed.remove(key);
     }
 
+    /// Notifies all waiting watches, unless a fault drops the event.
     fn notify_watches(&mut self) {
         if !consume(&mut self.faults.drop_events) {
             self.waiters.clear();
@@ -216,7 +226,7 @@
     }
 }
 
-/// The entries of `map` whose key begins with `prefix`.
+/// Returns the items of `map` whose key begins with `prefix`.
 pub fn with_prefix<'a, T>(
     map: &'a BTreeMap<String, T>,
     prefix: &'a str,
--- a/tools/standin/src/platform/write.rs
+++ b/tools/standin/src/platform/write.rs
@@ -1,4 +1,4 @@
-//! Sessions, locks and transactions.
+//! Requests that write: sessions, locks and transactions.
 use std::time::Duration;
 
 use http::StatusCode;
@@ -14,7 +14,7 @@
 use super::state::Operation;
 use super::state::State;
 
-/// Applies a request that changes something.
+/// Applies a request that writes, and answers it.
 pub(super) fn answer(
     state: &mut State,
     now: Duration,
@@ -49,6 +49,7 @@
     }
 }
 
+/// Creates a session.
 fn create(state: &mut State, now: Duration, body: &[u8]) -> Answer {
     let request = serde_json::from_slice::<SessionRequest>(body).ok();
     match request.and_then(|request| parse_duration(&request.ttl)) {
@@ -60,6 +61,7 @@
     }
 }
 
+/// Applies a transaction.
 fn transact(state: &mut State, body: &[u8]) -> Answer {
     let requests: Vec<OperationRequest> = match serde_json::from_slice(body) {
         Ok(requests) => requests,
@@ -82,7 +84,7 @@
             let results: Vec<Value> = keys
                 .iter()
                 .filter_map(|key| Some((key, state.pairs.get(key)?)))
-                .map(|(key, cell)| json!({ "KV": answer::pair_json(key, cell) }))
+                .map(|(key, pair)| json!({ "KV": answer::pair_json(key, pair) }))
                 .collect();
             answer::json(
                 StatusCode::OK,
--- a/tools/standin/src/stop.rs
+++ b/tools/standin/src/stop.rs
@@ -7,11 +7,11 @@
 use signal_hook::consts::SIGINT;
 use signal_hook::consts::SIGTERM;
 
-/// Resolves once the process is asked to stop.
+/// Waits until the process receives SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
-/// Those of the operating system.
+/// The error of the operating system if the signals cannot be handled.
 pub async fn requested() -> Result<(), Error> {
     let (reader, writer) = UnixStream::pair()?;
     for signal in [SIGTERM, SIGINT] {
--- a/tools/standin/tests/audit.rs
+++ b/tools/standin/tests/audit.rs
@@ -1,8 +1,10 @@
-//! Reports held against ledgers.
+//! Tests of the audit, which compares reports with ledgers.
 use standin::audit::Finding;
 use standin::audit::Report;
 use standin::backend::Ledger;
 
+/// Creates a ledger with one finished run of each name; a name that starts with
+/// `i` is idempotent.
 fn ledger(slots: u32, busy_ms: u64, runs: &[&str]) -> Ledger {
     let mut ledger = Ledger::new("roster".into(), slots);
     ledger.busy_ms = busy_ms;
@@ -13,6 +15,7 @@
     ledger
 }
 
+/// Creates a report without a violation.
 fn report() -> Report {
     Report {
         service: "roster".into(),
@@ -54,7 +57,7 @@
     assert!(finding.is_broken());
 }
 
-/// A report with one broken promise.
+/// Asserts that a report is found broken after one change.
 fn violates_a_guarantee(change: fn(&mut Report)) {
     let mut report = report();
     change(&mut report);
--- a/tools/standin/tests/backend.rs
+++ b/tools/standin/tests/backend.rs
@@ -1,4 +1,4 @@
-//! The backend server's worker and its ledger.
+//! Tests of the backend server: worker, ledger and run times.
 use std::pin::pin;
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,7 +19,7 @@
     Rc::new(Worker::new(settings))
 }
 
-/// A server whose requests end at once.
+/// Creates a server whose requests take no time.
 fn instant() -> Rc<Worker> {
     worker(Settings {
         mean_time: Duration::ZERO,
@@ -27,7 +27,7 @@
     })
 }
 
-/// A server with one slot whose requests do not end.
+/// Creates a server with one slot whose requests do not end during a test.
 fn never_ending(queue: u32) -> Rc<Worker> {
     worker(Settings {
         mean_time: HOUR,
@@ -93,11 +93,11 @@
 #[test]
 fn request_past_its_deadline_does_not_run() {
     let worker = instant();
-    let late = Job {
+    let expired_job = Job {
         deadline: Duration::ZERO,
         ..job("a")
     };
-    assert_eq!(block_on(worker.run(late)), Outcome::Expired);
+    assert_eq!(block_on(worker.run(expired_job)), Outcome::Expired);
     assert!(worker.ledger().runs.is_empty());
 }
 
--- a/tools/standin/tests/fabric.rs
+++ b/tools/standin/tests/fabric.rs
@@ -1,4 +1,4 @@
-//! The fabric's choice of entries and its faults.
+//! Tests of the fabric: choice of entries and injected faults.
 use std::fs;
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
     }
 }
 
-/// Percentages, and the number of copies that a datagram then has.
+/// Shares of faults in percent, and the copies of each datagram that result.
 struct Share {
     loss: u32,
     duplicate: u32,
@@ -31,7 +31,7 @@
 cases::cases! { copies_match;
     no_fault: &Share { loss: 0, duplicate: 0, copies: 1 },
     all_lost: &Share { loss: 100, duplicate: 100, copies: 0 },
-    all_doubled: &Share { loss: 0, duplicate: 100, copies: 2 },
+    all_duplicated: &Share { loss: 0, duplicate: 100, copies: 2 },
 }
 
 #[test]
