--- a/tools/bench/src/gate.rs
+++ b/tools/bench/src/gate.rs
@@ -173,12 +173,12 @@
         trial.schedule(Duration::ZERO, Event::Arrive);
         while let Some((now, event)) = trial.events.pop_first() {
             trial.now = now;
-            trial.process(event);
+            trial.on_event(event);
         }
         trial.row
     }
 
-    fn process(&mut self, event: Event) {
+    fn on_event(&mut self, event: Event) {
         let mut releases = Vec::new();
         match event {
             Event::Arrive if self.now < ARRIVALS_END => self.arrive(),
--- a/tools/bench/src/member.rs
+++ b/tools/bench/src/member.rs
@@ -15,7 +15,7 @@
 use serde::Serialize;
 use wire::ServiceAddress;
 
-use self::cpu::Timer;
+use self::cpu::Stopwatch;
 use self::fleet::Fleet;
 use self::fleet::Volume;
 use crate::report;
@@ -209,9 +209,9 @@
     let mut fleet = Fleet::new(entries, 0);
     fleet.run(SETTLE_TIME);
     let before = fleet.bytes();
-    let cpu_timer = Timer::start();
+    let stopwatch = Stopwatch::start();
     fleet.run(SETTLE_TIME);
-    let elapsed = cpu_timer.elapsed().as_micros();
+    let elapsed = stopwatch.elapsed().as_micros();
     let idle = (fleet.bytes() - before) / SETTLE_TIME.as_secs() / entries as u64;
     let mut times = Vec::new();
     let mut bytes = 0;
@@ -260,9 +260,9 @@
     let mut fleet = Fleet::new(AGENT_ENTRIES, agents);
     fleet.run(SETTLE_TIME * 2);
     let before = fleet.bytes();
-    let cpu_timer = Timer::start();
+    let stopwatch = Stopwatch::start();
     fleet.run(SETTLE_TIME);
-    let elapsed = cpu_timer.elapsed().as_micros();
+    let elapsed = stopwatch.elapsed().as_micros();
     let watched: usize = fleet
         .entries
         .iter()
--- a/tools/bench/src/member/cpu.rs
+++ b/tools/bench/src/member/cpu.rs
@@ -4,12 +4,12 @@
 use std::time::Duration;
 
 /// Measures processor time since its creation.
-pub struct Timer {
+pub struct Stopwatch {
     /// Processor time at the creation.
     started: Duration,
 }
 
-impl Timer {
+impl Stopwatch {
     /// Starts the measurement.
     pub fn start() -> Self {
         Self {
--- a/tools/bench/src/member/directory.rs
+++ b/tools/bench/src/member/directory.rs
@@ -15,7 +15,7 @@
 use member::message::Subject;
 use serde::Serialize;
 
-use super::cpu::Timer;
+use super::cpu::Stopwatch;
 use super::fleet;
 use super::row;
 
@@ -94,7 +94,7 @@
         })
     });
     let targets = (0..TARGETS).map(|number| Record::Target(fleet::target(number)));
-    let cpu_timer = Timer::start();
+    let stopwatch = Stopwatch::start();
     let mut records = entries.chain(services).chain(targets).peekable();
     let mut count = 0;
     while records.peek().is_some() {
@@ -102,14 +102,14 @@
         count += records.len();
         deliver_push(&mut registry, now, own, records);
     }
-    let elapsed = cpu_timer.elapsed().as_nanos();
+    let elapsed = stopwatch.elapsed().as_nanos();
     registry.tick(now, &mut Vec::new());
     registry.changes();
     let memory_bytes = resident_bytes().saturating_sub(memory_before);
     let steady_micros_a_second = steady_micros_a_second(&mut registry, own);
     let mut changed = fleet::identity(5);
     changed.incarnation += 1;
-    let cpu_timer = Timer::start();
+    let stopwatch = Stopwatch::start();
     deliver_push(&mut registry, now, own, vec![fleet::record(&changed)]);
     deliver_heartbeats(&mut registry, now, own, HEARTBEAT_SECONDS + 1);
     Figures {
@@ -121,14 +121,14 @@
         merge_nanos: elapsed / count as u128,
         watched: registry.status().watched,
         steady_micros_a_second,
-        fleet_change_micros: cpu_timer.elapsed().as_micros(),
+        fleet_change_micros: stopwatch.elapsed().as_micros(),
     }
 }
 
 /// Returns the processor time of one second with the heartbeats of all watched
 /// agents and the periodic work of the entry, in microseconds.
 fn steady_micros_a_second(registry: &mut Registry, own: SocketAddr) -> u128 {
-    let cpu_timer = Timer::start();
+    let stopwatch = Stopwatch::start();
     for second in 1..=HEARTBEAT_SECONDS {
         let now = Duration::from_secs(second);
         deliver_heartbeats(registry, now, own, second);
@@ -137,7 +137,7 @@
             registry.tick(next, &mut Vec::new());
         }
     }
-    cpu_timer.elapsed().as_micros() / u128::from(HEARTBEAT_SECONDS)
+    stopwatch.elapsed().as_micros() / u128::from(HEARTBEAT_SECONDS)
 }
 
 fn deliver_heartbeats(registry: &mut Registry, now: Duration, own: SocketAddr, sequence: u64) {
--- a/tools/bench/src/place.rs
+++ b/tools/bench/src/place.rs
@@ -1,9 +1,10 @@
 //! Simulates policies that place flows, and compares load imbalance and
 //! latency.
 //!
-//! A discrete event simulation drives the real target order, hunt and admission
-//! gates with the numbers of targets and slots that the customers have. Only
-//! service times, callers and network delays are modelled.
+//! A discrete event simulation drives the real target order, the real bidding for
+//! flows (`route::hunt`) and the real admission gates, with the numbers of
+//! targets and slots that the customers have. Only service times, callers and
+//! network delays are modelled.
 mod outcome;
 mod plot;
 mod policy;
--- a/tools/bench/src/place/simulation.rs
+++ b/tools/bench/src/place/simulation.rs
@@ -131,7 +131,7 @@
                 break;
             }
             simulation.now = due.time;
-            simulation.process(event);
+            simulation.on_event(event);
         }
         let measured = RUN_END.saturating_sub(WARM_UP_END);
         let servers = simulation.servers.iter();
@@ -216,7 +216,7 @@
         }
     }
 
-    fn process(&mut self, event: Event) {
+    fn on_event(&mut self, event: Event) {
         match event {
             Event::Open(flow) => self.open(flow),
             Event::Visit { flow, relay } => self.visit(flow, *relay),
--- a/tools/bench/src/place/trial.rs
+++ b/tools/bench/src/place/trial.rs
@@ -216,7 +216,7 @@
     Place::Hunt { width, signal }
 }
 
-/// Returns the usual policies that the hunt is compared with.
+/// Returns the usual policies that [`Place::Hunt`] is compared with.
 fn baseline_policies() -> Vec<Policy> {
     [Place::Hash, Place::RoundRobin, Place::BestOfTwo]
         .map(Policy::bound)
--- a/tools/bench/src/relay.rs
+++ b/tools/bench/src/relay.rs
@@ -220,12 +220,12 @@
     let seal = seal();
     (1..=flows)
         .filter_map(|flow| {
-            let sprayed = Sprayed {
+            let encapsulated = Sprayed {
                 caller: service(),
                 service: service(),
                 packet: Packet::new(flow, body(kind)).to_bytes(),
             };
-            seal.seal(&Frame::Sprayed(sprayed)).ok()
+            seal.seal(&Frame::Sprayed(encapsulated)).ok()
         })
         .collect()
 }
--- a/tools/standin/src/audit.rs
+++ b/tools/standin/src/audit.rs
@@ -64,5 +64,5 @@
         findings.push(Finding::new(report, ledgers));
     }
     print!("{}", table::Table(&findings));
-    Ok(findings.iter().any(Finding::is_broken))
+    Ok(findings.iter().any(Finding::has_violation))
 }
--- a/tools/standin/src/audit/finding.rs
+++ b/tools/standin/src/audit/finding.rs
@@ -76,7 +76,7 @@
 
     /// Returns whether a guarantee was violated, or no operation was answered.
     #[must_use]
-    pub fn is_broken(&self) -> bool {
+    pub fn has_violation(&self) -> bool {
         let report = &self.report;
         let counts = [
             self.run_twice,
--- a/tools/standin/src/audit/table.rs
+++ b/tools/standin/src/audit/table.rs
@@ -51,7 +51,7 @@
         row("p50 ms", &|finding| milliseconds(finding.report.p50_us))?;
         row("p99 ms", &|finding| milliseconds(finding.report.p99_us))?;
         row("promises (*)", &|finding| {
-            let verdict = if finding.is_broken() {
+            let verdict = if finding.has_violation() {
                 "BROKEN"
             } else {
                 "kept"
--- a/tools/standin/src/backend/http.rs
+++ b/tools/standin/src/backend/http.rs
@@ -76,8 +76,8 @@
 
 async fn run(request: Request<Incoming>, worker: &Rc<Worker>) -> Response<Full<Bytes>> {
     let request_id = header(&request, "request-id");
-    let idempotent = header(&request, "idempotent") == "true";
-    let deadline = header(&request, "deadline-ms")
+    let idempotent = self::header(&request, "idempotent") == "true";
+    let deadline = self::header(&request, "deadline-ms")
         .parse()
         .map_or(DEFAULT_DEADLINE, Duration::from_millis);
     let Ok(body) = request.into_body().collect().await else {
--- a/tools/standin/src/fabric.rs
+++ b/tools/standin/src/fabric.rs
@@ -142,18 +142,22 @@
     let executor = Rc::new(LocalExecutor::new());
     smol::block_on(executor.run(async {
         for index in 0..fabric.services.len() {
-            let spray = spray(Rc::clone(fabric), Rc::clone(&executor), index);
-            executor.spawn(spray).detach();
+            let to_entries = forward_to_entries(Rc::clone(fabric), Rc::clone(&executor), index);
+            executor.spawn(to_entries).detach();
         }
-        let deliver = deliver(Rc::clone(fabric), Rc::clone(&executor));
-        executor.spawn(deliver).detach();
+        let to_callers = forward_to_callers(Rc::clone(fabric), Rc::clone(&executor));
+        executor.spawn(to_callers).detach();
         executor.spawn(reload(Rc::clone(fabric))).detach();
         stop::requested().await
     }))
 }
 
 /// Forwards each datagram that arrives for a service to a random entry.
-async fn spray(fabric: Rc<Fabric>, executor: Rc<LocalExecutor<'static>>, index: usize) {
+async fn forward_to_entries(
+    fabric: Rc<Fabric>,
+    executor: Rc<LocalExecutor<'static>>,
+    index: usize,
+) {
     let service = &fabric.services[index];
     let mut buffer = vec![0; BUFFER_BYTES];
     loop {
@@ -179,26 +183,26 @@
 }
 
 /// Forwards the replies of entries to the callers.
-async fn deliver(fabric: Rc<Fabric>, executor: Rc<LocalExecutor<'static>>) {
+async fn forward_to_callers(fabric: Rc<Fabric>, executor: Rc<LocalExecutor<'static>>) {
     let mut buffer = vec![0; BUFFER_BYTES];
     loop {
         let Ok((len, _)) = fabric.entry_socket.recv_from(&mut buffer).await else {
             continue;
         };
-        let Ok(Frame::Sprayed(sprayed)) = fabric.seal.open(&buffer[..len]) else {
+        let Ok(Frame::Sprayed(encapsulated)) = fabric.seal.open(&buffer[..len]) else {
             continue;
         };
         let service = fabric
             .services
             .iter()
-            .position(|service| service.address == sprayed.service);
+            .position(|service| service.address == encapsulated.service);
         if service.is_none() {
             continue;
         }
         let datagram = Datagram {
             service,
-            destination: sprayed.caller,
-            bytes: sprayed.packet.into(),
+            destination: encapsulated.caller,
+            bytes: encapsulated.packet.into(),
         };
         fabric.forward(&executor, datagram).await;
     }
--- a/tools/standin/tests/audit.rs
+++ b/tools/standin/tests/audit.rs
@@ -29,7 +29,7 @@
 fn consistent_report_violates_no_guarantee() {
     let ledgers = [ledger(4, 0, &["a", "b"]), ledger(4, 0, &["c"])];
     let finding = Finding::new(report(), &ledgers);
-    assert!(!finding.is_broken(), "{finding:?}");
+    assert!(!finding.has_violation(), "{finding:?}");
 }
 
 #[test]
@@ -37,13 +37,13 @@
     let ledgers = [ledger(4, 0, &["a", "b"]), ledger(4, 0, &["b"])];
     let finding = Finding::new(report(), &ledgers);
     assert_eq!(finding.run_twice, 1);
-    assert!(finding.is_broken());
+    assert!(finding.has_violation());
 }
 
 #[test]
 fn idempotent_request_may_run_twice() {
     let ledgers = [ledger(4, 0, &["i1"]), ledger(4, 0, &["i1"])];
-    assert!(!Finding::new(report(), &ledgers).is_broken());
+    assert!(!Finding::new(report(), &ledgers).has_violation());
 }
 
 #[test]
@@ -54,14 +54,14 @@
     };
     let finding = Finding::new(report, &[ledger(4, 0, &["a"])]);
     assert_eq!(finding.ran_refused, 1);
-    assert!(finding.is_broken());
+    assert!(finding.has_violation());
 }
 
 /// Asserts that a report is found broken after one change.
 fn violates_a_guarantee(change: fn(&mut Report)) {
     let mut report = report();
     change(&mut report);
-    assert!(Finding::new(report, &[]).is_broken());
+    assert!(Finding::new(report, &[]).has_violation());
 }
 
 cases::cases! { violates_a_guarantee;
--- a/tools/standin/tests/backend.rs
+++ b/tools/standin/tests/backend.rs
@@ -28,12 +28,12 @@
 }
 
 /// Creates a server with one slot whose requests do not end during a test.
-fn never_ending(queue: u32) -> Rc<Worker> {
+fn never_ending(queue_limit: u32) -> Rc<Worker> {
     worker(Settings {
         mean_time: HOUR,
         spread_percent: 0,
         slots: 1,
-        queue_limit: queue,
+        queue_limit,
         ..Settings::default()
     })
 }
