--- a/tools/bench/src/place/simulation.rs
+++ b/tools/bench/src/place/simulation.rs
@@ -353,8 +353,8 @@
         Duration::from_secs_f64(-uniform.ln() * mean)
     }
 
-    /// Draws a request rate from the log-normal distribution, by the Box-Muller
-    /// transform.
+    /// Draws a relative request rate from a log-normal distribution, by the
+    /// Box-Muller transform.
     fn log_normal(&mut self) -> f64 {
         let (radius, angle) = (1.0 - self.random.f64(), self.random.f64());
         let normal = (-2.0 * radius.ln()).sqrt() * (std::f64::consts::TAU * angle).cos();
