--- a/tools/bench/src/place/plot.rs
+++ b/tools/bench/src/place/plot.rs
@@ -1,4 +1,5 @@
-//! Draws the imbalance of the policies and the latency through a slow-down.
+//! Plots the load imbalance of the policies, and the latency while one target
+//! is slow.
 use std::error::Error;
 use std::fs;
 use std::path::Path;
@@ -13,10 +14,10 @@
 const TITLE: (&str, u32) = ("sans-serif", 18);
 const COLOURS: [RGBColor; 7] = [BLUE, RED, GREEN, MAGENTA, BLACK, CYAN, YELLOW];
 
-/// Trial that the latency through a slow-down is drawn from.
+/// Name of the trial whose latency is plotted.
 const SLOW_TRIAL: &str = "roster single slow";
 
-/// Trials that the imbalance is drawn from.
+/// Names of the trials whose imbalance is plotted.
 const IMBALANCE_TRIALS: [&str; 4] = [
     "roster single",
     "rota single",
@@ -24,13 +25,19 @@
     "intake single",
 ];
 
-/// Latencies below this are drawn at the foot, in milliseconds.
-const LEAST_MS: f64 = 10.0;
+/// Lower end of the latency axis in milliseconds; lower latencies are drawn
+/// there.
+const MIN_LATENCY_MS: f64 = 10.0;
 
-/// Latencies above this are drawn at the top, in milliseconds.
-const MOST_MS: f64 = 100_000.0;
+/// Upper end of the latency axis in milliseconds; higher latencies are drawn
+/// there.
+const MAX_LATENCY_MS: f64 = 100_000.0;
 
-/// Writes the plots of the results that were run.
+/// Writes each plot whose trials were run.
+///
+/// # Errors
+///
+/// The error of a plot that cannot be drawn or written.
 pub fn save(results: &[Results], plots: &Path) -> Result<(), Box<dyn Error>> {
     fs::create_dir_all(plots)?;
     if let Some(slow) = results.iter().find(|results| results.name == SLOW_TRIAL) {
@@ -44,6 +51,7 @@
     Ok(())
 }
 
+/// Plots the 99th percentile of the latency over time, one line per policy.
 fn latency(results: &Results, path: &Path) -> Result<(), Box<dyn Error>> {
     let area = SVGBackend::new(path, SIZE).into_drawing_area();
     area.fill(&WHITE)?;
@@ -56,7 +64,7 @@
         .margin(10)
         .x_label_area_size(40)
         .y_label_area_size(70)
-        .build_cartesian_2d(60..seconds, (LEAST_MS..MOST_MS).log_scale())?;
+        .build_cartesian_2d(60..seconds, (MIN_LATENCY_MS..MAX_LATENCY_MS).log_scale())?;
     let mut mesh = chart.configure_mesh();
     mesh.x_desc("second")
         .y_desc("ms")
@@ -65,9 +73,9 @@
     for (row, colour) in results.rows.iter().zip(COLOURS) {
         let points = (0..).zip(&row.outcome.p99_by_second_ms);
         let points = points.filter(|&(second, _)| second >= 60);
-        let points = points.map(|(second, &ms)| (second, ms.clamp(LEAST_MS, MOST_MS)));
+        let points = points.map(|(second, &ms)| (second, ms.clamp(MIN_LATENCY_MS, MAX_LATENCY_MS)));
         let line = chart.draw_series(LineSeries::new(points, colour))?;
-        line.label(&row.name).legend(key(colour));
+        line.label(&row.name).legend(legend_line(colour));
     }
     let mut labels = chart.configure_series_labels();
     labels
@@ -79,6 +87,7 @@
     Ok(())
 }
 
+/// Plots the imbalance as groups of bars: a group per trial, a bar per policy.
 fn imbalance(trials: &[&Results], path: &Path) -> Result<(), Box<dyn Error>> {
     let area = SVGBackend::new(path, SIZE).into_drawing_area();
     area.fill(&WHITE)?;
@@ -95,7 +104,7 @@
         .configure_mesh()
         .disable_x_mesh()
         .x_labels(end)
-        .x_label_formatter(&|x| middle(trials, *x, width))
+        .x_label_formatter(&|x| group_label(trials, *x, width))
         .label_style(FONT)
         .draw()?;
     for policy in 0..policies {
@@ -107,7 +116,7 @@
         };
         let bars = chart.draw_series(trials.iter().enumerate().map(bar))?;
         let row: &Row = &trials[0].rows[policy];
-        bars.label(&row.name).legend(key(colour));
+        bars.label(&row.name).legend(legend_line(colour));
     }
     let mut labels = chart.configure_series_labels();
     labels
@@ -119,14 +128,16 @@
     Ok(())
 }
 
-/// The name of a group of bars, below its middle.
-fn middle(trials: &[&Results], x: usize, width: usize) -> String {
+/// Returns the name of a trial at the middle of its group of bars, and an empty
+/// label elsewhere.
+fn group_label(trials: &[&Results], x: usize, width: usize) -> String {
     match trials.get(x / width) {
         Some(results) if x % width == width / 2 => results.name.clone(),
         _ => String::new(),
     }
 }
 
-fn key(colour: RGBColor) -> impl Fn((i32, i32)) -> PathElement<(i32, i32)> {
+/// Returns a function that draws the line of a legend entry.
+fn legend_line(colour: RGBColor) -> impl Fn((i32, i32)) -> PathElement<(i32, i32)> {
     move |(x, y)| PathElement::new(vec![(x, y), (x + 20, y)], colour.stroke_width(3))
 }
--- a/tools/bench/src/place/server.rs
+++ b/tools/bench/src/place/server.rs
@@ -1,4 +1,4 @@
-//! A backend server and the gate of the agent beside it.
+//! Model of a backend server, with the real admission gate of its agent.
 use std::time::Duration;
 
 use fastrand::Rng;
@@ -12,44 +12,51 @@
 use super::policy::Signal;
 use super::trial::COLD_END;
 use super::trial::DEADLINE;
-use super::trial::FASTEST;
+use super::trial::FASTEST_SERVICE_TIME;
 use super::trial::FAULT_START;
 use super::trial::Fault;
 use super::trial::Fleet;
 use super::trial::SLOW_END;
 use super::trial::SLOW_FACTOR;
-use super::trial::SLOWEST;
-use super::trial::WARM;
+use super::trial::SLOWEST_SERVICE_TIME;
+use super::trial::WARM_UP_END;
 
-/// A backend server and the gate of the agent beside it.
+/// Model of a backend server, with the real admission gate of its agent.
 #[derive(Debug)]
 pub struct Server {
-    /// The real gate.
+    /// Admission gate of the agent.
     pub gate: Gate,
-    /// Flows held.
+    /// Number of flows held.
     pub held: usize,
-    /// Load that the agent reported last: running and queued jobs a slot.
+    /// Load in the latest report: running and queued jobs per slot.
     pub reported: f64,
-    /// Weight that the entries know.
+    /// Weight in the latest report, which the entries use.
     pub weight: u32,
-    /// Time that slots were busy, in seconds, during the measurement.
+    /// Sum of the service times of the jobs started after the warm-up, in
+    /// seconds.
     pub busy: f64,
+    /// Load of the held flows, as the agent estimates it.
     load: Load,
     slots: u16,
+    /// Mean service time without a fault, in seconds.
     mean: f64,
     fault: Fault,
     index: usize,
+    /// Whether a fault that slows one target applies to this one.
     faulty: bool,
     seed: u64,
 }
 
 impl Server {
-    /// Creates a cold server.
+    /// Creates an idle server whose agent has measured nothing yet.
     pub fn new(index: usize, fleet: Fleet, fault: Fault, seed: u64) -> Self {
         #[allow(clippy::cast_precision_loss)]
-        let place = index as f64 / (fleet.targets - 1) as f64;
-        let (fast, slow) = (FASTEST.as_secs_f64(), SLOWEST.as_secs_f64());
-        let gate = gate(fleet.slots, seed, Duration::ZERO);
+        let position = index as f64 / (fleet.targets - 1) as f64;
+        let (fast, slow) = (
+            FASTEST_SERVICE_TIME.as_secs_f64(),
+            SLOWEST_SERVICE_TIME.as_secs_f64(),
+        );
+        let gate = new_gate(fleet.slots, seed, Duration::ZERO);
         Self {
             held: 0,
             reported: 0.0,
@@ -58,60 +65,63 @@
             busy: 0.0,
             load: Load::new(load::Settings::default(), Duration::ZERO),
             slots: fleet.slots,
-            mean: fast + (slow - fast) * place,
+            mean: fast + (slow - fast) * position,
             fault,
             index,
-            faulty: index == fleet.faulty(),
+            faulty: index == fleet.faulty_target(),
             seed,
         }
     }
 
-    /// Jobs a second without a fault.
+    /// Returns the jobs per second that it can run without a fault.
     pub fn capacity(&self) -> f64 {
         f64::from(self.slots) / self.mean
     }
 
-    /// Share of the slots' time that was busy.
+    /// Returns the utilisation of the slots, from 0 to 1, over the time
+    /// `measured`.
     pub fn utilisation(&self, measured: Duration) -> f64 {
         self.busy / f64::from(self.slots) / measured.as_secs_f64()
     }
 
     /// Draws the service time of a job that starts now.
-    pub fn draw(&mut self, now: Duration, random: &mut Rng) -> Duration {
-        let factor = if self.slow(now) { SLOW_FACTOR } else { 1.0 };
+    pub fn draw_service_time(&mut self, now: Duration, random: &mut Rng) -> Duration {
+        let factor = if self.is_slow(now) { SLOW_FACTOR } else { 1.0 };
         let time = self.mean * factor * (0.5 + random.f64());
-        if now >= WARM {
+        if now >= WARM_UP_END {
             self.busy += time;
         }
         Duration::from_secs_f64(time)
     }
 
-    /// Replaces the agent's knowledge, as a restart does.
+    /// Resets the gate and the load estimate, as a restart of the agent does.
     pub fn restart(&mut self, now: Duration) {
-        self.gate = gate(self.slots, self.seed, now);
+        self.gate = new_gate(self.slots, self.seed, now);
         self.load = Load::new(load::Settings::default(), now);
     }
 
-    /// Notes a request of a held flow that has had another before.
-    pub fn note_request(&mut self, now: Duration) {
+    /// Adds a request of a held flow to the load estimate. The first request of
+    /// a flow must not be counted.
+    pub fn record_request(&mut self, now: Duration) {
         self.load.request(now);
     }
 
-    /// Notes that a flow is held here from now on.
-    pub fn note_open(&mut self) {
+    /// Counts a flow that is held here from now on.
+    pub fn record_open(&mut self) {
         self.held += 1;
     }
 
-    /// What the load endpoint says.
-    pub fn report(&mut self) {
+    /// Updates the reported load; under [`Fault::Lies`], every third target
+    /// reports that it is idle.
+    pub fn update_report(&mut self) {
         let jobs = self.gate.queued() + usize::from(self.gate.running().total());
         #[allow(clippy::cast_precision_loss)]
         let load = jobs as f64 / f64::from(self.slots);
-        let lies = self.fault == Fault::Lies && self.index % 3 == 2;
-        self.reported = if lies { 0.0 } else { load };
+        let misreports = self.fault == Fault::Lies && self.index % 3 == 2;
+        self.reported = if misreports { 0.0 } else { load };
     }
 
-    /// What the agent bids for an open.
+    /// Returns the agent's bid for a new flow.
     pub fn bid(&self, now: Duration, signal: Signal) -> Bid {
         let weight = self.gate.weight();
         let wait = self.gate.expected_wait(now);
@@ -128,7 +138,8 @@
         Bid { free, wait, load }
     }
 
-    fn slow(&self, now: Duration) -> bool {
+    /// Returns whether a fault slows this server now.
+    fn is_slow(&self, now: Duration) -> bool {
         let end = match self.fault {
             Fault::Slow => SLOW_END,
             Fault::Cold => COLD_END,
@@ -138,7 +149,8 @@
     }
 }
 
-fn gate(slots: u16, seed: u64, now: Duration) -> Gate {
+/// Creates a gate that queues a job as long as its wait fits its deadline.
+fn new_gate(slots: u16, seed: u64, now: Duration) -> Gate {
     let settings = Settings {
         slots,
         max_wait: DEADLINE,
--- a/tools/standin/src/audit.rs
+++ b/tools/standin/src/audit.rs
@@ -1,5 +1,5 @@
-//! Holds callers' reports against backend servers' ledgers and prints one
-//! table of what was promised.
+//! Compares the reports of callers with the ledgers of backend servers, and
+//! prints a table with the violations of the system's guarantees.
 pub mod fetch;
 mod finding;
 mod table;
@@ -18,19 +18,20 @@
 pub use finding::Report;
 
 const BRIEF: &str = "Usage: standin audit --report FILE... --backend ADDRESS...";
-const EXIT_BROKEN: u8 = 3;
+/// Exit code for a violated guarantee.
+const EXIT_VIOLATION: u8 = 3;
 
-/// Prints the table; the exit code is 3 where a promise was broken.
+/// Runs `standin audit`; the exit code is 3 if a guarantee was violated.
 #[must_use]
 pub fn main(args: &[String]) -> ExitCode {
     match run(args) {
-        Ok(true) => ExitCode::from(EXIT_BROKEN),
+        Ok(true) => ExitCode::from(EXIT_VIOLATION),
         Ok(false) => ExitCode::SUCCESS,
-        Err(error) => options::exit(Err(error)),
+        Err(error) => options::exit_code(Err(error)),
     }
 }
 
-/// Returns whether a promise was broken.
+/// Prints the table and returns whether a guarantee was violated.
 fn run(args: &[String]) -> Result<bool, Box<dyn std::error::Error>> {
     let mut flags = Options::new();
     flags.optmulti(
@@ -49,7 +50,7 @@
         return Ok(false);
     };
     let mut ledgers = BTreeMap::<String, Vec<Ledger>>::new();
-    for address in options::many::<SocketAddr>(&matches, "backend")? {
+    for address in options::repeated::<SocketAddr>(&matches, "backend")? {
         let ledger = smol::block_on(fetch::ledger(address))?;
         ledgers
             .entry(ledger.service.clone())
@@ -63,5 +64,5 @@
         findings.push(Finding::new(report, ledgers));
     }
     print!("{}", table::Table(&findings));
-    Ok(findings.iter().any(Finding::is_broken))
+    Ok(findings.iter().any(Finding::has_violation))
 }
--- a/tools/standin/src/backend/http.rs
+++ b/tools/standin/src/backend/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP side of a backend server.
+//! HTTP interface of a backend server.
 use std::convert::Infallible;
 use std::net::TcpListener;
 use std::rc::Rc;
@@ -21,13 +21,15 @@
 
 use super::Worker;
 use super::model::request_name;
+use super::worker::Job;
 use super::worker::Outcome;
-use super::worker::Work;
 
+/// Value of the `retry-after` header in seconds.
 const RETRY_AFTER_S: &str = "1";
+/// Deadline of a request without a valid `deadline-ms` header.
 const DEFAULT_DEADLINE: Duration = Duration::from_mins(1);
 
-/// Accepts connections for ever and serves each in its own task.
+/// Accepts connections, without end, and serves each in a task of its own.
 pub async fn accept(
     listener: Async<TcpListener>,
     executor: Rc<LocalExecutor<'static>>,
@@ -38,18 +40,18 @@
             continue;
         };
         let worker = Rc::clone(&worker);
-        let service = service_fn(move |request| handle(request, Rc::clone(&worker)));
+        let service = service_fn(move |request| respond(request, Rc::clone(&worker)));
         let connection = http1::Builder::new().serve_connection(FuturesIo::new(stream), service);
         executor
             .spawn(async move {
-                // A peer that closes early is not an error here.
+                // A client may close the connection early.
                 let _ = connection.await;
             })
             .detach();
     }
 }
 
-async fn handle(
+async fn respond(
     request: Request<Incoming>,
     worker: Rc<Worker>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
@@ -61,11 +63,11 @@
             worker.drain();
             status(StatusCode::NO_CONTENT)
         }
-        (Method::GET, "/health") if worker.reported().draining => {
+        (Method::GET, "/health") if worker.reported_load().draining => {
             status(StatusCode::SERVICE_UNAVAILABLE)
         }
         (Method::GET, "/health") => status(StatusCode::OK),
-        (Method::GET, "/load") => json(&worker.reported()),
+        (Method::GET, "/load") => json(&worker.reported_load()),
         (Method::GET, "/ledger") => json(&worker.ledger()),
         _ => status(StatusCode::NOT_FOUND),
     };
@@ -73,7 +75,7 @@
 }
 
 async fn run(request: Request<Incoming>, worker: &Rc<Worker>) -> Response<Full<Bytes>> {
-    let header = header(&request, "request-id");
+    let request_id = header(&request, "request-id");
     let idempotent = self::header(&request, "idempotent") == "true";
     let deadline = self::header(&request, "deadline-ms")
         .parse()
@@ -82,12 +84,12 @@
         return status(StatusCode::BAD_REQUEST);
     };
     let payload = body.to_bytes();
-    let work = Work {
-        name: request_name(&payload, &header),
+    let job = Job {
+        name: request_name(&payload, &request_id),
         idempotent,
         deadline,
     };
-    match worker.run(work).await {
+    match worker.run(job).await {
         Outcome::Finished => Response::new(Full::new(worker.answer(&payload).into())),
         Outcome::Shed => {
             let mut response = status(StatusCode::SERVICE_UNAVAILABLE);
@@ -95,7 +97,7 @@
             headers.insert("retry-after", http::HeaderValue::from_static(RETRY_AFTER_S));
             response
         }
-        Outcome::Late => status(StatusCode::GATEWAY_TIMEOUT),
+        Outcome::Expired => status(StatusCode::GATEWAY_TIMEOUT),
     }
 }
 
--- a/tools/standin/src/backend/model.rs
+++ b/tools/standin/src/backend/model.rs
@@ -1,4 +1,4 @@
-//! How a backend server behaves: slots, queue, speed, cold start, drain.
+//! Behaviour of a backend server: slots, queue, run time, cold start, answers.
 use std::time::Duration;
 
 /// Behaviour of a backend server.
@@ -6,23 +6,25 @@
 pub struct Settings {
     /// Name of the service, echoed in answers.
     pub service: String,
-    /// Requests run at a time.
+    /// Number of requests that run concurrently.
     pub slots: u32,
-    /// Requests that may wait for a slot; more are shed.
-    pub queue: u32,
-    /// Mean time that a request runs.
-    pub time: Duration,
-    /// Largest deviation from the mean, in percent of it.
-    pub spread: u32,
-    /// Length of the cold start.
-    pub cold: Duration,
-    /// Factor on the run time at the beginning of the cold start.
+    /// Number of requests that may wait for a slot; more are shed.
+    pub queue_limit: u32,
+    /// Mean run time of a request.
+    pub mean_time: Duration,
+    /// Largest deviation from the mean run time, in percent of it.
+    pub spread_percent: u32,
+    /// Duration of the cold start.
+    pub cold_start: Duration,
+    /// Factor on the run time at the beginning of the cold start; it falls
+    /// linearly to 1 until the end.
     pub cold_factor: u32,
-    /// Smallest size of an answer, in bytes.
-    pub answer: usize,
-    /// Age of what the health and load endpoints report.
-    pub lag: Duration,
-    /// Whether those endpoints always report an idle, healthy server.
+    /// Minimum size of an answer in bytes.
+    pub min_answer_bytes: usize,
+    /// Age of the state that the health and load endpoints report.
+    pub report_age: Duration,
+    /// Whether the health and load endpoints always report an idle, healthy
+    /// server.
     pub mislead: bool,
 }
 
@@ -31,38 +33,40 @@
         Self {
             service: "service".into(),
             slots: 4,
-            queue: 8,
-            time: Duration::from_millis(20),
-            spread: 50,
-            cold: Duration::ZERO,
+            queue_limit: 8,
+            mean_time: Duration::from_millis(20),
+            spread_percent: 50,
+            cold_start: Duration::ZERO,
             cold_factor: 4,
-            answer: 0,
-            lag: Duration::ZERO,
+            min_answer_bytes: 0,
+            report_age: Duration::ZERO,
             mislead: false,
         }
     }
 }
 
 impl Settings {
-    /// Time that a request started at `age` runs; `dice` is between 0 and 1.
+    /// Returns the run time of a request that starts when the server has run for
+    /// `age`; `uniform` is a random number from 0 to 1.
     #[must_use]
-    pub fn run_time(&self, age: Duration, dice: f64) -> Duration {
-        let spread = f64::from(self.spread) / 100.0;
-        let factor = 1.0 + spread * (2.0 * dice - 1.0);
-        self.time.mul_f64(factor.max(0.0) * self.cold_slowdown(age))
+    pub fn run_time(&self, age: Duration, uniform: f64) -> Duration {
+        let spread = f64::from(self.spread_percent) / 100.0;
+        let factor = 1.0 + spread * (2.0 * uniform - 1.0);
+        self.mean_time
+            .mul_f64(factor.max(0.0) * self.cold_slowdown(age))
     }
 
     fn cold_slowdown(&self, age: Duration) -> f64 {
-        if age >= self.cold {
+        if age >= self.cold_start {
             return 1.0;
         }
-        let left = 1.0 - age.as_secs_f64() / self.cold.as_secs_f64();
+        let left = 1.0 - age.as_secs_f64() / self.cold_start.as_secs_f64();
         1.0 + (f64::from(self.cold_factor) - 1.0) * left
     }
 }
 
-/// Builds the answer to a request: the service's name and a line break, then
-/// the payload, repeated until the answer has `size` bytes.
+/// Returns the answer to a request: the service's name and a line break, then
+/// the payload, which is repeated until the answer has at least `size` bytes.
 #[must_use]
 pub fn answer(service: &str, payload: &[u8], size: usize) -> Vec<u8> {
     let mut body = Vec::with_capacity(size.max(service.len() + 1 + payload.len()));
@@ -76,8 +80,8 @@
     body
 }
 
-/// The caller's own name of a request: the first line of its payload, or the
-/// `request-id` header where that is empty.
+/// Returns the caller's name of a request: the first line of its payload, or the
+/// `request-id` header if that line is empty or not UTF-8.
 #[must_use]
 pub fn request_name(payload: &[u8], header: &str) -> String {
     let line = payload.split(|byte| *byte == b'\n').next().unwrap_or(&[]);
--- a/tools/standin/src/platform/read.rs
+++ b/tools/standin/src/platform/read.rs
@@ -7,26 +7,26 @@
 use serde_json::Value;
 
 use super::answer;
-use super::fault::take;
+use super::fault::consume;
 use super::query::Query;
-use super::query::duration;
+use super::query::parse_duration;
 use super::route::Answer;
 use super::route::Platform;
-use super::state::under;
+use super::state::with_prefix;
 
-/// Longest wait of a watch that asks for none.
+/// Timeout of a watch that names none.
 const DEFAULT_WAIT: Duration = Duration::from_mins(5);
 
-/// Counts a waiting watch until dropped, also where its client leaves.
-struct Waiting<'a>(&'a Platform);
+/// Counts a watch as waiting until dropped, also when its client disconnects.
+struct WatchGuard<'a>(&'a Platform);
 
-impl Drop for Waiting<'_> {
+impl Drop for WatchGuard<'_> {
     fn drop(&mut self) {
         self.0.lock().calls.waiting -= 1;
     }
 }
 
-/// Answers a read of a key or prefix, once it is due.
+/// Answers a read of a key or prefix; a watch waits for a change first.
 pub(super) async fn answer(platform: &Platform, path: &str, query: &Query) -> Answer {
     let Some(key) = path.strip_prefix("/v1/kv/") else {
         return answer::status(StatusCode::NOT_FOUND);
@@ -35,19 +35,20 @@
         None | Some(0) => platform.lock().calls.reads += 1,
         Some(index) => {
             platform.lock().calls.watches += 1;
-            let timeout = query.get("wait").and_then(duration);
+            let timeout = query.get("wait").and_then(parse_duration);
             wait(platform, key, index, timeout.unwrap_or(DEFAULT_WAIT)).await;
         }
     }
     pairs(platform, key, query.get("recurse").is_some())
 }
 
+/// Returns a key, or with `recurse` all keys under a prefix.
 fn pairs(platform: &Platform, key: &str, recurse: bool) -> Answer {
     let mut state = platform.lock();
     let index = state.prefix_index(key);
-    let pairs: Vec<Value> = under(&state.readable(), key)
+    let pairs: Vec<Value> = with_prefix(&state.readable_pairs(), key)
         .filter(|(name, _)| recurse || *name == key)
-        .map(|(name, cell)| answer::pair(name, cell))
+        .map(|(name, pair)| answer::pair_json(name, pair))
         .collect();
     let status = if pairs.is_empty() {
         StatusCode::NOT_FOUND
@@ -57,20 +58,21 @@
     answer::json(status, index, &pairs)
 }
 
-/// Waits until something under `prefix` is newer than `index`.
+/// Waits until something under `prefix` is newer than `index`, at most for
+/// `timeout`.
 async fn wait(platform: &Platform, prefix: &str, index: u64, timeout: Duration) {
     platform.lock().calls.waiting += 1;
-    let _waiting = Waiting(platform);
+    let _guard = WatchGuard(platform);
     let changed = async {
         loop {
             let next = {
                 let mut state = platform.lock();
-                if take(&mut state.faults.repeat_events) || state.prefix_index(prefix) > index {
+                if consume(&mut state.faults.repeat_events) || state.prefix_index(prefix) > index {
                     return;
                 }
                 state.next_write()
             };
-            // Closed by the next write.
+            // The next write closes the channel.
             let _ = next.recv().await;
         }
     };
--- a/tools/standin/src/platform/session.rs
+++ b/tools/standin/src/platform/session.rs
@@ -1,22 +1,24 @@
-//! Sessions: leases by another name.
+//! Sessions, Consul's term for leases: each ends unless it is renewed in time.
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Sessions by id. Times count from an arbitrary origin.
+/// Sessions by id. Times are relative to an arbitrary origin.
 #[derive(Clone, Debug, Default)]
 pub struct Sessions {
-    ends: BTreeMap<String, Session>,
+    by_id: BTreeMap<String, Session>,
+    /// Number of sessions created so far.
     created: u64,
 }
 
+/// Time to live of a session, and when it expires unless renewed.
 #[derive(Clone, Copy, Debug)]
 struct Session {
     ttl: Duration,
-    end: Duration,
+    expires_at: Duration,
 }
 
 impl Sessions {
-    /// Starts a session and returns its id.
+    /// Creates a session and returns its id.
     pub fn create(&mut self, ttl: Duration, now: Duration) -> String {
         self.created += 1;
         let id = format!(
@@ -24,43 +26,46 @@
             fastrand::u32(..),
             self.created
         );
-        let end = now + ttl;
-        self.ends.insert(id.clone(), Session { ttl, end });
+        let expires_at = now + ttl;
+        self.by_id.insert(id.clone(), Session { ttl, expires_at });
         id
     }
 
-    /// Renews a session; false where it has ended.
+    /// Renews a session; returns false if it has ended.
     pub fn renew(&mut self, id: &str, now: Duration) -> bool {
-        match self.ends.get_mut(id) {
+        match self.by_id.get_mut(id) {
             Some(session) => {
-                session.end = now + session.ttl;
+                session.expires_at = now + session.ttl;
                 true
             }
             None => false,
         }
     }
 
-    /// Whether the session is there.
+    /// Returns whether the session exists.
     #[must_use]
     pub fn contains(&self, id: &str) -> bool {
-        self.ends.contains_key(id)
+        self.by_id.contains_key(id)
     }
 
-    /// Ends a session; false where it had ended.
+    /// Ends a session; returns false if it had ended before.
     pub fn destroy(&mut self, id: &str) -> bool {
-        self.ends.remove(id).is_some()
+        self.by_id.remove(id).is_some()
     }
 
-    /// Sessions whose time is over.
+    /// Returns the ids of the sessions that have expired.
     #[must_use]
-    pub fn due(&self, now: Duration) -> Vec<String> {
-        let due = self.ends.iter().filter(|(_, session)| session.end <= now);
-        due.map(|(id, _)| id.clone()).collect()
+    pub fn expired(&self, now: Duration) -> Vec<String> {
+        let expired = self
+            .by_id
+            .iter()
+            .filter(|(_, session)| session.expires_at <= now);
+        expired.map(|(id, _)| id.clone()).collect()
     }
 
-    /// All sessions.
+    /// Returns the ids of all sessions.
     #[must_use]
     pub fn ids(&self) -> Vec<String> {
-        self.ends.keys().cloned().collect()
+        self.by_id.keys().cloned().collect()
     }
 }
--- a/tools/standin/src/platform/write.rs
+++ b/tools/standin/src/platform/write.rs
@@ -1,4 +1,4 @@
-//! Sessions, locks and transactions.
+//! Requests that write: sessions, locks and transactions.
 use std::time::Duration;
 
 use http::StatusCode;
@@ -9,12 +9,12 @@
 use super::answer::OperationRequest;
 use super::answer::SessionRequest;
 use super::query::Query;
-use super::query::duration;
+use super::query::parse_duration;
 use super::route::Answer;
 use super::state::Operation;
 use super::state::State;
 
-/// Applies a request that changes something.
+/// Applies a request that writes, and answers it.
 pub(super) fn answer(
     state: &mut State,
     now: Duration,
@@ -49,9 +49,10 @@
     }
 }
 
+/// Creates a session.
 fn create(state: &mut State, now: Duration, body: &[u8]) -> Answer {
     let request = serde_json::from_slice::<SessionRequest>(body).ok();
-    match request.and_then(|request| duration(&request.ttl)) {
+    match request.and_then(|request| parse_duration(&request.ttl)) {
         Some(ttl) => {
             let id = state.sessions.create(ttl, now);
             answer::json(StatusCode::OK, 1, &json!({ "ID": id }))
@@ -60,13 +61,16 @@
     }
 }
 
+/// Applies a transaction.
 fn transact(state: &mut State, body: &[u8]) -> Answer {
     let requests: Vec<OperationRequest> = match serde_json::from_slice(body) {
         Ok(requests) => requests,
         Err(_) => return answer::status(StatusCode::BAD_REQUEST),
     };
-    let operations: Option<Vec<Operation>> =
-        requests.into_iter().map(OperationRequest::read).collect();
+    let operations: Option<Vec<Operation>> = requests
+        .into_iter()
+        .map(OperationRequest::into_operation)
+        .collect();
     let Some(operations) = operations else {
         return answer::status(StatusCode::BAD_REQUEST);
     };
@@ -79,8 +83,8 @@
         Ok(keys) => {
             let results: Vec<Value> = keys
                 .iter()
-                .filter_map(|key| Some((key, state.cells.get(key)?)))
-                .map(|(key, cell)| json!({ "KV": answer::pair(key, cell) }))
+                .filter_map(|key| Some((key, state.pairs.get(key)?)))
+                .map(|(key, pair)| json!({ "KV": answer::pair_json(key, pair) }))
                 .collect();
             answer::json(
                 StatusCode::OK,
--- a/tools/standin/tests/audit.rs
+++ b/tools/standin/tests/audit.rs
@@ -1,8 +1,10 @@
-//! Reports held against ledgers.
+//! Tests of the audit, which compares reports with ledgers.
 use standin::audit::Finding;
 use standin::audit::Report;
 use standin::backend::Ledger;
 
+/// Creates a ledger with one finished run of each name; a name that starts with
+/// `i` is idempotent.
 fn ledger(slots: u32, busy_ms: u64, runs: &[&str]) -> Ledger {
     let mut ledger = Ledger::new("roster".into(), slots);
     ledger.busy_ms = busy_ms;
@@ -13,6 +15,7 @@
     ledger
 }
 
+/// Creates a report without a violation.
 fn report() -> Report {
     Report {
         service: "roster".into(),
@@ -23,45 +26,45 @@
 }
 
 #[test]
-fn kept_promises_are_not_broken() {
+fn consistent_report_violates_no_guarantee() {
     let ledgers = [ledger(4, 0, &["a", "b"]), ledger(4, 0, &["c"])];
     let finding = Finding::new(report(), &ledgers);
-    assert!(!finding.is_broken(), "{finding:?}");
+    assert!(!finding.has_violation(), "{finding:?}");
 }
 
 #[test]
-fn second_run_on_another_server_is_found() {
+fn second_run_on_another_server_is_detected() {
     let ledgers = [ledger(4, 0, &["a", "b"]), ledger(4, 0, &["b"])];
     let finding = Finding::new(report(), &ledgers);
     assert_eq!(finding.run_twice, 1);
-    assert!(finding.is_broken());
+    assert!(finding.has_violation());
 }
 
 #[test]
 fn idempotent_request_may_run_twice() {
     let ledgers = [ledger(4, 0, &["i1"]), ledger(4, 0, &["i1"])];
-    assert!(!Finding::new(report(), &ledgers).is_broken());
+    assert!(!Finding::new(report(), &ledgers).has_violation());
 }
 
 #[test]
-fn run_after_not_run_is_found() {
+fn run_of_a_request_refused_as_not_run_is_detected() {
     let report = Report {
         not_run: vec!["a".into(), "z".into()],
         ..report()
     };
     let finding = Finding::new(report, &[ledger(4, 0, &["a"])]);
     assert_eq!(finding.ran_refused, 1);
-    assert!(finding.is_broken());
+    assert!(finding.has_violation());
 }
 
-/// A report with one broken promise.
-fn is_broken(change: fn(&mut Report)) {
+/// Asserts that a report is found broken after one change.
+fn violates_a_guarantee(change: fn(&mut Report)) {
     let mut report = report();
     change(&mut report);
-    assert!(Finding::new(report, &[]).is_broken());
+    assert!(Finding::new(report, &[]).has_violation());
 }
 
-cases::cases! { is_broken;
+cases::cases! { violates_a_guarantee;
     lost_operation: |report| report.lost = 1,
     wrong_service: |report| report.wrong_service = 1,
     mismatched_answer: |report| report.mismatched = 1,
