--- a/coordination/config/src/change.rs
+++ b/coordination/config/src/change.rs
@@ -43,14 +43,14 @@
 use wire::Revision;
 
 use crate::Fault;
-use crate::Item;
+use crate::KeyValue;
 use crate::OperationId;
 use crate::Problem;
 use crate::Record;
 use crate::Service;
 use crate::State;
 use crate::Update;
-use crate::diff::Line;
+use crate::diff::Difference;
 use crate::diff::diff;
 use crate::jitter::jitter;
 use crate::key;
@@ -98,7 +98,7 @@
     value: Vec<u8>,
     /// Revision that the write replaces; 0 for a new service.
     base: Revision,
-    differences: Vec<Line>,
+    differences: Vec<Difference>,
 }
 
 impl Change {
@@ -125,7 +125,7 @@
     }
 
     /// Handles the answer to [`Action::Read`] and returns the next action.
-    pub fn on_read(&mut self, answer: Result<Option<Item>, Fault>) -> Action {
+    pub fn on_read(&mut self, answer: Result<Option<KeyValue>, Fault>) -> Action {
         let item = match answer {
             Ok(item) => item,
             Err(fault) => return self.unavailable(fault),
@@ -352,7 +352,7 @@
 }
 
 impl Current {
-    fn decode(item: &Item) -> Result<Self, Problem> {
+    fn decode(item: &KeyValue) -> Result<Self, Problem> {
         Ok(Self {
             record: Some(Record::from_json(&item.value)?),
             revision: item.revision,
--- a/coordination/config/src/change/outcome.rs
+++ b/coordination/config/src/change/outcome.rs
@@ -7,7 +7,7 @@
 use crate::OperationId;
 use crate::Problem;
 use crate::Update;
-use crate::diff::Line;
+use crate::diff::Difference;
 
 /// The next call to make for the service's key, or the outcome.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -43,7 +43,7 @@
         /// Current revision in the store, if a later write replaced that record.
         replaced_by: Option<Revision>,
         /// Fields changed; empty if an earlier attempt wrote the change.
-        differences: Vec<Line>,
+        differences: Vec<Difference>,
         /// The stored configuration, to be gossiped at once: the store may fail
         /// before any entry has read it.
         latest: Box<Update>,
@@ -53,7 +53,7 @@
         /// Revision that the change would replace; 0 for a new service.
         revision: Revision,
         /// Fields that would change.
-        differences: Vec<Line>,
+        differences: Vec<Difference>,
     },
     /// The stored revision differs from the expected one.
     Conflict {
--- a/coordination/config/src/diff.rs
+++ b/coordination/config/src/diff.rs
@@ -9,7 +9,7 @@
 
 /// A field that differs between two configurations.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Line {
+pub struct Difference {
     /// Name of the field in JSON, with its unit.
     pub field: String,
     /// Earlier value as JSON; empty if there was none.
@@ -18,7 +18,7 @@
     pub after: String,
 }
 
-impl Display for Line {
+impl Display for Difference {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         write!(f, "{}: {} -> {}", self.field, self.before, self.after)
     }
@@ -27,7 +27,7 @@
 /// Returns the fields of `after` that differ from `before`, except the
 /// operation id.
 #[must_use]
-pub fn diff(before: Option<&Service>, after: &Service) -> Vec<Line> {
+pub fn diff(before: Option<&Service>, after: &Service) -> Vec<Difference> {
     let before = before.map_or(Value::Null, to_value);
     let Value::Object(fields) = to_value(after) else {
         return Vec::new();
@@ -35,7 +35,7 @@
     fields
         .into_iter()
         .filter(|(field, value)| field != "operation" && before.get(field) != Some(value))
-        .map(|(field, value)| Line {
+        .map(|(field, value)| Difference {
             before: before
                 .get(&field)
                 .map_or_else(String::new, Value::to_string),
--- a/coordination/config/src/fault.rs
+++ b/coordination/config/src/fault.rs
@@ -22,7 +22,7 @@
     /// the key was changed by another write since it was read; read it again
     Conflict,
     /// the lease has expired; acquire a new one
-    Lapsed,
+    Expired,
     /// the store's answer cannot be decoded; check that its protocol is supported
     Malformed,
     /// the store rejected the call with status {status}; check key, size and permissions
@@ -40,7 +40,7 @@
             Self::Failed { maybe_applied, .. } | Self::Lost { maybe_applied } => maybe_applied,
             Self::Unreachable
             | Self::Conflict
-            | Self::Lapsed
+            | Self::Expired
             | Self::Malformed
             | Self::Rejected { .. } => false,
         }
--- a/coordination/config/src/feed.rs
+++ b/coordination/config/src/feed.rs
@@ -139,7 +139,7 @@
             Step::ListMarkers => key::MARKER_PREFIX.to_owned(),
             Step::ListAll => {
                 self.counts.relists += 1;
-                key::SERVICES.to_owned()
+                key::SERVICE_PREFIX.to_owned()
             }
             Step::ListBucket(bucket) => {
                 self.counts.lists += 1;
--- a/coordination/config/src/follow.rs
+++ b/coordination/config/src/follower.rs
@@ -10,7 +10,7 @@
 use wire::Revision;
 
 use crate::Fault;
-use crate::Item;
+use crate::KeyValue;
 use crate::Listing;
 
 /// Settings of a follower of one key.
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// Answer to [`Action::Read`].
-    Read(Result<Option<Item>, Fault>),
+    Read(Result<Option<KeyValue>, Fault>),
     /// Answer to [`Action::Watch`].
     Watched(Result<Listing, Fault>),
 }
@@ -65,16 +65,16 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Outcome {
     /// The key's value, if newer than the last one returned.
-    pub value: Option<Item>,
+    pub value: Option<KeyValue>,
     /// Time to wait before the next call.
     pub pause: Duration,
     /// Set if the store became unreachable or reachable again.
-    pub change: Option<Change>,
+    pub reachability: Option<Reachability>,
 }
 
 /// A change of the store's reachability.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Change {
+pub enum Reachability {
     /// Calls have started to fail, first with this fault.
     Lost(Fault),
     /// Calls succeed again.
@@ -83,7 +83,7 @@
 
 /// State machine that follows one key.
 #[derive(Debug)]
-pub struct Follow {
+pub struct Follower {
     settings: Settings,
     key: String,
     /// Revision of the newest value; 0 before the first value.
@@ -97,7 +97,7 @@
     last_answer: Option<Duration>,
 }
 
-impl Follow {
+impl Follower {
     /// Creates a follower of `key`; `seed` determines the backoff's jitter.
     #[must_use]
     pub fn new(settings: Settings, key: impl Into<String>, seed: u64) -> Self {
@@ -160,9 +160,9 @@
         }
     }
 
-    fn on_answer(&mut self, now: Duration, item: Option<Item>, pause: Duration) -> Outcome {
+    fn on_answer(&mut self, now: Duration, item: Option<KeyValue>, pause: Duration) -> Outcome {
         self.last_answer = Some(now);
-        let change = self.backoff.take().map(|_| Change::Regained);
+        let change = self.backoff.take().map(|_| Reachability::Regained);
         let value = item.filter(|item| item.revision > self.newest);
         if let Some(item) = &value {
             self.newest = item.revision;
@@ -170,14 +170,14 @@
         Outcome {
             value,
             pause,
-            change,
+            reachability: change,
         }
     }
 
     fn on_fault(&mut self, fault: Fault) -> Outcome {
         self.since = None;
         let change = match self.backoff {
-            None => Some(Change::Lost(fault)),
+            None => Some(Reachability::Lost(fault)),
             Some(_) => None,
         };
         let (settings, seed) = (self.settings.backoff, self.seed);
@@ -187,7 +187,7 @@
         Outcome {
             value: None,
             pause: backoff.next_pause(),
-            change,
+            reachability: change,
         }
     }
 }
--- a/coordination/config/src/key.rs
+++ b/coordination/config/src/key.rs
@@ -13,7 +13,7 @@
 pub const BUCKETS: u8 = 128;
 
 /// Prefix of the keys of all services.
-pub const SERVICES: &str = "greengagelug/service/";
+pub const SERVICE_PREFIX: &str = "greengagelug/service/";
 
 /// Prefix of the change markers of all buckets.
 pub const MARKER_PREFIX: &str = "greengagelug/changed/";
@@ -37,7 +37,7 @@
 /// Returns the prefix of the keys of a bucket's services.
 #[must_use]
 pub fn bucket_prefix(bucket: Bucket) -> String {
-    format!("{SERVICES}{bucket:02x}/")
+    format!("{SERVICE_PREFIX}{bucket:02x}/")
 }
 
 /// Returns the key of a bucket's change marker, which every write of a service
@@ -57,7 +57,7 @@
 /// Returns the bucket of a service's key.
 #[must_use]
 pub fn service_bucket(key: &str) -> Option<Bucket> {
-    let (bucket, _) = key.strip_prefix(SERVICES)?.split_once('/')?;
+    let (bucket, _) = key.strip_prefix(SERVICE_PREFIX)?.split_once('/')?;
     let bucket = Bucket::from_str_radix(bucket, 16).ok()?;
     (bucket < BUCKETS).then_some(bucket)
 }
--- a/coordination/config/src/lease.rs
+++ b/coordination/config/src/lease.rs
@@ -293,7 +293,7 @@
                     ..held
                 });
             }
-            (Err(Fault::Lapsed), _) => self.set_idle(now),
+            (Err(Fault::Expired), _) => self.set_idle(now),
             _ => {
                 let renewal_due = now + self.backoff.next_pause();
                 self.state = State::Held(Held {
--- a/coordination/config/src/item.rs
+++ b/coordination/config/src/listing.rs
@@ -6,7 +6,7 @@
 
 /// A key of the store with its value.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Item {
+pub struct KeyValue {
     /// The key.
     pub key: String,
     /// The value.
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Listing {
     /// The keys, in no particular order.
-    pub items: Vec<Item>,
+    pub items: Vec<KeyValue>,
     /// Index from which to watch for the next change.
     pub index: Revision,
 }
--- a/coordination/config/src/record.rs
+++ b/coordination/config/src/record.rs
@@ -3,7 +3,7 @@
 use serde::Serialize;
 use wire::Revision;
 
-use crate::Item;
+use crate::KeyValue;
 use crate::OperationId;
 use crate::Problem;
 use crate::Service;
@@ -84,7 +84,7 @@
     ///
     /// Returns the first [`Problem`]; the caller should keep the configuration in
     /// force and count the record as malformed.
-    pub fn from_item(item: &Item) -> Result<Self, Problem> {
+    pub fn from_item(item: &KeyValue) -> Result<Self, Problem> {
         let record = Self::from_json(&item.value)?;
         if item.key != key::service(record.service.address) {
             return Err(Problem::WrongKey);
--- a/coordination/config/src/presence.rs
+++ b/coordination/config/src/registration.rs
@@ -70,7 +70,7 @@
 
 /// State machine that keeps a process registered.
 #[derive(Debug)]
-pub struct Presence {
+pub struct Registration {
     settings: Settings,
     key: String,
     lease: Option<LeaseId>,
@@ -84,7 +84,7 @@
     backoff: Option<Backoff>,
 }
 
-impl Presence {
+impl Registration {
     /// Creates the state machine that registers a process under `key`; `seed`
     /// determines the backoff's jitter.
     #[must_use]
@@ -164,7 +164,7 @@
     fn on_result(&mut self, now: Duration, result: Result<(), Fault>) {
         match result {
             Ok(()) => self.backoff = None,
-            Err(Fault::Lapsed) => self.lease = None,
+            Err(Fault::Expired) => self.lease = None,
             Err(_) => {
                 let (settings, seed) = (self.settings.backoff, self.seed);
                 let backoff = self
--- a/coordination/config/tests/faulty_store/mod.rs
+++ b/coordination/config/tests/faulty_store/mod.rs
@@ -1,7 +1,7 @@
 //! In-memory store whose calls fail as a test prescribes.
 use config::Change;
 use config::Fault;
-use config::Item;
+use config::KeyValue;
 use config::Record;
 use config::Service;
 use config::Update;
@@ -32,9 +32,9 @@
 #[derive(Debug, Default)]
 pub struct Store {
     /// All versions of the key, oldest first.
-    pub versions: Vec<Item>,
+    pub versions: Vec<KeyValue>,
     /// Writes to be applied later.
-    delayed: Vec<Item>,
+    delayed: Vec<KeyValue>,
 }
 
 impl Store {
@@ -60,7 +60,7 @@
                 expected,
                 ..
             } => {
-                let item = Item {
+                let item = KeyValue {
                     key,
                     value,
                     revision: expected,
@@ -104,7 +104,7 @@
         })
     }
 
-    fn read(&self, failure: Failure) -> Result<Option<Item>, Fault> {
+    fn read(&self, failure: Failure) -> Result<Option<KeyValue>, Fault> {
         let skip = match failure {
             Failure::None => 0,
             Failure::Stale => 1,
@@ -118,7 +118,7 @@
         Ok(self.versions.iter().rev().nth(skip).cloned())
     }
 
-    fn write(&mut self, item: Item, failure: Failure) -> Result<Revision, Fault> {
+    fn write(&mut self, item: KeyValue, failure: Failure) -> Result<Revision, Fault> {
         match failure {
             Failure::None | Failure::Stale => return self.swap(item),
             Failure::Unreachable => return Err(Fault::Unreachable),
@@ -132,12 +132,12 @@
     }
 
     /// Writes the item if the key still has the item's revision.
-    fn swap(&mut self, item: Item) -> Result<Revision, Fault> {
+    fn swap(&mut self, item: KeyValue) -> Result<Revision, Fault> {
         if item.revision != self.revision() {
             return Err(Fault::Conflict);
         }
         let revision = item.revision + 1;
-        self.versions.push(Item { revision, ..item });
+        self.versions.push(KeyValue { revision, ..item });
         Ok(revision)
     }
 }
--- a/coordination/config/tests/feed.rs
+++ b/coordination/config/tests/feed.rs
@@ -5,7 +5,7 @@
 
 use config::Fault;
 use config::Feed;
-use config::Item;
+use config::KeyValue;
 use config::Listing;
 use config::Record;
 use config::Service;
@@ -21,7 +21,7 @@
 const SERVICES: u16 = 4;
 
 /// Successive states of a store, oldest first.
-struct Store(Vec<HashMap<String, Item>>);
+struct Store(Vec<HashMap<String, KeyValue>>);
 
 /// A call of the feed in flight.
 #[derive(Clone, Debug)]
@@ -71,7 +71,7 @@
             (key::service(address(number)), value),
             (key::change_marker(bucket), Vec::new()),
         ] {
-            let item = Item {
+            let item = KeyValue {
                 key: key.clone(),
                 value,
                 revision,
@@ -81,7 +81,7 @@
         self.0.push(state);
     }
 
-    fn latest(&self) -> &HashMap<String, Item> {
+    fn latest(&self) -> &HashMap<String, KeyValue> {
         self.0.last().expect("a state")
     }
 
@@ -92,7 +92,7 @@
             Reply::Fault(fault) => return Err(fault),
         };
         let position = self.0.len().saturating_sub(1 + back);
-        let items: Vec<Item> = self.0[position]
+        let items: Vec<KeyValue> = self.0[position]
             .values()
             .filter(|item| item.key.starts_with(&call.prefix))
             .cloned()
@@ -369,7 +369,7 @@
 
 /// A record that cannot be used must not replace the one in force, and the next
 /// valid record must be read.
-fn is_skipped(corrupt: fn(&mut Item)) {
+fn is_skipped(corrupt: fn(&mut KeyValue)) {
     let mut fixture = Fixture::new();
     fixture.store.write(1);
     fixture.run_until_caught_up();
@@ -384,7 +384,7 @@
     fixture.assert_latest();
 }
 
-fn replace(item: &mut Item, from: &str, to: &str) {
+fn replace(item: &mut KeyValue, from: &str, to: &str) {
     let text = String::from_utf8(item.value.clone()).expect("text");
     assert!(text.contains(from), "{text}");
     item.value = text.replace(from, to).into_bytes();
--- a/coordination/config/tests/follow.rs
+++ b/coordination/config/tests/follow.rs
@@ -2,13 +2,13 @@
 use std::time::Duration;
 
 use config::Fault;
-use config::Follow;
-use config::Item;
+use config::Follower;
+use config::KeyValue;
 use config::Listing;
-use config::follow::Action;
-use config::follow::Change;
-use config::follow::Event;
-use config::follow::Settings;
+use config::follower::Action;
+use config::follower::Event;
+use config::follower::Reachability;
+use config::follower::Settings;
 
 const KEY: &str = "settings";
 
@@ -16,16 +16,16 @@
     Duration::from_millis(millis)
 }
 
-fn item(revision: u64) -> Item {
-    Item {
+fn item(revision: u64) -> KeyValue {
+    KeyValue {
         key: KEY.to_owned(),
         value: revision.to_string().into_bytes(),
         revision,
     }
 }
 
-fn follower() -> Follow {
-    Follow::new(Settings::default(), KEY, 1)
+fn follower() -> Follower {
+    Follower::new(Settings::default(), KEY, 1)
 }
 
 fn changed(revision: u64) -> Event {
@@ -43,7 +43,7 @@
 }
 
 /// Returns a follower that has read revision 5.
-fn follower_at_5() -> Follow {
+fn follower_at_5() -> Follower {
     let mut follower = follower();
     assert_eq!(follower.next(), Action::Read);
     let outcome = follower.handle(ms(0), Event::Read(Ok(Some(item(5)))));
@@ -52,7 +52,7 @@
 }
 
 /// Returns the index after which the follower watches, or `None` if it reads.
-fn watched_since(follower: &Follow) -> Option<u64> {
+fn watched_since(follower: &Follower) -> Option<u64> {
     match follower.next() {
         Action::Watch { since, .. } => Some(since),
         Action::Read => None,
@@ -93,7 +93,10 @@
 fn a_failed_watch_is_followed_by_a_read() {
     let mut follower = follower_at_5();
     let outcome = follower.handle(ms(1), Event::Watched(Err(Fault::Malformed)));
-    assert_eq!(outcome.change, Some(Change::Lost(Fault::Malformed)));
+    assert_eq!(
+        outcome.reachability,
+        Some(Reachability::Lost(Fault::Malformed))
+    );
     assert!(outcome.pause > Duration::ZERO);
     assert_eq!(follower.next(), Action::Read);
 }
@@ -110,10 +113,10 @@
     assert!(longest > settings.backoff.max / 2 && longest <= settings.backoff.max);
     let back = follower.handle(ms(2), Event::Read(Ok(Some(item(5)))));
     assert_eq!(
-        (back.change, back.pause),
-        (Some(Change::Regained), Duration::ZERO)
+        (back.reachability, back.pause),
+        (Some(Reachability::Regained), Duration::ZERO)
     );
-    assert_eq!(follower.handle(ms(3), unchanged(6)).change, None);
+    assert_eq!(follower.handle(ms(3), unchanged(6)).reachability, None);
 }
 
 #[test]
--- a/coordination/config/tests/lease.rs
+++ b/coordination/config/tests/lease.rs
@@ -2,7 +2,7 @@
 use std::time::Duration;
 
 use config::Fault;
-use config::Item;
+use config::KeyValue;
 use config::Lease;
 use config::Listing;
 use config::lease::Action;
@@ -34,7 +34,7 @@
 
 /// Returns a listing of the given keys, which are held by others.
 fn listing_of(keys: &[&str]) -> Listing {
-    let item = |key: &&str| Item {
+    let item = |key: &&str| KeyValue {
         key: (*key).to_owned(),
         value: Vec::new(),
         revision: 1,
@@ -124,7 +124,7 @@
 fn a_lease_that_the_store_reports_expired_is_not_held() {
     let mut lease = held_lease(SECOND);
     let renew = single(lease.tick(5 * SECOND));
-    lease.on_answer(5 * SECOND, renew.id, Answer::Renewed(Err(Fault::Lapsed)));
+    lease.on_answer(5 * SECOND, renew.id, Answer::Renewed(Err(Fault::Expired)));
     assert!(!lease.holds(5 * SECOND));
 }
 
@@ -136,7 +136,7 @@
     let renew = single(lease.tick(5 * SECOND));
     lease.tick(60 * SECOND);
     let mut lease = acquire(lease, 60 * SECOND);
-    lease.on_answer(60 * SECOND, renew.id, Answer::Renewed(Err(Fault::Lapsed)));
+    lease.on_answer(60 * SECOND, renew.id, Answer::Renewed(Err(Fault::Expired)));
     assert!(lease.holds(60 * SECOND));
 }
 
--- a/coordination/config/tests/presence.rs
+++ b/coordination/config/tests/presence.rs
@@ -2,12 +2,12 @@
 use std::time::Duration;
 
 use config::Fault;
-use config::Item;
+use config::KeyValue;
 use config::Listing;
-use config::Presence;
-use config::presence::Action;
-use config::presence::Event;
-use config::presence::Settings;
+use config::Registration;
+use config::registration::Action;
+use config::registration::Event;
+use config::registration::Settings;
 
 const OWN: &str = "entries/own";
 
@@ -16,7 +16,7 @@
 }
 
 fn listing(keys: &[&str]) -> Listing {
-    let item = |key: &&str| Item {
+    let item = |key: &&str| KeyValue {
         key: (*key).to_owned(),
         value: Vec::new(),
         revision: 1,
@@ -33,8 +33,8 @@
 }
 
 /// Returns a process that registered at the start.
-fn registered_process() -> Presence {
-    let mut registration = Presence::new(Settings::default(), OWN, 1, ms(0));
+fn registered_process() -> Registration {
+    let mut registration = Registration::new(Settings::default(), OWN, 1, ms(0));
     assert_eq!(registration.next(ms(0)), Action::List);
     registration.handle(ms(0), listed(&["entries/other"]));
     assert_eq!(
@@ -53,7 +53,7 @@
 
 #[test]
 fn a_list_returns_the_registered_keys() {
-    let mut registration = Presence::new(Settings::default(), OWN, 1, ms(0));
+    let mut registration = Registration::new(Settings::default(), OWN, 1, ms(0));
     let keys = registration.handle(ms(0), listed(&["entries/a", "entries/b"]));
     assert_eq!(keys, ["entries/a", "entries/b"]);
 }
@@ -84,7 +84,7 @@
 #[test]
 fn an_expired_lease_is_replaced() {
     let mut registration = registered_process();
-    registration.handle(ms(5), Event::Renewed(Err(Fault::Lapsed)));
+    registration.handle(ms(5), Event::Renewed(Err(Fault::Expired)));
     assert_eq!(
         registration.next(ms(5)),
         Action::Grant(Settings::default().ttl)
@@ -115,7 +115,7 @@
                 ms(4)
             }
             Action::Renew(_) => {
-                registration.handle(now, Event::Renewed(Err(Fault::Lapsed)));
+                registration.handle(now, Event::Renewed(Err(Fault::Expired)));
                 ms(4)
             }
             Action::Grant(_) => {
@@ -123,7 +123,7 @@
                 ms(4)
             }
             Action::Acquire(lease) if lease == "lease" => {
-                registration.handle(now, Event::Acquired(Err(Fault::Lapsed)));
+                registration.handle(now, Event::Acquired(Err(Fault::Expired)));
                 ms(4)
             }
             Action::Acquire(_) => {
@@ -142,7 +142,7 @@
 /// kept and the key acquired again under it.
 #[test]
 fn an_acquisition_is_repeated_after_a_lost_answer() {
-    let mut registration = Presence::new(Settings::default(), OWN, 1, ms(0));
+    let mut registration = Registration::new(Settings::default(), OWN, 1, ms(0));
     registration.handle(ms(0), listed(&[]));
     registration.handle(ms(1), Event::Granted(Ok("lease".to_owned())));
     let lost = Fault::Lost {
--- a/coordination/config/tests/reader.rs
+++ b/coordination/config/tests/reader.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use config::Fault;
-use config::Item;
+use config::KeyValue;
 use config::LeaseId;
 use config::Listing;
 use config::Reader;
@@ -28,7 +28,7 @@
 /// A store that grants leases.
 #[derive(Default)]
 struct Store {
-    items: BTreeMap<String, Item>,
+    items: BTreeMap<String, KeyValue>,
     /// Expiry of each lease.
     leases: HashMap<LeaseId, Duration>,
     /// Lease that holds each acquired key.
@@ -56,7 +56,7 @@
     }
 
     fn insert(&mut self, key: String, value: Vec<u8>) {
-        let item = Item {
+        let item = KeyValue {
             key: key.clone(),
             value,
             revision: self.revision,
@@ -78,7 +78,7 @@
         if self.down {
             return Err(Fault::Unreachable);
         }
-        let items: Vec<Item> = self
+        let items: Vec<KeyValue> = self
             .items
             .values()
             .filter(|item| item.key.starts_with(prefix))
@@ -122,7 +122,7 @@
                     *end = now + ttl;
                     Some(Answer::Renewed(Ok(())))
                 }
-                None => Some(Answer::Renewed(Err(Fault::Lapsed))),
+                None => Some(Answer::Renewed(Err(Fault::Expired))),
             },
             Call::Revoke { lease } => {
                 self.leases.remove(&lease);
--- a/coordination/member/src/announcer.rs
+++ b/coordination/member/src/announcer.rs
@@ -120,7 +120,7 @@
 
     /// Adds entries that may become watchers. The next heartbeat is due at once
     /// if no watcher has answered yet.
-    pub fn know(&mut self, now: Duration, entries: &[SocketAddr]) {
+    pub fn add_entries(&mut self, now: Duration, entries: &[SocketAddr]) {
         if self.watchers.add_seeds(now, entries, &mut self.rng) {
             self.next_heartbeat = now;
         }
@@ -160,7 +160,7 @@
     /// Raises the incarnation above the newest one known for the same backend
     /// server. Only for a process that is the only one beside this backend
     /// server and whose clock went back.
-    pub fn outrank(&mut self, now: Duration) {
+    pub fn raise_incarnation(&mut self, now: Duration) {
         if let Some(successor) = self.successor.take() {
             self.target.incarnation = successor + 1;
             self.bump_version(now);
@@ -169,7 +169,7 @@
 
     /// Returns whether nothing is left to announce after [`Self::leave`].
     #[must_use]
-    pub fn finished(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         let most_know = self.watchers.most_acknowledged(self.announced_sequence);
         self.departure_heartbeats
             .is_some_and(|left| left == 0 || (left < DEPARTURE_HEARTBEATS && most_know))
@@ -216,7 +216,7 @@
             None => self.settings.heartbeat_interval,
         };
         self.next_heartbeat = now + interval.mul_f64(1.0 - self.rng.f64() * JITTER);
-        if self.finished() {
+        if self.is_finished() {
             return;
         }
         self.departure_heartbeats = self.departure_heartbeats.map(|left| left - 1);
@@ -263,7 +263,7 @@
     }
 
     /// Returns whether the view has changed since the last call.
-    pub fn changed(&mut self) -> bool {
+    pub fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.view_changed)
     }
 
@@ -296,7 +296,7 @@
                 subject: Subject::Target(self.target.clone()),
                 sequence: self.sequence,
                 watchers: watchers.clone(),
-                observe: false,
+                to_observer: false,
                 digest,
                 parts,
             };
--- a/coordination/member/src/directory.rs
+++ b/coordination/member/src/directory.rs
@@ -183,7 +183,7 @@
             Some(held) if held.incarnation < entry.incarnation => self.forget_statements(key),
             _ => {}
         }
-        let live = !entry.left;
+        let live = !entry.has_left;
         self.entry_states.insert(key, EntryState { entry, live });
         self.generation += 1;
         self.entries_dirty = true;
@@ -284,7 +284,7 @@
                 address: entry.address,
                 zone: entry.zone,
                 incarnation: entry.incarnation,
-                has_left: entry.left,
+                has_left: entry.has_left,
             }),
             _ => None,
         }
--- a/coordination/member/src/directory/expiry.rs
+++ b/coordination/member/src/directory/expiry.rs
@@ -31,7 +31,7 @@
     /// have learned of the silence at other times.
     pub fn expire(&mut self, now: Duration, retention: Duration) -> Vec<Record> {
         let gone_entries = self.entry_states.iter().filter(|(_, state)| {
-            !state.live && (state.entry.left || !self.zones.is_lost(state.entry.zone))
+            !state.live && (state.entry.has_left || !self.zones.is_lost(state.entry.zone))
         });
         let gone: BTreeSet<Key> = gone_entries.map(|(key, _)| *key).collect();
         for key in &gone {
@@ -132,6 +132,6 @@
 pub fn entry_stamp(entry: &Entry) -> Stamp {
     Stamp {
         incarnation: entry.incarnation,
-        version: entry.left.into(),
+        version: entry.has_left.into(),
     }
 }
--- a/coordination/member/src/directory/verdict.rs
+++ b/coordination/member/src/directory/verdict.rs
@@ -88,7 +88,7 @@
         self.entries_dirty = false;
         let mut changed = Vec::new();
         for (key, state) in &self.entry_states {
-            let live = !state.entry.left
+            let live = !state.entry.has_left
                 && !self.zones.is_lost(state.entry.zone)
                 && !self
                     .statements
--- a/coordination/member/src/message.rs
+++ b/coordination/member/src/message.rs
@@ -76,7 +76,7 @@
     pub watchers: Vec<SocketAddr>,
     /// True if the receiver is not a watcher, but observes whether the zone
     /// of the process is reachable.
-    pub observe: bool,
+    pub to_observer: bool,
     /// Digest of the view that an agent has of its service.
     pub digest: Digest,
     /// Digests of the parts of that view, for one receiver whose last
@@ -133,7 +133,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Push {
     /// True if the receiver is to gossip the records further.
-    pub hot: bool,
+    pub is_rumor: bool,
     /// The records.
     pub records: Vec<Record>,
 }
--- a/coordination/member/src/record.rs
+++ b/coordination/member/src/record.rs
@@ -41,7 +41,7 @@
     /// Start time of the process; orders its statements.
     pub incarnation: Incarnation,
     /// True once the process has announced its departure.
-    pub left: bool,
+    pub has_left: bool,
 }
 
 /// Statement of one watcher about one process.
@@ -113,7 +113,7 @@
     pub const fn position(&self) -> Position {
         Position {
             incarnation: self.incarnation,
-            version: self.left as u64,
+            version: self.has_left as u64,
             silent: false,
         }
     }
--- a/coordination/member/src/registry.rs
+++ b/coordination/member/src/registry.rs
@@ -197,15 +197,15 @@
 
     /// Merges a service configuration read from the platform's store; returns
     /// whether it is newer than the held one.
-    pub fn put(&mut self, _now: Duration, service: Service) -> bool {
+    pub fn put_service(&mut self, _now: Duration, service: Service) -> bool {
         self.publish(&Record::Service(service))
     }
 
     /// Requests a service that is not held yet from peers. The rest of the
     /// directory follows by anti-entropy, within the budget.
-    pub fn need(&mut self, now: Duration, address: ServiceAddress) {
+    pub fn request_service(&mut self, now: Duration, address: ServiceAddress) {
         let is_held = self
-            .service(&address)
+            .view(&address)
             .is_some_and(|view| view.config.is_some());
         if is_held || self.service_requests.len() >= anti_entropy::MAX_SERVICE_REQUESTS {
             return;
@@ -233,7 +233,7 @@
             Message::Heartbeat(heartbeat) => self.receive_heartbeat(now, from, heartbeat, actions),
             Message::Probe => self.send_heartbeat(&[from], actions),
             Message::Push(push) => {
-                self.has_peer_answered |= !push.hot && self.asked_peers.contains(&from);
+                self.has_peer_answered |= !push.is_rumor && self.asked_peers.contains(&from);
                 self.receive_push(now, from, push, actions);
             }
             Message::Offer(offer) => self.receive_offer(now, from, offer, actions),
@@ -288,17 +288,17 @@
 
     /// Returns the view of a service.
     #[must_use]
-    pub fn service(&self, address: &ServiceAddress) -> Option<&View> {
+    pub fn view(&self, address: &ServiceAddress) -> Option<&View> {
         self.directory.view(address)
     }
 
     /// Returns the views of all services.
-    pub fn services(&self) -> impl Iterator<Item = &View> {
+    pub fn views(&self) -> impl Iterator<Item = &View> {
         self.directory.views()
     }
 
     /// Returns the services whose view changed since the last call.
-    pub fn changes(&mut self) -> Vec<ServiceAddress> {
+    pub fn take_changes(&mut self) -> Vec<ServiceAddress> {
         self.directory.take_changes()
     }
 
@@ -325,7 +325,7 @@
     /// Raises the incarnation above the newest one known at this address. Only
     /// for a process that is the only one at its address and whose clock went
     /// back.
-    pub fn outrank(&mut self) {
+    pub fn raise_incarnation(&mut self) {
         if let Some(successor) = self.successor() {
             self.identity.incarnation = successor + 1;
             self.publish(&self.own_record(false));
@@ -334,7 +334,7 @@
 
     /// Returns whether an entry that was asked for a service has sent records.
     #[must_use]
-    pub const fn is_told(&self) -> bool {
+    pub const fn has_peer_answered(&self) -> bool {
         self.has_peer_answered
     }
 
@@ -348,15 +348,15 @@
     /// Returns counters and sizes.
     #[must_use]
     pub fn status(&self) -> Status {
-        let members = self.services().flat_map(|view| view.targets.values());
+        let members = self.views().flat_map(|view| view.targets.values());
         Status {
-            services: self.services().count(),
-            targets: self.services().map(|view| view.targets.len()).sum(),
-            silent: members.filter(|member| member.health != Health::Up).count(),
+            services: self.views().count(),
+            targets: self.views().map(|view| view.targets.len()).sum(),
+            silent_targets: members.filter(|member| member.health != Health::Up).count(),
             entries: self.entries().count(),
             watched: self.watches.len(),
             is_doubtful: self.is_doubtful,
-            hot: self.rumors.len(),
+            rumors: self.rumors.len(),
             lost_zones: self.directory.zones().lost().count(),
             ..self.link.status.clone()
         }
@@ -367,7 +367,7 @@
             address: self.identity.address,
             zone: self.identity.zone,
             incarnation: self.identity.incarnation,
-            left: has_left,
+            has_left,
         })
     }
 
@@ -415,7 +415,7 @@
         let near = self
             .directory
             .entries()
-            .filter(|entry| !entry.left && region(entry.zone) == region(own.zone));
+            .filter(|entry| !entry.has_left && region(entry.zone) == region(own.zone));
         let zones = near.map(|entry| entry.zone).collect();
         let candidates: Vec<Candidate> = self.directory.live_entries().collect();
         let peers = Peers::new(own.address, own.zone, candidates.iter().copied());
--- a/coordination/member/src/registry/gossip.rs
+++ b/coordination/member/src/registry/gossip.rs
@@ -78,7 +78,7 @@
         let mut removals = Vec::new();
         for record in push.records {
             let key = record.key();
-            if self.merge_received(now, &record, push.hot) == Err(Refusal::Departed) {
+            if self.merge_received(now, &record, push.is_rumor) == Err(Refusal::Departed) {
                 removals.extend(self.directory.record(key));
             }
         }
@@ -234,10 +234,7 @@
         .into_iter()
         .map(|records| Batch {
             keys: records.iter().map(Record::key).collect(),
-            message: Message::Push(Push {
-                hot: is_rumor,
-                records,
-            }),
+            message: Message::Push(Push { is_rumor, records }),
         })
         .collect();
     batches.extend(large.iter().filter_map(|record| {
--- a/coordination/member/src/registry/heartbeat.rs
+++ b/coordination/member/src/registry/heartbeat.rs
@@ -68,7 +68,7 @@
                 zone: entry.zone,
                 incarnation: entry.incarnation,
                 service: None,
-                has_left: entry.left,
+                has_left: entry.has_left,
             },
         }
     }
@@ -105,9 +105,9 @@
             is_watcher: heartbeat.watchers.contains(&self.identity.address),
             watchers: heartbeat.watchers,
         };
-        self.update_watch(&sender, watch, heartbeat.observe);
+        self.update_watch(&sender, watch, heartbeat.to_observer);
         self.refresh_live_set();
-        let view = sender.service.and_then(|address| self.service(&address));
+        let view = sender.service.and_then(|address| self.view(&address));
         let digest = view.map_or(0, View::digest);
         let ack = Ack {
             incarnation: sender.incarnation,
@@ -141,7 +141,7 @@
 
     /// Notifies an agent that a newer incarnation announces its backend server.
     fn send_successor(&mut self, from: SocketAddr, sender: &Sender, actions: &mut Vec<Action>) {
-        let view = sender.service.and_then(|address| self.service(&address));
+        let view = sender.service.and_then(|address| self.view(&address));
         let member = view.and_then(|view| view.targets.get(&sender.id));
         let newer = member.filter(|held| held.target.incarnation > sender.incarnation);
         let Some(newer) = newer.cloned() else {
@@ -252,18 +252,21 @@
     /// Sends a heartbeat of this entry to each receiver.
     pub(super) fn send_heartbeat(&mut self, receivers: &[SocketAddr], actions: &mut Vec<Action>) {
         self.own_heartbeat.sequence += 1;
-        let has_left = self.directory.entry(self.key).is_some_and(|own| own.left);
+        let has_left = self
+            .directory
+            .entry(self.key)
+            .is_some_and(|own| own.has_left);
         for to in receivers {
             let heartbeat = Heartbeat {
                 subject: Subject::Entry(Entry {
                     address: self.identity.address,
                     zone: self.identity.zone,
                     incarnation: self.identity.incarnation,
-                    left: has_left,
+                    has_left,
                 }),
                 sequence: self.own_heartbeat.sequence,
                 watchers: self.own_heartbeat.watchers.clone(),
-                observe: self.own_heartbeat.observers.contains(to),
+                to_observer: self.own_heartbeat.observers.contains(to),
                 digest: 0,
                 parts: Vec::new(),
             };
--- a/coordination/member/src/status.rs
+++ b/coordination/member/src/status.rs
@@ -49,13 +49,13 @@
     /// Known targets.
     pub targets: usize,
     /// Targets whose health is down or doubted.
-    pub silent: usize,
+    pub silent_targets: usize,
     /// Known entries, including this one.
     pub entries: usize,
     /// Processes that this one watches.
     pub watched: usize,
     /// Records that gossip is still spreading.
-    pub hot: usize,
+    pub rumors: usize,
     /// Zones that count as lost.
     pub lost_zones: usize,
 }
--- a/coordination/member/tests/cold.rs
+++ b/coordination/member/tests/cold.rs
@@ -44,7 +44,7 @@
             Record::Target(target)
         }));
         let push = Push {
-            hot: false,
+            is_rumor: false,
             records,
         };
         registry.handle(now, entry(9), Message::Push(push), &mut Vec::new());
@@ -52,7 +52,7 @@
 }
 
 fn has_service(net: &Net, number: u8, service: u8) -> bool {
-    let view = net.entries[&entry(number)].service(&address(service));
+    let view = net.entries[&entry(number)].view(&address(service));
     view.is_some_and(|view| view.config.is_some() && view.targets.len() == usize::from(TARGETS))
 }
 
@@ -72,7 +72,7 @@
     net.entries
         .get_mut(&entry(5))
         .unwrap()
-        .need(now, address(77));
+        .request_service(now, address(77));
     net.run_until(Duration::from_secs(2), |net| has_service(net, 5, 77));
     assert!(!(0..SERVICES).all(|service| has_service(&net, 5, service)));
     let start = net.now;
@@ -94,12 +94,12 @@
     let mut net = region(3, 2, 3);
     let now = net.now;
     let registry = net.entries.get_mut(&entry(1)).unwrap();
-    registry.need(now, address(1));
+    registry.request_service(now, address(1));
     net.run(Duration::from_mins(1));
     let before = net.entries[&entry(2)].status().refusals.clone();
     net.run(Duration::from_mins(1));
     assert_eq!(net.entries[&entry(2)].status().refusals, before);
-    assert!(net.entries[&entry(1)].service(&address(1)).is_none());
+    assert!(net.entries[&entry(1)].view(&address(1)).is_none());
 }
 
 /// After a failure many entries may request services from one peer at once.
--- a/coordination/member/tests/failure.rs
+++ b/coordination/member/tests/failure.rs
@@ -35,7 +35,7 @@
         subject: Subject::Target(target(1, 1, incarnation)),
         sequence,
         watchers: vec![entry(1)],
-        observe: false,
+        to_observer: false,
         digest: 0,
         parts: Vec::new(),
     })
@@ -185,7 +185,7 @@
     let new = net.agents[&agent(1)].target().id;
     let health = |net: &Net, id| {
         let entries = net.entries.values();
-        let views = entries.map(|registry| registry.service(&shared_service()).unwrap());
+        let views = entries.map(|registry| registry.view(&shared_service()).unwrap());
         let seen: Vec<Health> = views.map(|view| view.targets[&id].health).collect();
         seen
     };
@@ -248,7 +248,7 @@
     // A peer that missed the removal does not bring the target back.
     let record = Record::Target(target(1, 1, 1));
     let push = Message::Push(Push {
-        hot: true,
+        is_rumor: true,
         records: vec![record],
     });
     let now = net.now;
@@ -408,8 +408,11 @@
     net.run(CONVERGENCE_TIME);
     let now = net.now;
     assert_eq!(net.agents[&agent(1)].successor(), Some(1));
-    net.agents.get_mut(&agent(1)).unwrap().outrank(now);
-    net.entries.get_mut(&entry(1)).unwrap().outrank();
+    net.agents
+        .get_mut(&agent(1))
+        .unwrap()
+        .raise_incarnation(now);
+    net.entries.get_mut(&entry(1)).unwrap().raise_incarnation();
     net.run(CONVERGENCE_TIME);
     assert_eq!(net.agents[&agent(1)].successor(), None);
     assert_eq!(net.entries[&entry(1)].successor(), None);
--- a/coordination/member/tests/faults.rs
+++ b/coordination/member/tests/faults.rs
@@ -95,7 +95,7 @@
                 body: Bytes::from(revision.to_string()),
             };
             let registry = net.entries.get_mut(&entry(number)).unwrap();
-            registry.put(now, service);
+            registry.put_service(now, service);
         }
     }
 }
@@ -112,7 +112,7 @@
     let mut views = net
         .entries
         .values()
-        .filter_map(|registry| registry.service(&shared_service()));
+        .filter_map(|registry| registry.view(&shared_service()));
     let view = views.next().map(member::View::digest);
     digests.all(|digest| Some(digest) == first)
         && net
@@ -151,7 +151,7 @@
         net.run_checked(RECOVERY, assert_at_most_half_down);
         prop_assert!(net.all_see(Health::Up, AGENTS.into()));
         net.run_until(RECOVERY, all_agree);
-        let view = net.entries[&entry(1)].service(&shared_service()).unwrap();
+        let view = net.entries[&entry(1)].view(&shared_service()).unwrap();
         let config = view.config.as_ref().map(|config| config.revision);
         // A configuration is lost with the only entry that holds it.
         prop_assert!(config <= newest);
--- a/coordination/member/tests/merge.rs
+++ b/coordination/member/tests/merge.rs
@@ -38,7 +38,7 @@
 
 fn push(registry: &mut Registry, records: Vec<Record>) {
     let push = Push {
-        hot: false,
+        is_rumor: false,
         records,
     };
     registry.handle(NOW, entry(9), Message::Push(push), &mut Vec::new());
@@ -78,7 +78,7 @@
             address: entry(number),
             zone: 1,
             incarnation,
-            left,
+            has_left: left,
         })
     });
     let statements = (1..4_u8, 1..6_u8, 0..8_u64, any::<bool>()).prop_map(
@@ -161,7 +161,7 @@
             let largest: &mut u64 = newest.entry(number).or_default();
             *largest = revision.max(*largest);
             let wanted = service(number, *largest);
-            let view = registry.service(&wanted.address);
+            let view = registry.view(&wanted.address);
             prop_assert_eq!(view.and_then(|view| view.config.as_ref()), Some(&wanted));
         }
     }
@@ -219,9 +219,9 @@
 fn only_a_newer_revision_replaces_a_configuration() {
     let mut registry = registry(1);
     push(&mut registry, vec![Record::Service(service(1, 4))]);
-    assert!(!registry.put(NOW, service(1, 4)));
-    assert!(registry.put(NOW, service(1, 5)));
-    assert!(registry.service(&shared_service()).is_some());
+    assert!(!registry.put_service(NOW, service(1, 4)));
+    assert!(registry.put_service(NOW, service(1, 5)));
+    assert!(registry.view(&shared_service()).is_some());
 }
 
 #[test]
--- a/coordination/member/tests/net/mod.rs
+++ b/coordination/member/tests/net/mod.rs
@@ -163,7 +163,7 @@
 
     /// Returns the health that an entry gives the target of an agent.
     pub fn health(&self, entry: SocketAddr, agent: SocketAddr) -> Option<Health> {
-        let view = self.entries[&entry].service(&shared_service())?;
+        let view = self.entries[&entry].view(&shared_service())?;
         let mut members = view.targets.values();
         let member = members.find(|member| member.target.address == agent)?;
         Some(member.health)
@@ -182,7 +182,7 @@
     /// Returns the number of targets of this health in the view of one entry.
     pub fn count_at(&self, entry: SocketAddr, health: Health) -> usize {
         self.entries[&entry]
-            .service(&shared_service())
+            .view(&shared_service())
             .map_or(0, |view| {
                 let members = view.targets.values();
                 members.filter(|member| member.health == health).count()
--- a/coordination/member/tests/registry.rs
+++ b/coordination/member/tests/registry.rs
@@ -36,14 +36,14 @@
     net.entries
         .get_mut(&entry(number))
         .unwrap()
-        .put(now, service)
+        .put_service(now, service)
 }
 
 fn all_have_config(net: &Net, config: &Service) -> bool {
     let entries = net
         .entries
         .values()
-        .map(|registry| registry.service(&shared_service()));
+        .map(|registry| registry.view(&shared_service()));
     let agents = net.agents.values().map(|announcer| Some(announcer.view()));
     entries
         .chain(agents)
@@ -56,7 +56,7 @@
     put_config(&mut net, 1, service.clone());
     net.run_until(CONVERGENCE_TIME, |net| all_have_config(net, &service));
     let digest = net.entries[&entry(1)]
-        .service(&shared_service())
+        .view(&shared_service())
         .unwrap()
         .digest();
     assert!(
@@ -102,7 +102,7 @@
         let entries = net
             .entries
             .values()
-            .filter_map(|registry| registry.service(&shared_service()));
+            .filter_map(|registry| registry.view(&shared_service()));
         let agents = net.agents.values().map(member::Announcer::view);
         entries
             .chain(agents)
@@ -116,13 +116,13 @@
     let now = net.now;
     net.agents.get_mut(&agent(1)).unwrap().leave(now);
     net.run_until(Duration::from_secs(2), |net| {
-        net.agents[&agent(1)].finished()
+        net.agents[&agent(1)].is_finished()
     });
     net.agents.remove(&agent(1));
     net.run(CONVERGENCE_TIME);
     let left = |net: &Net| {
         net.entries.values().all(|registry| {
-            let members = &registry.service(&shared_service()).unwrap().targets;
+            let members = &registry.view(&shared_service()).unwrap().targets;
             let mut members = members.values();
             members.any(|member| member.target.state == State::Left)
         })
@@ -142,7 +142,7 @@
     net.cut = Some(Box::new(|_, to| to == agent(1)));
     let now = net.now;
     net.agents.get_mut(&agent(1)).unwrap().leave(now);
-    net.run_until(CONVERGENCE_TIME, |net| net.agents[&agent(1)].finished());
+    net.run_until(CONVERGENCE_TIME, |net| net.agents[&agent(1)].is_finished());
 }
 
 #[test]
@@ -242,7 +242,7 @@
     let alone = target(2, 0, 1);
     let mut announcer = Announcer::new(net.settings.clone(), alone, gone, 1, now);
     announcer.tick(now, &mut Vec::new());
-    announcer.know(now, &[entry(1)]);
+    announcer.add_entries(now, &[entry(1)]);
     let mut actions = Vec::new();
     announcer.tick(now, &mut actions);
     let is_sent = actions
@@ -259,7 +259,7 @@
     net.run(CONVERGENCE_TIME);
     let now = net.now;
     net.agents.get_mut(&agent(1)).unwrap().leave(now);
-    net.run_until(CONVERGENCE_TIME, |net| net.agents[&agent(1)].finished());
+    net.run_until(CONVERGENCE_TIME, |net| net.agents[&agent(1)].is_finished());
     net.run(CONVERGENCE_TIME);
     let now = net.now;
     let announcer = net.agents.get_mut(&agent(1)).unwrap();
@@ -300,6 +300,6 @@
     let now = net.now;
     net.agents.get_mut(&agent(1)).unwrap().leave(now);
     net.run_until(Duration::from_millis(500), |net| {
-        net.agents[&agent(1)].finished()
+        net.agents[&agent(1)].is_finished()
     });
 }
--- a/coordination/member/tests/zones.rs
+++ b/coordination/member/tests/zones.rs
@@ -152,7 +152,7 @@
     let lost_zones = |net: &mut Net, observers: &[u8]| {
         let records = observers.iter().map(|number| report(*number)).collect();
         let push = Push {
-            hot: false,
+            is_rumor: false,
             records,
         };
         let start = net.now;
@@ -210,7 +210,7 @@
         body: Bytes::from(revision.to_string()),
     };
     let registry = net.entries.get_mut(&entry(number)).unwrap();
-    registry.put(now, service);
+    registry.put_service(now, service);
 }
 
 /// A partition between regions is expected to be shorter than the retention
@@ -232,7 +232,7 @@
     net.add_agent(4, 0x0100, 2);
     net.run(HOUR);
     let count =
-        |registry: &member::Registry| registry.service(&shared_service()).unwrap().targets.len();
+        |registry: &member::Registry| registry.view(&shared_service()).unwrap().targets.len();
     assert!(net.entries.values().all(|registry| count(registry) == 8));
     assert!(
         net.entries
@@ -243,7 +243,7 @@
         let views = net
             .entries
             .values()
-            .map(|registry| registry.service(&shared_service()));
+            .map(|registry| registry.view(&shared_service()));
         views
             .flatten()
             .filter_map(|view| view.config.as_ref())
--- a/coordination/route/src/hunt.rs
+++ b/coordination/route/src/hunt.rs
@@ -17,7 +17,7 @@
 
 /// Number of other agents that a holder without a free slot asks in sequence to
 /// run a single request of an independent service.
-pub const PASS_WIDTH: usize = 2;
+pub const FORWARD_ATTEMPTS: usize = 2;
 
 /// Expected wait above which a holder forwards single requests, in round trips
 /// between two agents.
@@ -35,7 +35,7 @@
 /// assert!(pass_pays(Duration::from_millis(20), round_trip));
 /// ```
 #[must_use]
-pub fn pass_pays(wait: Duration, round_trip: Duration) -> bool {
+pub fn should_forward(wait: Duration, round_trip: Duration) -> bool {
     wait > round_trip.saturating_mul(FORWARD_WAIT_ROUND_TRIPS)
 }
 
@@ -69,7 +69,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Accept the open and hold the flow here.
-    Take,
+    Accept,
     /// Forward the frame to the agent at the frame's position.
     Forward(Relay),
     /// Reply to the caller that no agent accepts the flow.
@@ -84,20 +84,20 @@
 #[must_use]
 pub fn step(mut relay: Relay, bid: Bid) -> Step {
     let position = usize::from(relay.position);
-    let visited = if relay.settle {
+    let visited = if relay.is_settled {
         relay.path.len()
     } else {
         position
     };
     let is_valid =
-        position < relay.path.len() && relay.path.len() <= MAX_HOPS && relay.waits.len() == visited;
+        position < relay.path.len() && relay.path.len() <= MAX_HOPS && relay.bids.len() == visited;
     if !is_valid {
         return Step::Refuse;
     }
-    if bid.accepts_immediately() || relay.settle {
-        return Step::Take;
+    if bid.accepts_immediately() || relay.is_settled {
+        return Step::Accept;
     }
-    relay.waits.push(to_millis(bid.cost()));
+    relay.bids.push(to_millis(bid.cost()));
     forward_or_settle(relay)
 }
 
@@ -108,10 +108,10 @@
         relay.position = here + 1;
         return Step::Forward(relay);
     }
-    relay.settle = true;
-    relay.position = index_of_least(&relay.waits);
+    relay.is_settled = true;
+    relay.position = index_of_least(&relay.bids);
     if relay.position == here {
-        return Step::Take;
+        return Step::Accept;
     }
     Step::Forward(relay)
 }
--- a/coordination/route/src/lib.rs
+++ b/coordination/route/src/lib.rs
@@ -15,8 +15,8 @@
 pub mod logarithm;
 pub mod order;
 pub mod pin;
-pub mod place;
+pub mod placement;
 pub mod tree;
 
 pub use order::Order;
-pub use place::Place;
+pub use placement::Placement;
--- a/coordination/route/src/order.rs
+++ b/coordination/route/src/order.rs
@@ -70,14 +70,14 @@
             all,
             ..Self::default()
         };
-        order.close([])
+        order.exclude([])
     }
 
     /// Excludes the given targets, such as those that are held down, from new
     /// flows, in place of those excluded before. Targets that are not in state
     /// [`State::Ready`] are always excluded.
     #[must_use]
-    pub fn close(mut self, targets: impl IntoIterator<Item = TargetId>) -> Self {
+    pub fn exclude(mut self, targets: impl IntoIterator<Item = TargetId>) -> Self {
         let closed: HashSet<TargetId> = targets.into_iter().collect();
         let is_open =
             |target: &Target| target.state == State::Ready && !closed.contains(&target.id);
@@ -96,7 +96,7 @@
     /// Returns true if some targets accept no new flows. The first open target
     /// then may differ from the flow's home.
     #[must_use]
-    pub const fn has_closed(&self) -> bool {
+    pub const fn has_excluded(&self) -> bool {
         self.positions.len() < self.targets.len()
     }
 
@@ -137,7 +137,7 @@
     }
 
     /// Returns the `n` highest-ranked of the targets that accept new flows.
-    pub fn open(&self, key: FlowKey, n: usize) -> impl Iterator<Item = &Target> {
+    pub fn top_open(&self, key: FlowKey, n: usize) -> impl Iterator<Item = &Target> {
         let drawn = self.open.draw(key).take(n);
         drawn.map(|leaf| &self.targets[self.positions[leaf as usize]])
     }
@@ -153,7 +153,7 @@
 
 fn leaf(target: &Target) -> Leaf {
     Leaf {
-        spread: finalize(target.id),
+        hashed_id: finalize(target.id),
         weight: target.weight,
     }
 }
--- a/coordination/route/src/pin.rs
+++ b/coordination/route/src/pin.rs
@@ -54,7 +54,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// The pin was stored or renewed.
-    Kept,
+    Pinned,
     /// The table is at its capacity.
     Full,
     /// The flow is already pinned to a newer incarnation of the same target.
@@ -163,7 +163,7 @@
             scheduled: pin.map_or(wrap(expiry), |pin| pin.scheduled),
         };
         self.groups[group as usize].pins.insert(flow, pin);
-        Outcome::Kept
+        Outcome::Pinned
     }
 
     /// Removes the pin of a flow if the flow is pinned to the given holder.
--- a/coordination/route/src/place.rs
+++ b/coordination/route/src/placement.rs
@@ -27,7 +27,7 @@
     /// Maximum jitter added to each expected time to answer.
     pub jitter: Duration,
     /// Time for which a backend server that did not answer ranks last.
-    pub distrust: Duration,
+    pub unresponsive_time: Duration,
 }
 
 impl Default for Settings {
@@ -36,14 +36,14 @@
             cross_zone_cost: Duration::from_millis(12),
             service_time: Duration::from_millis(20),
             jitter: Duration::from_millis(10),
-            distrust: Duration::from_secs(2),
+            unresponsive_time: Duration::from_secs(2),
         }
     }
 }
 
 /// Ranking of backend servers for new flows by their expected time to answer.
 #[derive(Debug)]
-pub struct Place {
+pub struct Placement {
     settings: Settings,
     zone: ZoneId,
     observations: HashMap<TargetId, Observation>,
@@ -60,7 +60,7 @@
     unresponsive_until: Duration,
 }
 
-impl Place {
+impl Placement {
     /// Creates a ranking for an entry in `zone`; the seed drives the jitter.
     #[must_use]
     pub fn new(settings: Settings, zone: ZoneId, seed: u64) -> Self {
@@ -73,7 +73,7 @@
     }
 
     /// Records the load that a backend server reported.
-    pub fn learn(&mut self, now: Duration, target: TargetId, load: Load) {
+    pub fn record_load(&mut self, now: Duration, target: TargetId, load: Load) {
         let observation = self.observations.entry(target).or_default();
         *observation = Observation {
             load: Some(load),
@@ -84,16 +84,16 @@
     }
 
     /// Records that a new flow was sent to a backend server.
-    pub fn sent(&mut self, target: TargetId) {
+    pub fn record_sent(&mut self, target: TargetId) {
         let observation = self.observations.entry(target).or_default();
         observation.sent = observation.sent.saturating_add(1);
     }
 
     /// Records that a backend server, or its agent, did not answer, which makes
     /// it rank last for [`Settings::distrust`].
-    pub fn distrust(&mut self, now: Duration, target: TargetId) {
+    pub fn mark_unresponsive(&mut self, now: Duration, target: TargetId) {
         let observation = self.observations.entry(target).or_default();
-        observation.unresponsive_until = now + self.settings.distrust;
+        observation.unresponsive_until = now + self.settings.unresponsive_time;
     }
 
     /// Removes the backend servers for which `keep` returns false.
--- a/coordination/route/src/tree.rs
+++ b/coordination/route/src/tree.rs
@@ -24,7 +24,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Leaf {
     /// Hashed id: [`finalize`] applied to the id.
-    pub spread: u64,
+    pub hashed_id: u64,
     /// Weight; zero counts as one.
     pub weight: u32,
 }
@@ -120,7 +120,8 @@
         while !remaining.is_empty() {
             let prefix = self.prefix(remaining.start, level);
             let below = &self.leaves[remaining.start as usize..remaining.end as usize];
-            let len = below.partition_point(|leaf| prefix_at::<BITS>(leaf.spread, level) <= prefix);
+            let len =
+                below.partition_point(|leaf| prefix_at::<BITS>(leaf.hashed_id, level) <= prefix);
             let leaves = remaining.start..remaining.start + position(len);
             remaining.start = leaves.end;
             self.push_child(leaves, level);
@@ -138,7 +139,7 @@
     fn push_child(&mut self, leaves: Range<u32>, level: u32) {
         let below = &self.leaves[leaves.start as usize..leaves.end as usize];
         let weight = below.iter().map(|leaf| weight(*leaf)).sum();
-        let prefix = below[0].spread >> shift::<BITS>(level);
+        let prefix = below[0].hashed_id >> shift::<BITS>(level);
         self.children.push(Child {
             seed: finalize(prefix ^ (u64::from(level) << (u64::BITS - 8))),
             inverse_weight: u64::MAX / weight,
@@ -149,7 +150,7 @@
     }
 
     fn prefix(&self, leaf: u32, level: u32) -> u64 {
-        prefix_at::<BITS>(self.leaves[leaf as usize].spread, level)
+        prefix_at::<BITS>(self.leaves[leaf as usize].hashed_id, level)
     }
 
     fn child_slice(&self, children: &Range<u32>) -> &[Child] {
--- a/coordination/route/tests/hunt.rs
+++ b/coordination/route/tests/hunt.rs
@@ -28,8 +28,8 @@
         home: hop(0),
         path: (0..).map(hop).take(path).collect(),
         position: 0,
-        waits: Vec::new(),
-        settle: false,
+        bids: Vec::new(),
+        is_settled: false,
         packet: vec![1, 2, 3].into(),
     }
 }
@@ -51,7 +51,7 @@
         };
         let bid = bids.get(usize::from(position)).copied().unwrap_or(full);
         relay = match hunt::step(relay, bid) {
-            Step::Take => return End::Taken { position, hops },
+            Step::Accept => return End::Taken { position, hops },
             Step::Refuse => return End::Refused { hops },
             Step::Forward(relay) => relay,
         };
@@ -134,8 +134,8 @@
 fn an_invalid_frame_is_refused(invalid: &InvalidFrame) {
     let relay = Relay {
         position: invalid.position,
-        waits: vec![1; invalid.waits],
-        settle: invalid.settle,
+        bids: vec![1; invalid.waits],
+        is_settled: invalid.settle,
         ..relay(invalid.path)
     };
     assert_eq!(hunt::step(relay, FREE), Step::Refuse);
@@ -212,9 +212,9 @@
         waits in vec(any::<u32>(), 0..20),
         bid in any_bid(),
     ) {
-        let relay = Relay { position, waits, settle: true, ..relay(path) };
+        let relay = Relay { position, bids: waits, is_settled: true, ..relay(path) };
         let step = hunt::step(relay, bid);
-        prop_assert!(matches!(step, Step::Take | Step::Refuse), "{:?}", step);
+        prop_assert!(matches!(step, Step::Accept | Step::Refuse), "{:?}", step);
     }
 
     /// Even an invalid frame is forwarded a bounded number of times, and its
@@ -228,9 +228,9 @@
         bids in vec(any_bid(), 0..20),
         first in any_bid(),
     ) {
-        let relay = Relay { position, waits, settle, ..relay(path) };
+        let relay = Relay { position, bids: waits, is_settled: settle, ..relay(path) };
         if let Step::Forward(next) = hunt::step(relay.clone(), first) {
-            prop_assert!(next.waits.len() <= next.path.len());
+            prop_assert!(next.bids.len() <= next.path.len());
             prop_assert!(usize::from(next.position) < next.path.len());
         }
         walk(relay, &bids);
--- a/coordination/route/tests/order.rs
+++ b/coordination/route/tests/order.rs
@@ -221,8 +221,8 @@
             }
         }
         let closed: Vec<TargetId> = weights.keys().copied().filter(|&id| is_closed(id)).collect();
-        let order = Order::new(&targets).close(closed);
-        let open = ids(order.open(key, usize::MAX));
+        let order = Order::new(&targets).exclude(closed);
+        let open = ids(order.top_open(key, usize::MAX));
         prop_assert!(!open.iter().any(|&id| is_draining(id) || is_closed(id)));
         targets.retain(|target| !is_draining(target.id) && !is_closed(target.id));
         prop_assert_eq!(open, ids(Order::new(&targets).top(key, usize::MAX)));
--- a/coordination/route/tests/pin.rs
+++ b/coordination/route/tests/pin.rs
@@ -38,12 +38,18 @@
     let now = Duration::ZERO;
     for flow in 0..50 {
         let outcome = table.pin(now, service(1), flow, holder(1, 1));
-        assert_eq!(outcome, Outcome::Kept);
+        assert_eq!(outcome, Outcome::Pinned);
     }
     assert_eq!(table.pin(now, service(1), 50, holder(1, 1)), Outcome::Full);
-    assert_eq!(table.pin(now, service(1), 49, holder(2, 1)), Outcome::Kept);
+    assert_eq!(
+        table.pin(now, service(1), 49, holder(2, 1)),
+        Outcome::Pinned
+    );
     assert!(table.unpin(service(1), 49, holder(2, 1).token));
-    assert_eq!(table.pin(now, service(1), 50, holder(1, 1)), Outcome::Kept);
+    assert_eq!(
+        table.pin(now, service(1), 50, holder(1, 1)),
+        Outcome::Pinned
+    );
 }
 
 #[test]
@@ -131,7 +137,7 @@
             match event {
                 Event::Pin { target } => {
                     let holder = holder(target, 1);
-                    if table.pin(now, service, flow, holder) == Outcome::Kept {
+                    if table.pin(now, service, flow, holder) == Outcome::Pinned {
                         model.insert(key, Expected { holder, renewed: now });
                     }
                 }
--- a/coordination/route/tests/place.rs
+++ b/coordination/route/tests/place.rs
@@ -1,8 +1,8 @@
 //! Ranking of backend servers for new flows that cannot be moved later.
 use std::time::Duration;
 
-use route::Place;
-use route::place::Settings;
+use route::Placement;
+use route::placement::Settings;
 use wire::Target;
 use wire::TargetId;
 use wire::ZoneId;
@@ -42,15 +42,15 @@
     }
 }
 
-fn place() -> Place {
+fn place() -> Placement {
     let settings = Settings {
         jitter: Duration::ZERO,
         ..Settings::default()
     };
-    Place::new(settings, OWN_ZONE, 1)
+    Placement::new(settings, OWN_ZONE, 1)
 }
 
-fn first(place: &mut Place, now: Duration, targets: &[Target]) -> TargetId {
+fn first(place: &mut Placement, now: Duration, targets: &[Target]) -> TargetId {
     place.rank(now, targets.iter(), 1)[0].id
 }
 
@@ -64,8 +64,8 @@
 fn a_wait_above_the_cross_zone_cost_sends_flows_to_another_zone() {
     let targets = [target(1, OTHER_ZONE), target(2, OWN_ZONE)];
     let mut place = place();
-    place.learn(ms(0), 1, load(0, 20));
-    place.learn(ms(0), 2, load(6, 20));
+    place.record_load(ms(0), 1, load(0, 20));
+    place.record_load(ms(0), 2, load(6, 20));
     assert_eq!(first(&mut place, ms(0), &targets), 1);
 }
 
@@ -73,8 +73,8 @@
 fn a_faster_server_ranks_first() {
     let targets = [target(1, OWN_ZONE), target(2, OWN_ZONE)];
     let mut place = place();
-    place.learn(ms(0), 1, load(0, 30));
-    place.learn(ms(0), 2, load(0, 10));
+    place.record_load(ms(0), 1, load(0, 30));
+    place.record_load(ms(0), 2, load(0, 10));
     assert_eq!(first(&mut place, ms(0), &targets), 2);
 }
 
@@ -82,10 +82,10 @@
 fn flows_sent_since_the_last_reported_load_count() {
     let targets = [target(1, OWN_ZONE), target(2, OWN_ZONE)];
     let mut place = place();
-    place.learn(ms(0), 1, load(0, 20));
-    place.learn(ms(0), 2, load(1, 20));
+    place.record_load(ms(0), 1, load(0, 20));
+    place.record_load(ms(0), 2, load(1, 20));
     for _ in 0..3 {
-        place.sent(1);
+        place.record_sent(1);
     }
     assert_eq!(first(&mut place, ms(0), &targets), 2);
 }
@@ -94,8 +94,8 @@
 fn an_old_reported_queue_counts_as_served() {
     let targets = [target(1, OWN_ZONE), target(2, OWN_ZONE)];
     let mut place = place();
-    place.learn(ms(0), 1, load(8, 10));
-    place.learn(ms(0), 2, load(0, 15));
+    place.record_load(ms(0), 1, load(8, 10));
+    place.record_load(ms(0), 2, load(0, 15));
     assert_eq!(first(&mut place, ms(0), &targets), 2);
     assert_eq!(first(&mut place, ms(200), &targets), 1);
 }
@@ -104,10 +104,14 @@
 fn an_unresponsive_server_ranks_last_for_the_configured_time() {
     let targets = [target(1, OWN_ZONE), target(2, OTHER_ZONE)];
     let mut place = place();
-    place.distrust(ms(0), 1);
+    place.mark_unresponsive(ms(0), 1);
     assert_eq!(first(&mut place, ms(1), &targets), 2);
     assert_eq!(
-        first(&mut place, ms(0) + Settings::default().distrust, &targets),
+        first(
+            &mut place,
+            ms(0) + Settings::default().unresponsive_time,
+            &targets
+        ),
         1
     );
 }
@@ -118,7 +122,7 @@
     let targets: Vec<Target> = (1..=4).map(|id| target(id, OWN_ZONE)).collect();
     let mut counts = [0; 4];
     for seed in 0..400 {
-        let mut place = Place::new(Settings::default(), OWN_ZONE, seed);
+        let mut place = Placement::new(Settings::default(), OWN_ZONE, seed);
         let index = usize::try_from(first(&mut place, ms(0), &targets) - 1).unwrap();
         counts[index] += 1;
     }
--- a/protocol/wire/src/frame.rs
+++ b/protocol/wire/src/frame.rs
@@ -36,7 +36,7 @@
     Control(Bytes),
     /// A datagram between a caller and a service address, encapsulated by or
     /// for the fabric.
-    Sprayed(Sprayed),
+    Encapsulated(Encapsulated),
     /// A packet that is forwarded without reading its content, or a message
     /// about its flow.
     Transit(Transit),
@@ -63,10 +63,10 @@
     /// Bid of each agent that an open has visited, in the order of `path`, in
     /// milliseconds: the expected wait there plus the load of the flows that it
     /// holds; `u32::MAX` from an agent that makes no bid.
-    pub waits: Vec<u32>,
+    pub bids: Vec<u32>,
     /// True for a settled open, which has visited all agents of the path: the
     /// addressed agent accepts or refuses it.
-    pub settle: bool,
+    pub is_settled: bool,
     /// The caller's packet, as received.
     pub packet: Bytes,
 }
@@ -107,7 +107,7 @@
 /// A datagram from or to a caller, with the addresses of both ends. The fabric
 /// exchanges these with entries.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Sprayed {
+pub struct Encapsulated {
     /// Address of the caller.
     pub caller: SocketAddr,
     /// The service address that the caller sends to or receives from.
--- a/protocol/wire/src/segment.rs
+++ b/protocol/wire/src/segment.rs
@@ -27,7 +27,7 @@
     /// Length of the content in bytes.
     pub length: u16,
     /// Echo value, which a backend server returns unchanged.
-    pub mark: u32,
+    pub echo: u32,
 }
 
 /// Effect of a packet on its flow.
@@ -57,7 +57,7 @@
 impl Segment {
     /// Returns the flow of a packet that a caller sent.
     #[must_use]
-    pub const fn from_caller(&self) -> FlowId {
+    pub const fn flow_from_caller(&self) -> FlowId {
         FlowId {
             caller: self.source,
             service: self.destination,
@@ -66,7 +66,7 @@
 
     /// Returns the flow of a packet that a backend server sent.
     #[must_use]
-    pub const fn from_server(&self) -> FlowId {
+    pub const fn flow_from_server(&self) -> FlowId {
         FlowId {
             caller: self.destination,
             service: self.source,
@@ -75,7 +75,7 @@
 
     /// Returns true for a retransmitted opening packet.
     #[must_use]
-    pub fn is_copy(&self) -> bool {
+    pub fn is_retransmission(&self) -> bool {
         self.kind == Kind::Open && self.acknowledged > 0
     }
 }
--- a/protocol/wire/src/transit.rs
+++ b/protocol/wire/src/transit.rs
@@ -19,19 +19,19 @@
     /// Offers an opening packet to agents, one after another.
     Open(Open),
     /// Forwards a packet to the agent that is believed to hold its flow.
-    Carry(Carry),
+    Forward(Forward),
     /// Asks one agent to search all agents of its service for the holder of a
     /// packet's flow.
     Search(Search),
     /// Lookup of the holder: asks one agent to deliver a packet only if it
     /// holds the flow.
-    Seek(Seek),
+    Lookup(Lookup),
     /// Reports the holder of a flow.
     Held(Held),
     /// Reports that an agent does not hold a flow, or returns its packet.
-    Absent(Absent),
+    NotHeld(NotHeld),
     /// Reports that no agent of a service holds a flow.
-    Unheld(Unheld),
+    HolderAbsent(HolderAbsent),
     /// Reports the load of a backend server that did not accept a flow.
     Busy(Busy),
 }
@@ -52,14 +52,14 @@
     /// the next lowest where that one can no longer accept it.
     pub is_settled: bool,
     /// Longest wait for a slot that is useful to the caller, in milliseconds.
-    pub patience_ms: u32,
+    pub max_wait_ms: u32,
     /// The caller's packet.
     pub packet: Bytes,
 }
 
 /// A packet for a flow that is open or opening.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Carry {
+pub struct Forward {
     /// The backend server that the frame is addressed to.
     pub target: TargetId,
     /// The entry that received the packet.
@@ -80,21 +80,21 @@
     /// Options of the lookups.
     pub terms: Terms,
     /// Number of agents of the service that the entry knows.
-    pub known: u16,
+    pub known_agents: u16,
     /// The caller's packet.
     pub packet: Bytes,
 }
 
 /// A packet of a flow whose holder is unknown; only the holder delivers it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Seek {
+pub struct Lookup {
     /// The backend server that the frame is addressed to.
     pub target: TargetId,
     /// The entry that received the packet; the holder reports itself to it.
     pub entry: SocketAddr,
     /// The agent that searches; agents that are certain not to hold the flow
     /// report so to it.
-    pub asker: SocketAddr,
+    pub searcher: SocketAddr,
     /// Options of the lookup.
     pub terms: Terms,
     /// The caller's packet.
@@ -106,7 +106,7 @@
 pub struct Terms {
     /// Whether an agent that cannot tell may probe its backend server: deliver
     /// the packet, which the server returns if it does not hold the flow.
-    pub may_try: bool,
+    pub may_probe: bool,
     /// Largest age of a backend server, in milliseconds since its start, at
     /// which its agent reports that it is certain not to hold the flow; agents
     /// of older backend servers do not reply.
@@ -129,7 +129,7 @@
 
 /// Report that an agent does not hold a flow.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Absent {
+pub struct NotHeld {
     /// The flow.
     pub flow: FlowId,
     /// The backend server that does not hold the flow.
@@ -148,7 +148,7 @@
 
 /// Report that no agent of a service holds a flow, which has therefore ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Unheld {
+pub struct HolderAbsent {
     /// The flow.
     pub flow: FlowId,
     /// The backend server whose agent has searched.
--- a/roles/agent/examples/cost.rs
+++ b/roles/agent/examples/cost.rs
@@ -100,8 +100,8 @@
             home: hop,
             path: vec![hop],
             position: 0,
-            waits: Vec::new(),
-            settle: false,
+            bids: Vec::new(),
+            is_settled: false,
             packet: Packet::new(flow, body).to_bytes(),
         };
         let from = self.target.address;
--- a/roles/agent/src/action.rs
+++ b/roles/agent/src/action.rs
@@ -54,7 +54,7 @@
         offer: offer::Id,
     },
     /// Answers a call of [`crate::Event::Offered`].
-    Resolve {
+    AnswerOffer {
         /// The call.
         call: CallId,
         /// Outcome of the request.
@@ -76,7 +76,7 @@
         part: park::Part,
     },
     /// Answers a call of [`crate::Event::Park`].
-    Parked {
+    AnswerPark {
         /// The call.
         call: CallId,
         /// Whether the part was stored.
@@ -91,7 +91,7 @@
         claim: park::Claim,
     },
     /// Answers a call of [`crate::Event::Claim`].
-    Claimed {
+    AnswerClaim {
         /// The call.
         call: CallId,
         /// The reply to the claim.
--- a/roles/agent/src/agent.rs
+++ b/roles/agent/src/agent.rs
@@ -271,7 +271,7 @@
             Frame::Relay(relay) => self.on_relay(outbox, relay),
             Frame::Pin(pin) => self.on_pin(outbox, &pin),
             Frame::Unpin(pin) => self.on_unpin(&pin),
-            Frame::Reply(_) | Frame::Control(_) | Frame::Sprayed(_) | Frame::Transit(_) => {
+            Frame::Reply(_) | Frame::Control(_) | Frame::Encapsulated(_) | Frame::Transit(_) => {
                 self.counters.add(Counter::UnexpectedFrame);
             }
         }
@@ -292,7 +292,7 @@
             self.departed.pop_first();
         }
         self.order = Order::new(&self.view.targets);
-        self.flows.set_idle(self.view.service.idle);
+        self.flows.set_idle_timeout(self.view.service.idle_timeout);
         self.renewal.restart(outbox.now, self.flows.slots());
         self.pin_parked(outbox);
         self.start_claim(outbox);
--- a/roles/agent/src/close.rs
+++ b/roles/agent/src/close.rs
@@ -46,7 +46,7 @@
                 self.cancel(outbox, relay::reply_path(&relay), key);
             }
             Location::Here(_) | Location::OtherCaller => self.counters.add(Counter::SpoofedCancel),
-            Location::Parked => self.counters.add(Counter::KeptSilent),
+            Location::Parked => self.counters.add(Counter::Unanswered),
             Location::Elsewhere => self.forward_silently(outbox, relay, key, token),
         }
     }
@@ -99,7 +99,7 @@
                 self.forward_silently(outbox, relay, key, token);
             }
             Location::Here(_) | Location::OtherCaller => self.counters.add(Counter::SpoofedClose),
-            Location::Parked => self.counters.add(Counter::KeptSilent),
+            Location::Parked => self.counters.add(Counter::Unanswered),
             Location::Elsewhere => self.forward_silently(outbox, relay, key, token),
         }
     }
--- a/roles/agent/src/event.rs
+++ b/roles/agent/src/event.rs
@@ -112,7 +112,7 @@
     /// The backend server failed.
     Failed {
         /// False only if the job certainly did not run.
-        ran: bool,
+        may_have_run: bool,
     },
     /// The job ran, and its answer exceeds the size limit.
     TooLarge,
--- a/roles/agent/src/leave.rs
+++ b/roles/agent/src/leave.rs
@@ -85,7 +85,7 @@
 
     fn start_leaving(&mut self, outbox: &mut Outbox<'_>, next: NextPhase) {
         if self.leaving.is_none() {
-            let deadline = outbox.now + self.settings.leave.grace;
+            let deadline = outbox.now + self.settings.leave.grace_period;
             self.leaving = Some(Leaving::Finishing { deadline, next });
             self.claiming = None;
         }
@@ -174,7 +174,7 @@
             parts,
             index: 0,
             peers,
-            deadline: outbox.now + self.settings.leave.handover,
+            deadline: outbox.now + self.settings.leave.handover_timeout,
             resend_at: None,
         }));
         self.send_part(outbox);
--- a/roles/agent/src/offered.rs
+++ b/roles/agent/src/offered.rs
@@ -92,13 +92,13 @@
             Some(OfferState::Running { calls, .. }) => calls.push(call),
             Some(OfferState::Ended(outcome)) => {
                 let outcome = outcome.clone();
-                outbox.push(Action::Resolve { call, outcome });
+                outbox.push(Action::AnswerOffer { call, outcome });
             }
             None if is_full => {
                 // A refusal promises that the offer will not run later, which
                 // cannot be kept without a record.
                 let outcome = Outcome::Unknown;
-                outbox.push(Action::Resolve { call, outcome });
+                outbox.push(Action::AnswerOffer { call, outcome });
             }
             None => self.accept_or_refuse_offer(outbox, call, offer),
         }
@@ -106,7 +106,7 @@
 
     fn accept_or_refuse_offer(&mut self, outbox: &mut Outbox<'_>, call: CallId, offer: Offer) {
         let id = offer.id;
-        let forget_at = outbox.now + offer.remaining + self.settings.ledger.late_copy;
+        let forget_at = outbox.now + offer.remaining + self.settings.ledger.duplicate_window;
         if let Some(reason) = self.offer_refusal(&offer) {
             self.counters.add(Counter::OfferRefused);
             let retry_after = self.gate.expected_wait(outbox.now);
@@ -115,10 +115,10 @@
                 retry_after: self.jitter(retry_after),
             };
             self.end_offer(id, forget_at, outcome.clone());
-            outbox.push(Action::Resolve { call, outcome });
+            outbox.push(Action::AnswerOffer { call, outcome });
             return;
         }
-        self.counters.add(Counter::OfferTaken);
+        self.counters.add(Counter::OfferAccepted);
         let entry = OfferState::Running {
             job: self.next_id,
             calls: vec![call],
@@ -136,7 +136,7 @@
         if !self.accepts_flows() {
             return Some(Refusal::Draining);
         }
-        (!self.gate.free()).then_some(Refusal::Overloaded)
+        (!self.gate.has_free_slot()).then_some(Refusal::Overloaded)
     }
 
     pub(crate) fn on_withdrawn(&mut self, outbox: &mut Outbox<'_>, id: offer::Id) {
@@ -149,7 +149,8 @@
             None if self.offers.is_full(self.settings.pass.max_offers) => {}
             None => {
                 // The withdrawal arrived before the offer, which must not run.
-                let forget_at = outbox.now + WITHDRAWAL_RETENTION + self.settings.ledger.late_copy;
+                let forget_at =
+                    outbox.now + WITHDRAWAL_RETENTION + self.settings.ledger.duplicate_window;
                 let outcome = Outcome::NotRun {
                     reason: Refusal::Cancelled,
                     retry_after: Duration::ZERO,
@@ -171,11 +172,11 @@
             return;
         };
         let outcome = Outcome::from(end);
-        let forget_at = deadline.max(outbox.now) + self.settings.ledger.late_copy;
+        let forget_at = deadline.max(outbox.now) + self.settings.ledger.duplicate_window;
         self.end_offer(id, forget_at, outcome.clone());
         for call in calls {
             let outcome = outcome.clone();
-            outbox.push(Action::Resolve { call, outcome });
+            outbox.push(Action::AnswerOffer { call, outcome });
         }
     }
 
--- a/roles/agent/src/open.rs
+++ b/roles/agent/src/open.rs
@@ -39,19 +39,19 @@
         let pinned = self
             .pinned(key)
             .filter(|hop| !relay::visited(&relay, hop) && position + 1 < MAX_HOPS)
-            .filter(|_| !relay.settle);
+            .filter(|_| !relay.is_settled);
         if let Some(hop) = pinned {
             // `waits` must have one element per visited hop; this agent
             // places no bid.
-            relay.waits.push(u32::MAX);
+            relay.bids.push(u32::MAX);
             return relay::forward(outbox, relay, hop);
         }
         let bid = self.bid(outbox.now);
         match hunt::step(relay.clone(), bid) {
-            Step::Take => self.accept_or_refuse_open(outbox, &relay, key),
+            Step::Accept => self.accept_or_refuse_open(outbox, &relay, key),
             Step::Refuse => self.refuse_open(outbox, &relay, key, Reason::Overloaded),
             Step::Forward(relay) => {
-                self.counters.add(Counter::OpenPassed);
+                self.counters.add(Counter::OpenForwarded);
                 let hop = relay.path[usize::from(relay.position)];
                 outbox.send(hop.address, Frame::Relay(relay));
             }
@@ -72,7 +72,7 @@
             Binding::Independent => Duration::ZERO,
         };
         Bid {
-            free: self.gate.free(),
+            free: self.gate.has_free_slot(),
             wait: self.gate.expected_wait(now),
             load,
         }
@@ -109,14 +109,14 @@
                 self.confirm_open(outbox, relay, flow);
             }
             Err(Error::Full) => self.refuse_open(outbox, relay, key, Reason::TableFull),
-            Err(Error::Closed | Error::Taken) => {
+            Err(Error::Closed | Error::KeyInUse) => {
                 self.refuse_open(outbox, relay, key, Reason::FlowUnknown);
             }
         }
     }
 
     fn confirm_open(&self, outbox: &mut Outbox<'_>, relay: &Relay, flow: Flow) {
-        let idle = self.flows.idle().as_millis();
+        let idle = self.flows.idle_timeout().as_millis();
         let opened = Opened {
             holder: flow.token.to_bytes().to_vec().into(),
             idle_ms: u32::try_from(idle).unwrap_or(u32::MAX),
--- a/roles/agent/src/parked.rs
+++ b/roles/agent/src/parked.rs
@@ -224,7 +224,7 @@
         let max_bytes = self.settings.leave.max_parked_bytes;
         let was_complete = self.is_complete(owner);
         let accepted = is_willing && self.parked.store(part, expiry, max_bytes);
-        outbox.push(Action::Parked { call, accepted });
+        outbox.push(Action::AnswerPark { call, accepted });
         if !accepted || !is_last || was_complete {
             return;
         }
@@ -252,7 +252,7 @@
 
     pub(crate) fn on_claim(&mut self, outbox: &mut Outbox<'_>, call: CallId, claim: Claim) {
         let grant = self.parked.grant(claim);
-        outbox.push(Action::Claimed { call, grant });
+        outbox.push(Action::AnswerClaim { call, grant });
     }
 
     /// Pins unclaimed parked flows to this agent at their homes.
@@ -317,7 +317,7 @@
                 let key = record::Key { flow, request };
                 self.send_outcome(outbox, relay::reply_path(relay), key, &state);
             }
-            None => self.counters.add(Counter::KeptSilent),
+            None => self.counters.add(Counter::Unanswered),
         }
     }
 }
--- a/roles/agent/src/pass.rs
+++ b/roles/agent/src/pass.rs
@@ -38,7 +38,8 @@
     /// agent is draining or leaving.
     pub(crate) fn prefers_passing(&self, now: Duration) -> bool {
         let wait = self.gate.expected_wait(now);
-        let is_full = !self.gate.free() && hunt::pass_pays(wait, self.settings.pass.round_trip);
+        let is_full =
+            !self.gate.has_free_slot() && hunt::should_forward(wait, self.settings.pass.round_trip);
         is_full || self.draining || self.leaving.is_some()
     }
 
@@ -70,7 +71,7 @@
     fn next_candidate(&self, task: &Task) -> Option<&Target> {
         let key = task.key.flow ^ task.key.request.rotate_left(u64::BITS / 2);
         self.order
-            .open(key, task.tried_targets.len() + 2)
+            .top_open(key, task.tried_targets.len() + 2)
             .find(|target| {
                 target.id != self.identity.id && !task.tried_targets.contains(&target.id)
             })
@@ -98,7 +99,7 @@
             payload: task.payload.clone(),
         };
         self.tasks_by_offer.insert(number, job);
-        self.counters.add(Counter::Passed);
+        self.counters.add(Counter::RequestPassed);
         outbox.push(Action::Pass { to, offer });
     }
 
--- a/roles/agent/src/pinning.rs
+++ b/roles/agent/src/pinning.rs
@@ -263,9 +263,9 @@
         let mut expired = Vec::new();
         self.flows.expire(outbox.now, &mut expired);
         for flow in &expired {
-            self.ledger.forget(flow.key);
+            self.ledger.remove_seen(flow.key);
             match flow.phase {
-                Phase::HalfOpen => self.counters.add(Counter::HalfOpen),
+                Phase::HalfOpen => self.counters.add(Counter::HalfOpenExpired),
                 Phase::Open => self.counters.add(Counter::Expired),
                 Phase::Closed => {}
             }
--- a/roles/agent/src/relay.rs
+++ b/roles/agent/src/relay.rs
@@ -121,7 +121,7 @@
         };
         match hop {
             Some(hop) => {
-                self.counters.add(Counter::HandedAlong);
+                self.counters.add(Counter::PacketForwarded);
                 forward(outbox, relay, hop);
             }
             None => self.refuse_unknown_flow(outbox, &relay, misrouted),
--- a/roles/agent/src/request.rs
+++ b/roles/agent/src/request.rs
@@ -89,7 +89,7 @@
             .filter(|hop| !relay::visited(&relay, hop))
             .filter(|_| usize::from(relay.position) + 1 < wire::frame::MAX_HOPS);
         if let Some(hop) = named {
-            self.counters.add(Counter::HandedAlong);
+            self.counters.add(Counter::PacketForwarded);
             return relay::forward(outbox, relay, hop);
         }
         if misrouted.token.is_some_and(|token| self.has_left(token)) {
@@ -124,23 +124,23 @@
         self.flows.touch(outbox.now, flow.key);
         match self.ledger.admit(key, request.idempotent, deadline) {
             Admission::New => {
-                self.counters.add(Counter::Request);
+                self.counters.add(Counter::RequestAdmitted);
                 self.budget.deposit();
                 if flow.phase == Phase::Open {
-                    self.load.request(outbox.now);
+                    self.load.record_request(outbox.now);
                 }
                 let task = Task::new(Origin::Caller(reply_path), key, request, deadline);
                 self.start_task(outbox, task);
             }
             Admission::Pending => {
-                self.counters.add(Counter::Repeat);
+                self.counters.add(Counter::RequestRepeated);
                 self.redirect_reply(key, reply_path);
             }
             Admission::Final(state) => {
-                self.counters.add(Counter::Repeat);
+                self.counters.add(Counter::RequestRepeated);
                 self.send_outcome(outbox, reply_path, key, &state);
             }
-            Admission::Forgotten | Admission::Full => {
+            Admission::RecordExpired | Admission::Full => {
                 let refusal = self.refusal(Reason::TableFull, self.settings.leave.retry_after);
                 self.send_outcome(outbox, reply_path, key, &State::Unknown(refusal));
             }
@@ -173,7 +173,7 @@
             }
             // The flow is being handed over to another agent, which will
             // answer.
-            None => self.counters.add(Counter::KeptSilent),
+            None => self.counters.add(Counter::Unanswered),
         }
     }
 
--- a/roles/agent/src/retry.rs
+++ b/roles/agent/src/retry.rs
@@ -76,7 +76,7 @@
             task.retries += 1;
             return true;
         }
-        self.counters.add(Counter::BudgetSpent);
+        self.counters.add(Counter::RetryBudgetSpent);
         false
     }
 }
--- a/roles/agent/src/settings.rs
+++ b/roles/agent/src/settings.rs
@@ -54,10 +54,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Leave {
     /// Longest time that pending requests may take to finish.
-    pub grace: Duration,
+    pub grace_period: Duration,
     /// Longest time for handing the state over to a peer, after which the agent
     /// exits.
-    pub handover: Duration,
+    pub handover_timeout: Duration,
     /// Retry delay of refusals that have none of their own, for example while
     /// the holder of a flow is away.
     pub retry_after: Duration,
@@ -96,7 +96,7 @@
     fn default() -> Self {
         Self {
             round_trip: Duration::from_millis(3),
-            max_attempts: hunt::PASS_WIDTH,
+            max_attempts: hunt::FORWARD_ATTEMPTS,
             min_time_left: Duration::from_millis(20),
             max_offers: 20_000,
             max_offer_bytes: 8 * 1024 * 1024,
@@ -107,8 +107,8 @@
 impl Default for Leave {
     fn default() -> Self {
         Self {
-            grace: Duration::from_secs(10),
-            handover: Duration::from_secs(5),
+            grace_period: Duration::from_secs(10),
+            handover_timeout: Duration::from_secs(5),
             retry_after: Duration::from_secs(1),
             claim_timeout: Duration::from_secs(2),
             parked_lifetime: Duration::from_mins(2),
--- a/roles/agent/src/status.rs
+++ b/roles/agent/src/status.rs
@@ -51,28 +51,28 @@
     /// A flow expired because no packet arrived.
     Expired,
     /// A half-open flow expired: no packet followed its open.
-    HalfOpen,
+    HalfOpenExpired,
     /// A packet of a flow held elsewhere was forwarded.
-    HandedAlong,
+    PacketForwarded,
     /// An open was forwarded to the next agent of its path.
-    OpenPassed,
+    OpenForwarded,
     /// A request was admitted.
-    Request,
+    RequestAdmitted,
     /// A retransmitted request was answered from its record, or waits for the
     /// pending one.
-    Repeat,
+    RequestRepeated,
     /// A request was answered.
-    Answered,
+    RequestAnswered,
     /// A request was passed to another agent.
-    Passed,
+    RequestPassed,
     /// A request was retried because it did not run.
     RetryNotRun,
     /// An idempotent request with an unknown outcome was retried.
     RetryIdempotent,
     /// A retry was not made because the retry budget was spent.
-    BudgetSpent,
+    RetryBudgetSpent,
     /// An offer from another agent was accepted.
-    OfferTaken,
+    OfferAccepted,
     /// An offer from another agent was refused.
     OfferRefused,
     /// A close without the right token was ignored.
@@ -94,7 +94,7 @@
     AwaitingState,
     /// A packet was not answered because its flow is parked here or being
     /// handed over.
-    KeptSilent,
+    Unanswered,
     /// A pin was dropped because the pin table is full.
     PinTableFull,
     /// A home was notified that its pin is stale.
--- a/roles/agent/src/task.rs
+++ b/roles/agent/src/task.rs
@@ -193,7 +193,7 @@
     /// exceeds the service's queue limit.
     fn admit_job(&mut self, now: Duration, job: limit::Job) -> Verdict {
         let wait = self.gate.expected_wait(now);
-        if !self.gate.free_for(job.class) && wait > self.view.service.queue_limit {
+        if !self.gate.has_free_slot_for(job.class) && wait > self.view.service.queue_limit {
             return Verdict::Refuse {
                 reason: limit::Reason::Full,
                 retry_after: self.jitter(wait),
@@ -269,11 +269,13 @@
                 let refusal = self.refusal(Reason::Overloaded, retry_after);
                 self.retry_not_run(outbox, job, refusal, Placement::OtherServers);
             }
-            Completion::Failed { ran: false } => {
+            Completion::Failed {
+                may_have_run: false,
+            } => {
                 let refusal = self.refusal(Reason::BackendFailed, self.settings.leave.retry_after);
                 self.retry_not_run(outbox, job, refusal, Placement::AnyServer);
             }
-            Completion::Failed { ran: true } => self.retry_unknown(outbox, job),
+            Completion::Failed { may_have_run: true } => self.retry_unknown(outbox, job),
         }
     }
 
@@ -392,7 +394,7 @@
         };
         if self.ledger.advance(outbox.now, key, state.clone()) {
             if matches!(state, State::Done(_)) {
-                self.counters.add(Counter::Answered);
+                self.counters.add(Counter::RequestAnswered);
             }
             self.send_outcome(outbox, reply_path, key, &state);
         }
--- a/roles/agent/src/view.rs
+++ b/roles/agent/src/view.rs
@@ -21,7 +21,7 @@
     /// Longest expected wait for a slot with which a request is queued.
     pub queue_limit: Duration,
     /// Time without a packet after which a flow expires.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Deadline of a request that states none.
     pub default_deadline: Duration,
     /// Longest deadline of a request; longer ones are capped.
@@ -44,7 +44,7 @@
         Self {
             binding: Binding::Bound,
             queue_limit: Duration::from_secs(1),
-            idle: Duration::from_hours(1),
+            idle_timeout: Duration::from_hours(1),
             default_deadline: Duration::from_secs(2),
             max_deadline: Duration::from_hours(1),
             max_answer_bytes: 1024 * 1024,
--- a/roles/agent/tests/cluster/mod.rs
+++ b/roles/agent/tests/cluster/mod.rs
@@ -241,7 +241,7 @@
                 });
             }
             Action::Withdraw { to, offer } => self.messages.push(Message::Withdraw { to, offer }),
-            Action::Resolve { call, outcome } => {
+            Action::AnswerOffer { call, outcome } => {
                 if let Some(Call::Offer { from, offer }) = self.calls.remove(&call) {
                     self.messages.push(Message::Outcome {
                         to: from,
@@ -260,7 +260,7 @@
                 to,
                 part,
             }),
-            Action::Parked { call, accepted } => {
+            Action::AnswerPark { call, accepted } => {
                 if let Some(Call::Park { from, index }) = self.calls.remove(&call) {
                     self.messages.push(Message::Parked {
                         to: from,
@@ -274,7 +274,7 @@
                 to,
                 claim,
             }),
-            Action::Claimed { call, grant } => {
+            Action::AnswerClaim { call, grant } => {
                 if let Some(Call::Claim { from, peer }) = self.calls.remove(&call) {
                     self.messages.push(Message::Claimed {
                         to: from,
--- a/roles/agent/tests/cluster/relay.rs
+++ b/roles/agent/tests/cluster/relay.rs
@@ -54,8 +54,8 @@
             home: self.hop(path[0]),
             path: path.iter().map(|&index| self.hop(index)).collect(),
             position: 0,
-            waits: Vec::new(),
-            settle: false,
+            bids: Vec::new(),
+            is_settled: false,
             packet: packet.to_bytes(),
         }
     }
--- a/roles/agent/tests/interleavings.rs
+++ b/roles/agent/tests/interleavings.rs
@@ -52,7 +52,7 @@
         let mut settings = cluster::settings();
         settings.gate.slots = 1;
         settings.ledger.max_bytes = max_bytes;
-        settings.leave.grace = Duration::from_secs(1);
+        settings.leave.grace_period = Duration::from_secs(1);
         Self {
             cluster: Cluster::new(AGENTS, settings, service),
             tokens: BTreeMap::new(),
@@ -209,9 +209,11 @@
             }
             JobResult::NotRun => {
                 *self.not_run.entry(key).or_default() += 1;
-                Completion::Failed { ran: false }
+                Completion::Failed {
+                    may_have_run: false,
+                }
             }
-            JobResult::Failed => Completion::Failed { ran: true },
+            JobResult::Failed => Completion::Failed { may_have_run: true },
         };
         let job = running.job.id;
         let agent = running.agent;
--- a/roles/agent/tests/limits.rs
+++ b/roles/agent/tests/limits.rs
@@ -62,13 +62,13 @@
     cluster.advance_time(Duration::from_mins(1));
     assert_eq!(cluster.status(0).flows, 1);
     let counters = cluster.status(0).counters;
-    assert_eq!(counters.get(Counter::HalfOpen), 1);
+    assert_eq!(counters.get(Counter::HalfOpenExpired), 1);
 }
 
 #[test]
 fn a_flow_with_a_running_request_does_not_expire() {
     let service = agent::view::Service {
-        idle: Duration::from_mins(1),
+        idle_timeout: Duration::from_mins(1),
         ..agent::view::Service::default()
     };
     let mut cluster = Cluster::new(1, settings(), service);
--- a/roles/agent/tests/passing.rs
+++ b/roles/agent/tests/passing.rs
@@ -305,7 +305,7 @@
         cluster.send_along(&request(index as u64 + 1, 1, token), &[index]);
     }
     cluster.send_along(&request(1, 2, tokens[0]), &[0]);
-    assert_eq!(cluster.status(0).counters.get(Counter::Passed), 1);
+    assert_eq!(cluster.status(0).counters.get(Counter::RequestPassed), 1);
     assert_eq!(cluster.runs.len(), 3);
 }
 
--- a/roles/agent/tests/replacing.rs
+++ b/roles/agent/tests/replacing.rs
@@ -288,7 +288,7 @@
     };
     cluster.deliver(lost);
     cluster.deliver_all();
-    cluster.advance_time(settings().leave.handover);
+    cluster.advance_time(settings().leave.handover_timeout);
     assert_eq!(cluster.exited, vec![holder]);
     let parked: Vec<usize> = (0..4)
         .filter(|&index| index != holder)
--- a/roles/agent/tests/replay.rs
+++ b/roles/agent/tests/replay.rs
@@ -141,8 +141,10 @@
             ["shed"] => Completion::Shed {
                 retry_after: Duration::from_millis(100),
             },
-            ["refused"] => Completion::Failed { ran: false },
-            _ => Completion::Failed { ran: true },
+            ["refused"] => Completion::Failed {
+                may_have_run: false,
+            },
+            _ => Completion::Failed { may_have_run: true },
         });
     }
 
--- a/roles/agent/tests/requests.rs
+++ b/roles/agent/tests/requests.rs
@@ -337,7 +337,7 @@
 #[test]
 fn a_failed_non_idempotent_request_is_unknown() {
     let (mut cluster, token) = one_busy_agent();
-    cluster.finish(Completion::Failed { ran: true });
+    cluster.finish(Completion::Failed { may_have_run: true });
     assert_refused(&mut cluster, Reason::BackendFailed, Outcome::Unknown);
     cluster.send(&request(FLOW, 1, token));
     assert_refused(&mut cluster, Reason::BackendFailed, Outcome::Unknown);
@@ -349,7 +349,7 @@
     let mut cluster = Cluster::bound(1);
     cluster.open(FLOW);
     cluster.send(&idempotent(FLOW, REQUEST));
-    cluster.finish(Completion::Failed { ran: true });
+    cluster.finish(Completion::Failed { may_have_run: true });
     assert_eq!(cluster.runs.len(), 2);
     cluster.finish_with("again");
     assert_eq!(cluster.take_answer(REQUEST).unwrap(), b"again");
@@ -360,7 +360,9 @@
     let mut cluster = Cluster::bound(1);
     let token = cluster.open(FLOW);
     cluster.send(&request(FLOW, REQUEST, token));
-    cluster.finish(Completion::Failed { ran: false });
+    cluster.finish(Completion::Failed {
+        may_have_run: false,
+    });
     assert_eq!(cluster.runs.len(), 2);
     cluster.finish_with("once");
     assert_eq!(cluster.take_answer(REQUEST).unwrap(), b"once");
@@ -375,7 +377,7 @@
     cluster.send(&idempotent(FLOW, 2));
     cluster.finish_with("first");
     cluster.send(&request(FLOW, 3, token));
-    cluster.finish(Completion::Failed { ran: true });
+    cluster.finish(Completion::Failed { may_have_run: true });
     // Request 3 has the slot now, and the retry of request 2 is queued.
     cluster.replies.clear();
     cluster.advance_time(Duration::from_secs(11));
@@ -396,7 +398,9 @@
     let token = cluster.open(FLOW);
     cluster.send(&request(FLOW, REQUEST, token));
     for _ in 0..3 {
-        cluster.finish(Completion::Failed { ran: false });
+        cluster.finish(Completion::Failed {
+            may_have_run: false,
+        });
     }
     assert_refused(&mut cluster, Reason::BackendFailed, Outcome::NotRun);
     assert_eq!(cluster.runs.len(), 3);
@@ -410,12 +414,12 @@
     let mut cluster = Cluster::new(1, settings, agent::view::Service::default());
     cluster.open(FLOW);
     cluster.send(&idempotent(FLOW, REQUEST));
-    cluster.finish(Completion::Failed { ran: true });
-    cluster.finish(Completion::Failed { ran: true });
+    cluster.finish(Completion::Failed { may_have_run: true });
+    cluster.finish(Completion::Failed { may_have_run: true });
     assert_refused(&mut cluster, Reason::BackendFailed, Outcome::Unknown);
     assert_eq!(cluster.runs.len(), 2);
     let counters = cluster.status(0).counters;
-    assert_eq!(counters.get(Counter::BudgetSpent), 1);
+    assert_eq!(counters.get(Counter::RetryBudgetSpent), 1);
 }
 
 fn with_holder(mut packet: Packet, token: Token, deadline_ms: u32) -> Packet {
--- a/roles/agent/tests/routing.rs
+++ b/roles/agent/tests/routing.rs
@@ -177,7 +177,7 @@
     assert_eq!(refusal.reason(), Reason::FlowUnknown);
     assert_eq!(refusal.outcome(), Outcome::Unknown);
     let forwarded: u64 = (0..20)
-        .map(|index| cluster.status(index).counters.get(Counter::HandedAlong))
+        .map(|index| cluster.status(index).counters.get(Counter::PacketForwarded))
         .sum();
     assert_eq!(forwarded, 7);
 }
--- a/roles/agent/tests/stopping.rs
+++ b/roles/agent/tests/stopping.rs
@@ -73,7 +73,7 @@
     let holder = holder(token);
     cluster.send(&with_deadline(FLOW, REQUEST, token, 600_000));
     cluster.event(holder, Event::Stop);
-    cluster.advance_time(settings().leave.grace);
+    cluster.advance_time(settings().leave.grace_period);
     assert_eq!(cluster.exited, vec![holder]);
     assert_eq!(
         refused_outcome(&mut cluster, Reason::HolderAway),
@@ -161,7 +161,7 @@
         cluster.send(&with_deadline(FLOW, id, token, 29_000));
     }
     cluster.event(0, Event::Stop);
-    cluster.advance_time(agent::settings::Leave::default().grace);
+    cluster.advance_time(agent::settings::Leave::default().grace_period);
     assert_eq!(cluster.exited, vec![0]);
     assert_eq!(cluster.runs.len(), 1);
 }
--- a/roles/app/src/agent.rs
+++ b/roles/app/src/agent.rs
@@ -89,7 +89,7 @@
     smol::spawn(stop_on_signal(inputs_sender.clone())).detach();
     smol::spawn(metric::agent::report(
         inputs_sender.clone(),
-        settings.metrics,
+        settings.metrics_interval,
     ))
     .detach();
 
@@ -174,8 +174,8 @@
 fn leave_settings(stop: Duration) -> Leave {
     let handover = stop / 3;
     Leave {
-        grace: stop.saturating_sub(handover),
-        handover,
+        grace_period: stop.saturating_sub(handover),
+        handover_timeout: handover,
         ..Leave::default()
     }
 }
--- a/roles/app/src/agent/control.rs
+++ b/roles/app/src/agent/control.rs
@@ -99,12 +99,12 @@
             }
             self.announcer.tick(self.origin.elapsed(), &mut actions);
             self.send(&mut actions);
-            self.changed |= self.announcer.changed();
+            self.changed |= self.announcer.take_changed();
             if self.changed && self.can_publish() {
                 self.changed = false;
                 self.publish().await;
             }
-            if self.announcer.finished() {
+            if self.announcer.is_finished() {
                 return;
             }
             self.stop_if_superseded().await;
@@ -167,7 +167,7 @@
                     Binding::Independent => ::agent::view::Binding::Independent,
                 },
                 queue_limit: service.queue_limit,
-                idle: service.idle_timeout,
+                idle_timeout: service.idle_timeout,
                 default_deadline: service.default_deadline,
                 max_deadline: service.largest_deadline,
                 max_answer_bytes: usize::try_from(service.largest_answer_bytes)
--- a/roles/app/src/agent/driver.rs
+++ b/roles/app/src/agent/driver.rs
@@ -110,9 +110,9 @@
             Action::Abort { job } => drop(self.jobs.remove(&job)),
             Action::Pass { to, offer } => self.forward_offer(to, offer),
             Action::Withdraw { to, offer } => self.call(to, Call::Withdraw(offer), |_| None),
-            Action::Resolve { call, outcome } => self.answer(call, Answer::Offer(outcome)),
-            Action::Parked { call, accepted } => self.answer(call, Answer::Parked(accepted)),
-            Action::Claimed { call, grant } => self.answer(call, Answer::Claimed(grant)),
+            Action::AnswerOffer { call, outcome } => self.answer(call, Answer::Offer(outcome)),
+            Action::AnswerPark { call, accepted } => self.answer(call, Answer::Parked(accepted)),
+            Action::AnswerClaim { call, grant } => self.answer(call, Answer::Claimed(grant)),
             Action::Park { to, part } => self.park(to, part),
             Action::Claim { to, claim } => self.claim(to, claim),
             Action::Announce { state, weight } => {
@@ -220,12 +220,12 @@
     match result {
         Ok(answer) => Completion::Completed(answer),
         Err(backend::Error::Shed { retry_after }) => Completion::Shed { retry_after },
-        Err(backend::Error::Unreachable | backend::Error::Expired) => {
-            Completion::Failed { ran: false }
-        }
+        Err(backend::Error::Unreachable | backend::Error::Expired) => Completion::Failed {
+            may_have_run: false,
+        },
         Err(backend::Error::TooLarge) => Completion::TooLarge,
         Err(backend::Error::Broken | backend::Error::Timeout | backend::Error::Status(_)) => {
-            Completion::Failed { ran: true }
+            Completion::Failed { may_have_run: true }
         }
     }
 }
--- a/roles/app/src/call.rs
+++ b/roles/app/src/call.rs
@@ -71,7 +71,7 @@
         return ExitCode::from(exit::FAILED);
     }
     if report.has_violations() {
-        return ExitCode::from(exit::BROKEN);
+        return ExitCode::from(exit::VIOLATION);
     }
     ExitCode::SUCCESS
 }
--- a/roles/app/src/entry.rs
+++ b/roles/app/src/entry.rs
@@ -5,7 +5,7 @@
 pub mod config_reader;
 pub mod control;
 pub mod discovery;
-pub mod edge;
+pub mod frontend;
 pub mod status;
 pub mod traffic;
 
@@ -28,19 +28,19 @@
 use smol::net::TcpListener;
 use store::Http;
 
+use crate::change::Tracker;
 use crate::clock;
 use crate::entry::config_reader::Ranking;
 use crate::entry::control::Control;
 use crate::entry::control::Input;
 use crate::entry::discovery::Discovery;
-use crate::entry::edge::Edge;
+use crate::entry::frontend::Frontend;
 use crate::entry::traffic::Traffic;
 use crate::metric;
 use crate::metric::Instruments;
 use crate::operator;
 use crate::settings;
 use crate::signal;
-use crate::watch::Tracker;
 
 /// Capacity of the queue of inputs to the control thread.
 const CONTROL_QUEUE: usize = 16 * 1024;
@@ -67,7 +67,7 @@
     let (inputs_sender, inputs) = async_channel::bounded(CONTROL_QUEUE);
     let traffic = Arc::new(Traffic {
         port: port.clone(),
-        edge: Edge::new(settings.fabric),
+        frontend: Frontend::new(settings.fabric),
         executor: Executor::new(),
         router: ArcSwap::default(),
         control: inputs_sender.clone(),
@@ -101,7 +101,7 @@
     executor
         .spawn(metric::entry::report(
             inputs_sender.clone(),
-            settings.metrics,
+            settings.metrics_interval,
         ))
         .detach();
     let stopping = wait_for_stop(inputs_sender, events_sender.clone(), settings.stop);
--- a/roles/app/src/entry/control.rs
+++ b/roles/app/src/entry/control.rs
@@ -23,6 +23,7 @@
 use wire::Frame;
 use wire::ServiceAddress;
 
+use crate::change::Tracker;
 use crate::directory;
 use crate::entry::config_reader::Ranking;
 use crate::entry::discovery::Discovery;
@@ -33,7 +34,6 @@
 use crate::metric;
 use crate::metric::Instruments;
 use crate::metric::Sample;
-use crate::watch::Tracker;
 
 /// Longest sleep when no deadline is pending.
 const IDLE: Duration = Duration::from_millis(250);
@@ -127,7 +127,7 @@
                 self.port.send(to, &Frame::Control(payload));
             }
         }
-        let changes = self.registry.changes();
+        let changes = self.registry.take_changes();
         if !changes.is_empty() {
             self.rebuild_routes(now, &changes);
         }
@@ -143,7 +143,7 @@
             return self.rebuild_routes(now, &[address]);
         }
         if self.discovery.start(now, address) {
-            self.registry.need(now, address);
+            self.registry.request_service(now, address);
         }
     }
 
@@ -151,7 +151,7 @@
     /// cannot be decoded. Returns false if no configuration is known.
     fn is_deleted(&self, address: &ServiceAddress) -> bool {
         self.registry
-            .service(address)
+            .view(address)
             .is_some_and(|view| view.config.is_some() && directory::service(view).is_none())
     }
 
@@ -161,11 +161,11 @@
         let mut arrived = Vec::new();
         for outcome in outcomes {
             match outcome {
-                Outcome::Absent(address) if self.registry.service(address).is_some() => {
+                Outcome::Absent(address) if self.registry.view(address).is_some() => {
                     arrived.push(*address);
                 }
-                Outcome::Absent(address) => router.refuse(*address),
-                Outcome::Expired(address) => router.forget(*address),
+                Outcome::Absent(address) => router.mark_absent(*address),
+                Outcome::Expired(address) => router.remove(*address),
             }
         }
         self.traffic.router.store(Arc::new(router));
@@ -196,7 +196,7 @@
             revision: update.revision,
             body: body.into(),
         };
-        self.registry.put(now, service);
+        self.registry.put_service(now, service);
     }
 
     /// Returns the current values of all metrics. Logs a warning and returns none if
@@ -215,7 +215,7 @@
     fn rebuild_routes(&mut self, now: Duration, changes: &[ServiceAddress]) {
         let mut router = self.traffic.router.load().as_ref().clone();
         for address in changes {
-            let view = self.registry.service(address);
+            let view = self.registry.view(address);
             for event in view
                 .map(|view| self.tracker.update(view))
                 .unwrap_or_default()
@@ -237,7 +237,7 @@
                     self.bind(*address);
                 }
                 None if self.is_deleted(address) => {
-                    router.refuse(*address);
+                    router.mark_absent(*address);
                     self.release(*address);
                 }
                 None => {}
@@ -263,7 +263,7 @@
     }
 
     fn route(&self, address: ServiceAddress) -> Option<Service> {
-        let view = self.registry.service(&address)?;
+        let view = self.registry.view(&address)?;
         let service = directory::service(view)?;
         let targets = directory::targets(view, &service);
         let revision = view.config.as_ref().map_or(0, |config| config.revision);
--- a/roles/app/src/entry/edge.rs
+++ b/roles/app/src/entry/frontend.rs
@@ -15,8 +15,8 @@
 use net::port::bind_service;
 use wire::Reply;
 use wire::ServiceAddress;
+use wire::frame::Encapsulated;
 use wire::frame::MAX_DATAGRAM_BYTES;
-use wire::frame::Sprayed;
 
 /// Maximum number of datagrams read from one socket before other tasks run.
 const BATCH: usize = 64;
@@ -24,7 +24,7 @@
 type Sockets = HashMap<ServiceAddress, Arc<Async<UdpSocket>>>;
 
 /// Path on which an entry exchanges datagrams with callers.
-pub enum Edge {
+pub enum Frontend {
     /// A fabric that encapsulates datagrams in frames.
     Encapsulated {
         /// UDP address of the fabric, to which packets for callers are sent.
@@ -40,7 +40,7 @@
     sockets: ArcSwap<Sockets>,
 }
 
-impl Edge {
+impl Frontend {
     /// Creates the path through `fabric`, or one that binds service addresses if
     /// there is none.
     #[must_use]
@@ -99,13 +99,13 @@
 pub async fn receive(
     service: ServiceAddress,
     socket: Arc<Async<UdpSocket>>,
-    mut on_datagram: impl FnMut(Sprayed),
+    mut on_datagram: impl FnMut(Encapsulated),
 ) {
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         for _ in 0..BATCH {
             match socket.get_ref().recv_from(&mut buffer) {
-                Ok((length, caller)) => on_datagram(Sprayed {
+                Ok((length, caller)) => on_datagram(Encapsulated {
                     caller,
                     service,
                     packet: Bytes::copy_from_slice(&buffer[..length]),
--- a/roles/app/src/entry/status.rs
+++ b/roles/app/src/entry/status.rs
@@ -40,10 +40,10 @@
 /// Returns the state of the system as this entry knows it.
 #[must_use]
 pub fn describe(registry: &Registry, samples: &[Sample]) -> StatusReply {
-    let services: Vec<InForce> = registry.services().filter_map(in_force).collect();
+    let services: Vec<InForce> = registry.views().filter_map(in_force).collect();
     let processes = registry
         .entries()
-        .filter(|entry| !entry.left)
+        .filter(|entry| !entry.has_left)
         .map(|entry| Process {
             address: entry.address.to_string(),
             role: Role::Entry.into(),
@@ -52,7 +52,7 @@
             ..Process::default()
         })
         .collect();
-    let targets = registry.services().flat_map(targets).collect();
+    let targets = registry.views().flat_map(targets).collect();
     StatusReply {
         processes,
         services,
--- a/roles/app/src/entry/traffic.rs
+++ b/roles/app/src/entry/traffic.rs
@@ -6,25 +6,25 @@
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 
-use ::entry::Drop;
+use ::entry::Decision;
+use ::entry::DropReason;
 use ::entry::Router;
-use ::entry::Step;
 use arc_swap::ArcSwap;
 use async_channel::Sender;
 use bytes::Bytes;
 use net::Port;
-use net::port::Named;
+use net::port::Counter;
 use net::port::Received;
 use smol::Executor;
 use smol::Task;
 use wire::Frame;
 use wire::Reply;
 use wire::ServiceAddress;
-use wire::frame::Sprayed;
+use wire::frame::Encapsulated;
 
 use crate::entry::control::Input;
-use crate::entry::edge;
-use crate::entry::edge::Edge;
+use crate::entry::frontend;
+use crate::entry::frontend::Frontend;
 
 /// Maximum number of frames read from the port before other tasks run.
 const BATCH: usize = 64;
@@ -34,7 +34,7 @@
     /// The port for frames.
     pub port: Port,
     /// Path on which datagrams are exchanged with callers.
-    pub edge: Edge,
+    pub frontend: Frontend,
     /// Executor of the traffic threads' tasks.
     pub executor: Executor<'static>,
     /// The current snapshot of all services.
@@ -105,7 +105,7 @@
     /// Returns the operating system's error, for example if the host does not
     /// own the address.
     pub fn bind(self: &Arc<Self>, service: ServiceAddress) -> io::Result<Option<Task<()>>> {
-        let Edge::Bound(bound) = &self.edge else {
+        let Frontend::Bound(bound) = &self.frontend else {
             return Ok(None);
         };
         let Some(socket) = bound.bind(service)? else {
@@ -114,20 +114,20 @@
         let entry = self.port.local_addr()?;
         let traffic = Arc::clone(self);
         let relay = move |sprayed| traffic.relay(sprayed, entry);
-        let reading = edge::receive(service, socket, relay);
+        let reading = frontend::receive(service, socket, relay);
         Ok(Some(self.executor.spawn(reading)))
     }
 
     /// Stops replying from the address of a service, if the entry has bound it.
     pub fn release(&self, service: ServiceAddress) {
-        if let Edge::Bound(bound) = &self.edge {
+        if let Frontend::Bound(bound) = &self.frontend {
             bound.release(service);
         }
     }
 
     fn dispatch(&self, received: Received, entry: SocketAddr) {
         match received.frame {
-            Frame::Sprayed(sprayed) => self.relay(sprayed, entry),
+            Frame::Encapsulated(sprayed) => self.relay(sprayed, entry),
             Frame::Reply(reply) => self.reply(reply),
             Frame::Control(payload) => self.enqueue_control(received.from, payload),
             Frame::Relay(_) | Frame::Pin(_) | Frame::Unpin(_) | Frame::Transit(_) => {
@@ -136,20 +136,20 @@
         }
     }
 
-    fn relay(&self, sprayed: Sprayed, entry: SocketAddr) {
+    fn relay(&self, sprayed: Encapsulated, entry: SocketAddr) {
         let service = sprayed.service;
         match self.router.load().route(sprayed, entry) {
-            Step::Relay { to, relay } => {
+            Decision::Relay { to, relay } => {
                 count(&self.counters.relayed);
                 self.port.send(to, &Frame::Relay(relay));
             }
-            Step::Refuse { reply, reason } => {
+            Decision::Refuse { reply, reason } => {
                 count(self.counters.of_reason(reason));
                 self.reply(reply);
             }
-            Step::Ignore(reason) => {
+            Decision::Ignore(reason) => {
                 count(self.counters.of_reason(reason));
-                if reason == Drop::Sought {
+                if reason == DropReason::UnknownAddress {
                     // If the queue is full, the caller's retransmission triggers
                     // the query.
                     let _ = self.control.try_send(Input::UnknownService(service));
@@ -159,17 +159,17 @@
     }
 
     fn reply(&self, reply: Reply) {
-        match &self.edge {
-            Edge::Encapsulated { fabric } => {
-                let sprayed = Sprayed {
+        match &self.frontend {
+            Frontend::Encapsulated { fabric } => {
+                let sprayed = Encapsulated {
                     caller: reply.caller,
                     service: reply.service,
                     packet: reply.packet,
                 };
-                self.port.send(*fabric, &Frame::Sprayed(sprayed));
+                self.port.send(*fabric, &Frame::Encapsulated(sprayed));
             }
-            Edge::Bound(bound) if bound.send(&reply) => {}
-            Edge::Bound(_) => return count(&self.counters.not_bound),
+            Frontend::Bound(bound) if bound.send(&reply) => {}
+            Frontend::Bound(_) => return count(&self.counters.not_bound),
         }
         count(&self.counters.replied);
     }
@@ -188,7 +188,7 @@
 impl Counters {
     /// Returns every counter with its name.
     #[must_use]
-    pub fn all(&self) -> [Named<'_>; 12] {
+    pub fn all(&self) -> [Counter<'_>; 12] {
         [
             ("packets.relayed", &self.relayed),
             ("packets.replied", &self.replied),
@@ -203,20 +203,20 @@
             ("refused.control_queue_full", &self.control_full),
             ("refused.not_bound", &self.not_bound),
         ]
-        .map(|(name, value)| Named { name, value })
+        .map(|(name, value)| Counter { name, value })
     }
 
     /// Returns the counter of packets that were not relayed for `reason`.
     #[must_use]
-    pub const fn of_reason(&self, reason: Drop) -> &AtomicU64 {
+    pub const fn of_reason(&self, reason: DropReason) -> &AtomicU64 {
         match reason {
-            Drop::Malformed => &self.malformed,
-            Drop::Version => &self.version,
-            Drop::TooLarge => &self.too_large,
-            Drop::Direction => &self.direction,
-            Drop::Sought => &self.unknown_address,
-            Drop::NoService => &self.no_service,
-            Drop::NoTarget => &self.no_target,
+            DropReason::Malformed => &self.malformed,
+            DropReason::Version => &self.version,
+            DropReason::TooLarge => &self.too_large,
+            DropReason::Direction => &self.direction,
+            DropReason::UnknownAddress => &self.unknown_address,
+            DropReason::NoService => &self.no_service,
+            DropReason::NoTarget => &self.no_target,
         }
     }
 }
--- a/roles/app/src/exit.rs
+++ b/roles/app/src/exit.rs
@@ -7,4 +7,4 @@
 pub const USAGE: u8 = 2;
 
 /// Violated guarantee found by `call`: a wrong or missing answer, or a broken flow.
-pub const BROKEN: u8 = 3;
+pub const VIOLATION: u8 = 3;
--- a/roles/app/src/carried/lifecycle.rs
+++ b/roles/app/src/forwarder/lifecycle.rs
@@ -11,7 +11,7 @@
         role: role.name().to_owned(),
         host: host.host.clone(),
         zone: host.zone.clone(),
-        frames: host.frames(),
+        frames: host.frame_address(),
     };
     starting.log();
 }
--- a/roles/app/src/carried/link.rs
+++ b/roles/app/src/forwarder/link.rs
@@ -13,9 +13,9 @@
 use wire::Frame;
 use wire::Transit;
 
-use crate::carried::event;
-use crate::carried::telemetry::Telemetry;
 use crate::event::Event;
+use crate::forwarder::event;
+use crate::forwarder::telemetry::Telemetry;
 use crate::metric::Error;
 use crate::metric::Instruments;
 use crate::metric::forwarder::publish_calls;
--- a/roles/app/src/carried/ready.rs
+++ b/roles/app/src/forwarder/ready.rs
@@ -22,7 +22,7 @@
     is_ready: Arc<AtomicBool>,
 ) -> io::Result<()> {
     let answer = move |request: http::Question| {
-        let status = if probe::is_question(&request.method, &request.path) {
+        let status = if probe::is_readiness_probe(&request.method, &request.path) {
             probe::status(is_ready.load(Ordering::Relaxed))
         } else {
             StatusCode::NOT_FOUND
--- a/roles/app/src/carried/telemetry.rs
+++ b/roles/app/src/forwarder/telemetry.rs
@@ -1,7 +1,7 @@
 //! Log, counters and latency histograms of a gateway or sidecar.
 use opentelemetry::metrics::Histogram;
 
-use crate::carried::event::Limiter;
+use crate::forwarder::event::Limiter;
 use crate::metric::Error;
 use crate::metric::Instruments;
 use crate::metric::forwarder::Counts;
--- a/roles/app/src/gateway.rs
+++ b/roles/app/src/gateway.rs
@@ -32,12 +32,12 @@
 use smol::Executor;
 use store::Http;
 
-use crate::carried::lifecycle;
-use crate::carried::link::Link;
-use crate::carried::reader;
-use crate::carried::ready;
-use crate::carried::telemetry::Telemetry;
 use crate::clock;
+use crate::forwarder::lifecycle;
+use crate::forwarder::link::Link;
+use crate::forwarder::reader;
+use crate::forwarder::ready;
+use crate::forwarder::telemetry::Telemetry;
 use crate::gateway::control::Control;
 use crate::gateway::control::Input;
 use crate::gateway::routes::Builder;
@@ -74,10 +74,10 @@
     let origin = Instant::now();
     let executor = Arc::new(Executor::new());
     let seal = Arc::new(settings.0.keys.seal());
-    let frames = host.frames();
+    let frames = host.frame_address();
     let bind = settings.0.bind.unwrap_or(frames);
     let port = Port::bind_blocking(bind, seal, reader::POLL_TIMEOUT)?;
-    let callers = net::port::blocking(host.listen.packets, reader::POLL_TIMEOUT)?;
+    let callers = net::port::bind_blocking_socket(host.listen.packets, reader::POLL_TIMEOUT)?;
     let (sender, inputs) = async_channel::bounded(CONTROL_QUEUE);
     let core = Entry::new(
         forward::entry::Settings::default(),
@@ -126,9 +126,9 @@
         builder: Builder::default(),
         is_confirmed,
         is_ready: Arc::clone(&is_ready),
-        seeds: host.seed_frames(),
+        seeds: host.seed_frame_addresses(),
         requested: BTreeSet::new(),
-        tracker: crate::watch::Tracker::default(),
+        tracker: crate::change::Tracker::default(),
     };
     let stopping = wait_for_stop(signals, sender, is_ready);
     executor.run(control.run().or(stopping)).await;
@@ -137,15 +137,15 @@
 
 fn registry(host: &platform::Settings, origin: Instant) -> Registry {
     let identity = Identity {
-        address: host.frames(),
+        address: host.frame_address(),
         zone: host.zone_id(),
         incarnation: clock::incarnation(),
     };
     let now = origin.elapsed();
     let settings = member::Settings::default();
     let mut registry = Registry::new(settings, identity, fastrand::u64(..), now);
-    registry.join(now, &host.seed_frames());
-    registry.need(now, routes::DOCUMENT_ADDRESS);
+    registry.join(now, &host.seed_frame_addresses());
+    registry.request_service(now, routes::DOCUMENT_ADDRESS);
     registry
 }
 
--- a/roles/app/src/gateway/control.rs
+++ b/roles/app/src/gateway/control.rs
@@ -21,11 +21,11 @@
 use platform::document;
 use wire::ServiceAddress;
 
+use crate::change::Tracker;
 use crate::event::Event as LogEvent;
 use crate::gateway::routes;
 use crate::gateway::routes::Builder;
 use crate::gateway::traffic::Traffic;
-use crate::watch::Tracker;
 
 /// Longest sleep when no deadline is pending.
 const IDLE: Duration = Duration::from_millis(250);
@@ -97,7 +97,7 @@
             Some(Input::Leave) => self.registry.leave(now, actions),
             None => {}
         }
-        self.registry.outrank();
+        self.registry.raise_incarnation();
         self.registry.tick(now, actions);
         self.traffic.link.send_control(actions);
         self.publish(now);
@@ -105,7 +105,7 @@
 
     /// Publishes the routes to the traffic threads if they changed.
     fn publish(&mut self, now: Duration) {
-        let changes = self.registry.changes();
+        let changes = self.registry.take_changes();
         if !changes.is_empty() {
             self.log_changes(&changes);
             let routes = self.builder.update(&self.registry, &changes);
@@ -125,7 +125,7 @@
             }
         }
         let is_confirmed = self.is_confirmed.load(Ordering::Relaxed);
-        let is_complete = self.registry.is_told();
+        let is_complete = self.registry.has_peer_answered();
         if let Some(routes) = self.builder.confirm(is_confirmed, is_complete) {
             self.traffic.handle(Event::Routes(routes));
         }
@@ -137,7 +137,7 @@
         let services = changes
             .iter()
             .filter(|address| **address != routes::DOCUMENT_ADDRESS);
-        for view in services.filter_map(|address| self.registry.service(address)) {
+        for view in services.filter_map(|address| self.registry.view(address)) {
             for event in self.tracker.update(view) {
                 self.traffic.link.log(&event);
             }
@@ -152,7 +152,7 @@
         let services: BTreeSet<ServiceAddress> = shares.map(|share| share.service).collect();
         for service in services {
             if self.requested.insert(service) {
-                self.registry.need(now, service);
+                self.registry.request_service(now, service);
             }
         }
     }
@@ -196,6 +196,6 @@
             revision: version,
             body: bytes.into(),
         };
-        self.registry.put(now, service);
+        self.registry.put_service(now, service);
     }
 }
--- a/roles/app/src/gateway/follow.rs
+++ b/roles/app/src/gateway/follow.rs
@@ -6,11 +6,11 @@
 
 use async_channel::Sender;
 use async_io::Timer;
-use config::Follow;
-use config::follow::Action;
-use config::follow::Change;
-use config::follow::Event;
-use config::follow::Settings;
+use config::Follower;
+use config::follower::Action;
+use config::follower::Event;
+use config::follower::Reachability;
+use config::follower::Settings;
 use platform::document;
 use store::Store;
 
@@ -21,7 +21,7 @@
 /// sets `is_confirmed` to whether the store confirmed it recently.
 pub async fn run(store: impl Store, control: Sender<Input>, is_confirmed: Arc<AtomicBool>) {
     let origin = Instant::now();
-    let mut follower = Follow::new(Settings::default(), document::KEY, fastrand::u64(..));
+    let mut follower = Follower::new(Settings::default(), document::KEY, fastrand::u64(..));
     loop {
         let event = match follower.next() {
             Action::Read => Event::Read(store.get(follower.key()).await),
@@ -31,12 +31,12 @@
         };
         let outcome = follower.handle(origin.elapsed(), event);
         is_confirmed.store(follower.is_confirmed(origin.elapsed()), Ordering::Relaxed);
-        match outcome.change {
-            Some(Change::Lost(fault)) => {
+        match outcome.reachability {
+            Some(Reachability::Lost(fault)) => {
                 let fault = fault.to_string();
                 LogEvent::StoreLost { fault }.log();
             }
-            Some(Change::Regained) => LogEvent::StoreRegained {}.log(),
+            Some(Reachability::Regained) => LogEvent::StoreRegained {}.log(),
             None => {}
         }
         if let Some(item) = outcome.value
--- a/roles/app/src/gateway/registration.rs
+++ b/roles/app/src/gateway/registration.rs
@@ -5,10 +5,10 @@
 
 use async_channel::Sender;
 use async_io::Timer;
-use config::Presence;
-use config::presence::Action;
-use config::presence::Event;
-use config::presence::Settings;
+use config::Registration;
+use config::registration::Action;
+use config::registration::Event;
+use config::registration::Settings;
 use platform::name;
 use store::Store;
 
@@ -20,7 +20,7 @@
 pub async fn run(store: impl Store, own: SocketAddr, control: Sender<Input>) {
     let origin = Instant::now();
     let key = name::entry_key(own);
-    let mut registration = Presence::new(
+    let mut registration = Registration::new(
         Settings::default(),
         key,
         fastrand::u64(..),
@@ -37,14 +37,17 @@
             Action::Acquire(lease) => {
                 Event::Acquired(store.acquire(registration.key(), &lease).await)
             }
-            Action::Renew(lease) => Event::Renewed(store.keep_alive(&lease).await),
+            Action::Renew(lease) => Event::Renewed(store.renew(&lease).await),
         };
         if event == Event::Acquired(Ok(true)) {
             let key = registration.key().to_owned();
             LogEvent::Listed { key }.log();
         }
         let listed = registration.handle(origin.elapsed(), event);
-        let peers: Vec<SocketAddr> = listed.iter().filter_map(|key| name::entry(key)).collect();
+        let peers: Vec<SocketAddr> = listed
+            .iter()
+            .filter_map(|key| name::parse_entry_key(key))
+            .collect();
         if !peers.is_empty() {
             // If the queue is full, the next listing is sent.
             let _ = control.try_send(Input::Peers(peers));
--- a/roles/app/src/gateway/routes.rs
+++ b/roles/app/src/gateway/routes.rs
@@ -27,15 +27,15 @@
     /// Applies the changed records and returns the current routes.
     pub fn update(&mut self, registry: &Registry, changes: &[ServiceAddress]) -> Arc<Routes> {
         for address in changes {
-            let view = registry.service(address);
+            let view = registry.view(address);
             if *address == DOCUMENT_ADDRESS {
                 self.update_table(view);
             } else {
                 let targets = view.map(targets).unwrap_or_default();
                 if view.is_some_and(has_unreachable) {
-                    self.routes.silent.insert(*address);
+                    self.routes.services_with_down_targets.insert(*address);
                 } else {
-                    self.routes.silent.remove(address);
+                    self.routes.services_with_down_targets.remove(address);
                 }
                 self.routes.targets.insert(*address, Arc::new(targets));
             }
--- a/roles/app/src/gateway/traffic.rs
+++ b/roles/app/src/gateway/traffic.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use forward::Entry;
 use forward::entry::Action;
-use forward::entry::Drop;
+use forward::entry::DropReason;
 use forward::entry::Event;
 use forward::entry::Refusal;
 use net::port::Received;
@@ -18,10 +18,10 @@
 use wire::Frame;
 use wire::Transit;
 
-use crate::carried::event::flow_name;
-use crate::carried::link::Link;
-use crate::carried::reader;
 use crate::event as log;
+use crate::forwarder::event::flow_name;
+use crate::forwarder::link::Link;
+use crate::forwarder::reader;
 use crate::gateway::control;
 use crate::metric;
 use crate::metric::Instruments;
@@ -99,8 +99,10 @@
     fn on_frame(&self, received: Received) {
         match received.frame {
             Frame::Transit(Transit::Held(held)) => self.handle(Event::Held(held)),
-            Frame::Transit(Transit::Absent(absent)) => self.handle(Event::Absent(absent)),
-            Frame::Transit(Transit::Unheld(unheld)) => self.handle(Event::Unheld(unheld)),
+            Frame::Transit(Transit::NotHeld(absent)) => self.handle(Event::NotHeld(absent)),
+            Frame::Transit(Transit::HolderAbsent(unheld)) => {
+                self.handle(Event::HolderAbsent(unheld));
+            }
             Frame::Transit(Transit::Busy(busy)) => self.handle(Event::Busy(busy)),
             Frame::Control(payload) => {
                 let from = received.from;
@@ -140,7 +142,7 @@
                 });
             }
             Action::Accepted { took } => record(&link.telemetry.open_time, took),
-            Action::Sought {
+            Action::SearchRequested {
                 flow,
                 searcher,
                 known,
@@ -151,11 +153,11 @@
                     flow: flow_name(&flow),
                     searcher,
                     known,
-                    may_try: terms.may_try,
+                    may_try: terms.may_probe,
                     max_age_ms: terms.max_age_ms,
                 });
             }
-            Action::Found { flow, holder, took } => {
+            Action::HolderFound { flow, holder, took } => {
                 link.count("carried.searches.ended", "found");
                 record(&link.telemetry.search_time, took);
                 self.link.log(&log::Event::FlowFound {
@@ -164,7 +166,7 @@
                     took_us: took.as_micros(),
                 });
             }
-            Action::Vanished { flow, rounds } => {
+            Action::SearchFailed { flow, rounds } => {
                 link.count("carried.searches.ended", "lost");
                 self.link.log(&log::Event::FlowLost {
                     flow: flow_name(&flow),
@@ -184,14 +186,14 @@
     }
 }
 
-const fn drop_label(reason: Drop) -> &'static str {
+const fn drop_label(reason: DropReason) -> &'static str {
     match reason {
-        Drop::Direction => "direction",
-        Drop::Unconfirmed => "unconfirmed",
-        Drop::NoRoute => "no_route",
-        Drop::RefusedCopy => "refused_copy",
-        Drop::Young => "young",
-        Drop::Crowded => "crowded",
-        Drop::Lost => "lost",
+        DropReason::Direction => "direction",
+        DropReason::Unconfirmed => "unconfirmed",
+        DropReason::NoRoute => "no_route",
+        DropReason::RefusedCopy => "refused_copy",
+        DropReason::ServersUnknown => "young",
+        DropReason::QueueFull => "crowded",
+        DropReason::HolderNotFound => "lost",
     }
 }
--- a/roles/app/src/lib.rs
+++ b/roles/app/src/lib.rs
@@ -2,12 +2,13 @@
 //! logs and metrics.
 pub mod agent;
 pub mod call;
-pub mod carried;
+pub mod change;
 pub mod clock;
 pub mod directory;
 pub mod entry;
 pub mod event;
 pub mod exit;
+pub mod forwarder;
 pub mod gateway;
 pub mod help;
 pub mod logger;
@@ -16,4 +17,3 @@
 pub mod settings;
 pub mod sidecar;
 pub mod signal;
-pub mod watch;
--- a/roles/app/src/metric/entry.rs
+++ b/roles/app/src/metric/entry.rs
@@ -5,7 +5,7 @@
 use async_channel::Sender;
 use async_io::Timer;
 use member::Registry;
-use net::port::Named;
+use net::port::Counter;
 
 use super::Error;
 use super::Instruments;
@@ -41,10 +41,10 @@
     }
     instruments.set_size("services", status.services)?;
     instruments.set_size("targets", status.targets)?;
-    instruments.set_size("targets.silent", status.silent)?;
+    instruments.set_size("targets.silent", status.silent_targets)?;
     instruments.set_size("entries", status.entries)?;
     instruments.set_size("zones.lost", status.lost_zones)?;
-    let configs = registry.services().filter_map(|view| view.config.as_ref());
+    let configs = registry.views().filter_map(|view| view.config.as_ref());
     let revision = configs.map(|config| config.revision).max();
     instruments.set("revision", "", revision.unwrap_or_default())
 }
@@ -65,7 +65,7 @@
 
 /// Sets the metric of a counter. If its name ends in a reason, as in
 /// `port.refused.bad_tag`, the metric is `refusals` with that reason.
-fn set(instruments: &mut Instruments, named: &Named<'_>, refusals: &str) -> Result<(), Error> {
+fn set(instruments: &mut Instruments, named: &Counter<'_>, refusals: &str) -> Result<(), Error> {
     let value = named.value.load(Ordering::Relaxed);
     match named.name.split_once("refused.") {
         Some((_, reason)) => instruments.set(refusals, reason, value),
--- a/roles/app/src/operator/convert.rs
+++ b/roles/app/src/operator/convert.rs
@@ -13,7 +13,7 @@
 use config::change::Effect;
 use config::change::Outcome;
 use config::change::Request;
-use config::diff::Line;
+use config::diff::Difference;
 use schema::apply_request::Change;
 use schema::change_reply::Result as Reply;
 use schema::drained::Subject;
@@ -222,7 +222,7 @@
     }
 }
 
-fn difference(line: Line) -> schema::Difference {
+fn difference(line: Difference) -> schema::Difference {
     schema::Difference {
         field: line.field,
         before: line.before,
--- a/roles/app/src/operator/server.rs
+++ b/roles/app/src/operator/server.rs
@@ -163,7 +163,7 @@
     ) -> Result<Response<schema::ListReply>, Status> {
         let deleted = request.into_inner().deleted;
         let mut reply = schema::ListReply::default();
-        let listing = match self.0.store.list(key::SERVICES).await {
+        let listing = match self.0.store.list(key::SERVICE_PREFIX).await {
             Ok(listing) => listing,
             Err(fault) => {
                 reply.unavailable = Some(unavailable(fault));
--- a/roles/app/src/settings/agent.rs
+++ b/roles/app/src/settings/agent.rs
@@ -35,7 +35,7 @@
     /// Longest time from SIGTERM to exit.
     pub stop: Duration,
     /// Interval of the log lines with all metrics; zero disables them.
-    pub metrics: Duration,
+    pub metrics_interval: Duration,
     /// Format and level of the log.
     pub log: Log,
 }
@@ -53,7 +53,7 @@
             seeds: Vec::new(),
             keys: Keys::default(),
             stop: Duration::from_secs(10),
-            metrics: Duration::from_mins(1),
+            metrics_interval: Duration::from_mins(1),
             log: Log::default(),
         }
     }
@@ -74,7 +74,7 @@
             seeds: reader.addresses("seeds"),
             keys: command::keys(reader),
             stop: reader.time("stop"),
-            metrics: reader.time("metrics-interval"),
+            metrics_interval: reader.time("metrics-interval"),
             log: command::log(reader),
         };
         command::check_distinct(
--- a/roles/app/src/settings/entry.rs
+++ b/roles/app/src/settings/entry.rs
@@ -36,7 +36,7 @@
     /// Longest time from SIGTERM to exit.
     pub stop: Duration,
     /// Interval of the log lines with all metrics; zero disables them.
-    pub metrics: Duration,
+    pub metrics_interval: Duration,
     /// Format and level of the log.
     pub log: Log,
 }
@@ -54,7 +54,7 @@
             keys: Keys::default(),
             threads: 1,
             stop: Duration::from_secs(10),
-            metrics: Duration::from_mins(1),
+            metrics_interval: Duration::from_mins(1),
             log: Log::default(),
         }
     }
@@ -75,7 +75,7 @@
             keys: command::keys(reader),
             threads: reader.number("threads"),
             stop: reader.time("stop"),
-            metrics: reader.time("metrics-interval"),
+            metrics_interval: reader.time("metrics-interval"),
             log: command::log(reader),
         };
         if let Some(fabric) = settings.fabric {
--- a/roles/app/src/sidecar.rs
+++ b/roles/app/src/sidecar.rs
@@ -28,11 +28,11 @@
 use store::Http;
 use wire::Hop;
 
-use crate::carried::lifecycle;
-use crate::carried::link::Link;
-use crate::carried::reader;
-use crate::carried::ready;
-use crate::carried::telemetry::Telemetry;
+use crate::forwarder::lifecycle;
+use crate::forwarder::link::Link;
+use crate::forwarder::reader;
+use crate::forwarder::ready;
+use crate::forwarder::telemetry::Telemetry;
 use crate::metric;
 use crate::metric::Instruments;
 use crate::settings;
@@ -87,17 +87,17 @@
     let origin = Instant::now();
     let executor = Arc::new(Executor::new());
     let seal = Arc::new(settings.0.keys.seal());
-    let bind = settings.0.bind.unwrap_or(host.frames());
+    let bind = settings.0.bind.unwrap_or(host.frame_address());
     let port = Port::bind_blocking(bind, seal, reader::POLL_TIMEOUT)?;
     let (Some(servers), Some(backend)) = (host.listen.servers, host.backend) else {
         let text = "the settings file lacks `listen.servers` or `backend`; run a sidecar only on a host with a backend server";
         return Err(io::Error::other(text));
     };
-    let socket = net::port::blocking(servers, reader::POLL_TIMEOUT)?;
+    let socket = net::port::bind_blocking_socket(servers, reader::POLL_TIMEOUT)?;
     let (sender, inputs) = async_channel::bounded(CONTROL_QUEUE);
     let own = Hop {
         target: host.target().unwrap_or_default(),
-        address: host.frames(),
+        address: host.frame_address(),
     };
     let core = Agent::new(
         core_settings(&host),
@@ -135,7 +135,7 @@
     let discovery = seeds::discover(store, host.clone(), sender.clone());
     executor.spawn(discovery).detach();
     let control = Control {
-        seeds: host.seed_frames(),
+        seeds: host.seed_frame_addresses(),
         announcer: None,
         origin,
         traffic: Arc::clone(&traffic),
@@ -154,10 +154,10 @@
 fn core_settings(host: &platform::Settings) -> Settings {
     let silence = host.heartbeat_ms.mul_f64(SILENCE_HEARTBEATS);
     Settings {
-        assumed: silence,
-        heartbeat: host.heartbeat_ms.mul_f64(MAX_HEARTBEAT_FACTOR),
-        silence: silence.min(host.reuse_s.mul_f64(SILENCE_REUSE_SHARE)),
-        oldest_flow: host.oldest_flow_s,
+        assumed_ready_time: silence,
+        max_announcement_interval: host.heartbeat_ms.mul_f64(MAX_HEARTBEAT_FACTOR),
+        announcement_timeout: silence.min(host.reuse_s.mul_f64(SILENCE_REUSE_SHARE)),
+        max_flow_age: host.oldest_flow_s,
         ..Settings::default()
     }
 }
--- a/roles/app/src/sidecar/announcements.rs
+++ b/roles/app/src/sidecar/announcements.rs
@@ -50,7 +50,7 @@
     match call {
         Call::Announce { address, backend } if address == own => Some(Input::Backend(backend)),
         Call::Announce { .. } => None,
-        Call::End { name } => Some(Input::End { name }),
+        Call::Deregister { name } => Some(Input::End { name }),
     }
 }
 
--- a/roles/app/src/sidecar/control.rs
+++ b/roles/app/src/sidecar/control.rs
@@ -7,7 +7,7 @@
 use async_channel::Receiver;
 use async_io::Timer;
 use bytes::Bytes;
-use forward::agent::Backend;
+use forward::agent::Announcement;
 use forward::agent::Event;
 use forward::agent::Peers;
 use forward::agent::State;
@@ -47,7 +47,7 @@
         payload: Bytes,
     },
     /// An announcement of the backend server.
-    Backend(Backend),
+    Backend(Announcement),
     /// The end of a backend server.
     End {
         /// Name of the backend server.
@@ -76,7 +76,7 @@
     /// Inputs from other threads and tasks.
     pub inputs: Receiver<Input>,
     /// Last announcement of the backend server.
-    pub backend: Option<Backend>,
+    pub backend: Option<Announcement>,
 }
 
 impl Control {
@@ -106,9 +106,9 @@
         }
         self.announce(now);
         if let Some(announcer) = &mut self.announcer {
-            announcer.outrank(now);
+            announcer.raise_incarnation(now);
             announcer.tick(now, actions);
-            if announcer.changed() {
+            if announcer.take_changed() {
                 let peers = peers(announcer);
                 self.traffic.handle(Event::Peers(peers));
             }
@@ -132,7 +132,7 @@
 
     /// Applies an announcement of the backend server, unless it is older than the
     /// last one.
-    fn update_backend(&mut self, now: Duration, backend: Backend) {
+    fn update_backend(&mut self, now: Duration, backend: Announcement) {
         let last = self.backend.as_ref();
         if last.is_some_and(|last| backend.is_older_than(last)) {
             let (server, sequence) = (backend.name, backend.sequence);
@@ -148,7 +148,7 @@
             };
             announced.log();
         }
-        self.traffic.handle(Event::Backend(backend.clone()));
+        self.traffic.handle(Event::Announcement(backend.clone()));
         let announced = self
             .announcer
             .as_ref()
@@ -167,7 +167,7 @@
         let Some(service) = host.service.as_ref() else {
             return;
         };
-        let service = name::service(service);
+        let service = name::service_address(service);
         self.announcer = Some(self.new_announcer(now, service, self.own.target, 1));
     }
 
@@ -197,7 +197,7 @@
     /// Adds entries that can be announced to if the known ones do not answer.
     fn add_entries(&mut self, now: Duration, entries: Vec<SocketAddr>) {
         if let Some(announcer) = &mut self.announcer {
-            announcer.know(now, &entries);
+            announcer.add_entries(now, &entries);
         }
         for entry in entries {
             if !self.seeds.contains(&entry) {
@@ -212,7 +212,7 @@
             && last.name == name
         {
             last.state = State::Gone;
-            self.traffic.handle(Event::Gone);
+            self.traffic.handle(Event::ServerEnded);
         }
     }
 
@@ -266,7 +266,7 @@
     let may_hold = members().filter(|member| member.health != Health::Down);
     Peers {
         hops: Arc::new(may_hold.map(|member| member.target.hop()).collect()),
-        has_silent: members().any(|member| member.health == Health::Down),
+        has_down_agent: members().any(|member| member.health == Health::Down),
     }
 }
 
--- a/roles/app/src/sidecar/seeds.rs
+++ b/roles/app/src/sidecar/seeds.rs
@@ -25,9 +25,12 @@
         match store.list_stale(name::ENTRIES).await {
             Ok(listing) => {
                 let keys = listing.items.iter();
-                let entries: Vec<SocketAddr> =
-                    keys.filter_map(|item| name::entry(&item.key)).collect();
-                let has_new = entries.iter().any(|one| !host.seed_frames().contains(one));
+                let entries: Vec<SocketAddr> = keys
+                    .filter_map(|item| name::parse_entry_key(&item.key))
+                    .collect();
+                let has_new = entries
+                    .iter()
+                    .any(|one| !host.seed_frame_addresses().contains(one));
                 let is_closed = control.send(Input::Entries(entries)).await.is_err();
                 if has_new || is_closed {
                     return;
--- a/roles/app/src/sidecar/traffic.rs
+++ b/roles/app/src/sidecar/traffic.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use forward::Agent;
 use forward::agent::Action;
-use forward::agent::Drop;
+use forward::agent::DropReason;
 use forward::agent::Event;
 use forward::agent::Refusal;
 use net::port::Received;
@@ -20,10 +20,10 @@
 use wire::Frame;
 use wire::Transit;
 
-use crate::carried::event::flow_name;
-use crate::carried::link::Link;
-use crate::carried::reader;
 use crate::event as log;
+use crate::forwarder::event::flow_name;
+use crate::forwarder::link::Link;
+use crate::forwarder::reader;
 use crate::metric;
 use crate::metric::Instruments;
 use crate::metric::forwarder::record;
@@ -106,7 +106,7 @@
             Ok(segment) => {
                 packet::restore(packet);
                 let packet = Bytes::copy_from_slice(packet);
-                self.handle(Event::Server { segment, packet });
+                self.handle(Event::ServerPacket { segment, packet });
             }
             Err(error) => self.link.drop_packet(error.name()),
         }
@@ -162,7 +162,7 @@
     fn report(&self, decision: &Action) {
         let link = &self.link;
         match decision {
-            Action::Taken {
+            Action::Admitted {
                 flow,
                 bid,
                 running,
@@ -180,7 +180,7 @@
                     entry: *entry,
                 });
             }
-            Action::Passed {
+            Action::PassedOn {
                 flow,
                 bid,
                 to,
@@ -214,7 +214,7 @@
                 let was_held = *was_held;
                 self.link.log(&log::Event::FlowReturned { flow, was_held });
             }
-            Action::Unheld { flow, agents, took } => {
+            Action::HolderAbsent { flow, agents, took } => {
                 link.count("carried.searches.ended", "nobody");
                 self.link.log(&log::Event::FlowUnheld {
                     flow: flow_name(flow),
@@ -222,7 +222,7 @@
                     took_us: took.as_micros(),
                 });
             }
-            Action::Undecided {
+            Action::SearchExpired {
                 flow,
                 denied,
                 agents,
@@ -236,15 +236,17 @@
                     is_complete: *is_complete,
                 });
             }
-            Action::Ended { flows } => {
+            Action::ServerEnded { flows } => {
                 link.count("carried.servers.ended", "");
                 let flows = *flows;
                 self.link.log(&log::Event::ServerEnded { flows });
             }
-            Action::Dropped(Drop::RefusedCopy) => self.link.drop_packet("refused_copy"),
-            Action::Dropped(Drop::Searches) => self.link.drop_packet("searches"),
-            Action::Dropped(Drop::Probing) => self.link.drop_packet("probing"),
-            Action::Dropped(Drop::OldAnnouncement) => self.link.drop_packet("old_announcement"),
+            Action::Dropped(DropReason::RefusedCopy) => self.link.drop_packet("refused_copy"),
+            Action::Dropped(DropReason::SearchLimit) => self.link.drop_packet("searches"),
+            Action::Dropped(DropReason::ProbeLimit) => self.link.drop_packet("probing"),
+            Action::Dropped(DropReason::OldAnnouncement) => {
+                self.link.drop_packet("old_announcement");
+            }
             Action::Deliver(_)
             | Action::ToCaller { .. }
             | Action::Send { .. }
@@ -274,19 +276,19 @@
             let segment = packet::decode(&open.packet)?;
             Some(Event::Open { open, segment })
         }
-        Transit::Carry(carry) => {
+        Transit::Forward(carry) => {
             let segment = packet::decode(&carry.packet)?;
-            Some(Event::Carry { carry, segment })
+            Some(Event::Forward { carry, segment })
         }
         Transit::Search(search) => {
             let segment = packet::decode(&search.packet)?;
             Some(Event::Search { search, segment })
         }
-        Transit::Seek(seek) => {
+        Transit::Lookup(seek) => {
             let segment = packet::decode(&seek.packet)?;
-            Some(Event::Seek { seek, segment })
+            Some(Event::Lookup { seek, segment })
         }
-        Transit::Absent(absent) => Some(Event::Denied(absent)),
-        Transit::Held(_) | Transit::Unheld(_) | Transit::Busy(_) => None,
+        Transit::NotHeld(absent) => Some(Event::PeerDenied(absent)),
+        Transit::Held(_) | Transit::HolderAbsent(_) | Transit::Busy(_) => None,
     })
 }
--- a/roles/app/tests/limiter.rs
+++ b/roles/app/tests/limiter.rs
@@ -4,8 +4,8 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use app::carried::event::Limiter;
 use app::event::Event;
+use app::forwarder::event::Limiter;
 use log::LevelFilter;
 use log::Log;
 use log::Metadata;
--- a/roles/app/tests/settings.rs
+++ b/roles/app/tests/settings.rs
@@ -76,7 +76,7 @@
     let settings: Agent = run(&format!("{AGENT} --sign-key {KEY}"), &[]);
     assert_eq!(settings.seeds.len(), 2);
     assert_eq!(settings.slots, Agent::default().slots);
-    assert_eq!(settings.metrics, Agent::default().metrics);
+    assert_eq!(settings.metrics_interval, Agent::default().metrics_interval);
     assert_eq!(settings.stop, Agent::default().stop);
 }
 
--- a/roles/app/tests/watch.rs
+++ b/roles/app/tests/watch.rs
@@ -1,8 +1,8 @@
 //! Tests of the events for changed services and targets.
 use std::net::SocketAddr;
 
+use app::change::Tracker;
 use app::event::Event;
-use app::watch::Tracker;
 use member::Health;
 use member::Member;
 use wire::Target;
--- a/roles/entry/src/step.rs
+++ b/roles/entry/src/decision.rs
@@ -6,7 +6,7 @@
 
 /// Action to take on a caller's datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum Decision {
     /// Relay the packet to an agent.
     Relay {
         /// UDP address of the agent.
@@ -19,15 +19,15 @@
         /// Answer to send.
         reply: Reply,
         /// Reason, for the counters.
-        reason: Drop,
+        reason: DropReason,
     },
     /// Send nothing: the sender could not use an answer.
-    Ignore(Drop),
+    Ignore(DropReason),
 }
 
 /// Reason for not relaying a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Drop {
+pub enum DropReason {
     /// The packet is malformed.
     Malformed,
     /// The protocol version is not supported.
@@ -37,7 +37,7 @@
     /// The packet is of a kind that only the system sends to callers.
     Direction,
     /// The address is unknown; the peers must be asked about it.
-    Sought,
+    UnknownAddress,
     /// No service has the address.
     NoService,
     /// The service has no target that can receive the packet.
--- a/roles/entry/src/lib.rs
+++ b/roles/entry/src/lib.rs
@@ -3,11 +3,11 @@
 //! An entry keeps no state of any flow. [`Router`] is an immutable snapshot of
 //! the directory, built by the control thread and read by the traffic threads;
 //! [`Router::route`] maps one datagram to one [`Step`].
+pub mod decision;
 pub mod router;
 pub mod service;
-pub mod step;
 
+pub use decision::Decision;
+pub use decision::DropReason;
 pub use router::Router;
 pub use service::Service;
-pub use step::Drop;
-pub use step::Step;
--- a/roles/entry/src/router.rs
+++ b/roles/entry/src/router.rs
@@ -18,11 +18,11 @@
 use wire::caller::Packet;
 use wire::caller::Reason;
 use wire::caller::packet::Body;
-use wire::frame::Sprayed;
+use wire::frame::Encapsulated;
 
-use crate::Drop;
+use crate::Decision;
+use crate::DropReason;
 use crate::Service;
-use crate::Step;
 
 /// Maximum number of agents on the path of a packet that continues a flow.
 const CONTINUE_PATH_LENGTH: usize = 3;
@@ -71,13 +71,13 @@
 
     /// Removes an address: packets to it are ignored until the peers have been
     /// asked whether it has a service.
-    pub fn forget(&mut self, address: ServiceAddress) {
+    pub fn remove(&mut self, address: ServiceAddress) {
         self.services.remove(&address);
         self.absent.remove(&address);
     }
 
     /// Marks an address as having no service: packets to it are refused.
-    pub fn refuse(&mut self, address: ServiceAddress) {
+    pub fn mark_absent(&mut self, address: ServiceAddress) {
         self.services.remove(&address);
         self.absent.insert(address);
     }
@@ -97,7 +97,7 @@
     /// Decides where a datagram goes. `entry` is the address to which agents
     /// send their replies.
     #[must_use]
-    pub fn route(&self, sprayed: Sprayed, entry: SocketAddr) -> Step {
+    pub fn route(&self, sprayed: Encapsulated, entry: SocketAddr) -> Decision {
         let header = match parse(sprayed.packet.clone()) {
             Ok(header) => header,
             Err(reason) => return reject_unparsable(&sprayed, reason),
@@ -105,13 +105,13 @@
         let service = match self.services.get(&sprayed.service) {
             Some(service) => service,
             None if self.absent.contains(&sprayed.service) => {
-                return refuse(&sprayed, &header, Reason::NoService, Drop::NoService);
+                return refuse(&sprayed, &header, Reason::NoService, DropReason::NoService);
             }
-            None => return Step::Ignore(Drop::Sought),
+            None => return Decision::Ignore(DropReason::UnknownAddress),
         };
         let Ranking { path, home } = rank(service, &header);
         match (path.first(), home) {
-            (Some(first), Some(home)) => Step::Relay {
+            (Some(first), Some(home)) => Decision::Relay {
                 to: first.address,
                 relay: Relay {
                     caller: sprayed.caller,
@@ -121,12 +121,12 @@
                     home,
                     path,
                     position: 0,
-                    waits: Vec::new(),
-                    settle: false,
+                    bids: Vec::new(),
+                    is_settled: false,
                     packet: sprayed.packet,
                 },
             },
-            _ => refuse(&sprayed, &header, Reason::NoTarget, Drop::NoTarget),
+            _ => refuse(&sprayed, &header, Reason::NoTarget, DropReason::NoTarget),
         }
     }
 }
@@ -150,7 +150,7 @@
         .map(Target::hop);
     let mut path: Vec<Hop> = match (header.kind, holder) {
         (Kind::Open, _) => order
-            .open(header.flow, service.hunt)
+            .top_open(header.flow, service.hunt)
             .map(Target::hop)
             .collect(),
         (Kind::Continue, Some(_)) if header.attempt < FIRST_AGENT_ATTEMPTS => {
@@ -162,7 +162,7 @@
             .collect(),
     };
     let home = match header.kind {
-        Kind::Open if order.has_closed() => order.top(header.flow, 1).next().map(Target::hop),
+        Kind::Open if order.has_excluded() => order.top(header.flow, 1).next().map(Target::hop),
         Kind::Open | Kind::Continue => path.first().copied(),
     };
     skip_unresponsive(&mut path, header.attempt);
@@ -182,11 +182,11 @@
     }
 }
 
-fn parse(packet: Bytes) -> Result<Header, Drop> {
+fn parse(packet: Bytes) -> Result<Header, DropReason> {
     let packet = Packet::from_bytes(packet).map_err(|error| match error {
-        caller::Error::Malformed => Drop::Malformed,
-        caller::Error::Version => Drop::Version,
-        caller::Error::TooLarge => Drop::TooLarge,
+        caller::Error::Malformed => DropReason::Malformed,
+        caller::Error::Version => DropReason::Version,
+        caller::Error::TooLarge => DropReason::TooLarge,
     })?;
     let flow = packet.flow;
     let continue_flow = |request, attempt, holder: &Bytes| Header {
@@ -196,7 +196,7 @@
         attempt,
         holder: Token::from_bytes(holder),
     };
-    match packet.body.ok_or(Drop::Malformed)? {
+    match packet.body.ok_or(DropReason::Malformed)? {
         Body::Open(open) => Ok(Header {
             flow,
             request: 0,
@@ -213,21 +213,21 @@
         Body::Fetch(fetch) => Ok(continue_flow(fetch.request, 0, &fetch.holder)),
         Body::Close(close) => Ok(continue_flow(0, 0, &close.holder)),
         Body::Opened(_) | Body::Chunk(_) | Body::Refusal(_) | Body::Closed(_) => {
-            Err(Drop::Direction)
+            Err(DropReason::Direction)
         }
     }
 }
 
 /// Answers a packet that cannot be parsed, but only if the sender can match the
 /// answer to a flow.
-fn reject_unparsable(sprayed: &Sprayed, reason: Drop) -> Step {
+fn reject_unparsable(sprayed: &Encapsulated, reason: DropReason) -> Decision {
     let answer = match reason {
-        Drop::Version => Reason::BadVersion,
-        Drop::TooLarge => Reason::TooLarge,
-        _ => return Step::Ignore(reason),
+        DropReason::Version => Reason::BadVersion,
+        DropReason::TooLarge => Reason::TooLarge,
+        _ => return Decision::Ignore(reason),
     };
     let Some(flow) = caller::flow_key(sprayed.packet.clone()) else {
-        return Step::Ignore(reason);
+        return Decision::Ignore(reason);
     };
     let request = caller::request_id(sprayed.packet.clone());
     let packet = Packet::refuse(flow, request, answer, Outcome::NotRun, 0);
@@ -238,7 +238,12 @@
 ///
 /// Another entry may have relayed an earlier copy, so only an open is certain
 /// not to have run.
-fn refuse(sprayed: &Sprayed, header: &Header, reason: Reason, drop_reason: Drop) -> Step {
+fn refuse(
+    sprayed: &Encapsulated,
+    header: &Header,
+    reason: Reason,
+    drop_reason: DropReason,
+) -> Decision {
     let outcome = match header.kind {
         Kind::Open => Outcome::NotRun,
         Kind::Continue => Outcome::Unknown,
@@ -253,8 +258,8 @@
     reply(sprayed, &packet, drop_reason)
 }
 
-fn reply(sprayed: &Sprayed, packet: &Packet, reason: Drop) -> Step {
-    Step::Refuse {
+fn reply(sprayed: &Encapsulated, packet: &Packet, reason: DropReason) -> Decision {
+    Decision::Refuse {
         reply: Reply {
             caller: sprayed.caller,
             service: sprayed.service,
--- a/roles/entry/tests/router.rs
+++ b/roles/entry/tests/router.rs
@@ -3,10 +3,10 @@
 
 use bytes::Bytes;
 use cases::cases;
-use entry::Drop;
+use entry::Decision;
+use entry::DropReason;
 use entry::Router;
 use entry::Service;
-use entry::Step;
 use proptest::collection::vec;
 use proptest::prelude::any;
 use proptest::proptest;
@@ -23,7 +23,7 @@
 use wire::caller::Reason;
 use wire::caller::Request;
 use wire::caller::packet::Body;
-use wire::frame::Sprayed;
+use wire::frame::Encapsulated;
 use wire::target::State;
 
 const TARGETS: u16 = 7;
@@ -60,8 +60,8 @@
         .collect()
 }
 
-fn send(router: &Router, packet: Bytes) -> Step {
-    let sprayed = Sprayed {
+fn send(router: &Router, packet: Bytes) -> Decision {
+    let sprayed = Encapsulated {
         caller: address(9),
         service: address(80),
         packet,
@@ -69,9 +69,9 @@
     router.route(sprayed, address(7))
 }
 
-fn relayed(step: Step) -> Relay {
+fn relayed(step: Decision) -> Relay {
     match step {
-        Step::Relay { to, relay } => {
+        Decision::Relay { to, relay } => {
             assert_eq!(to, relay.path[0].address);
             relay
         }
@@ -95,8 +95,8 @@
     Packet::new(FLOW, Body::Request(request)).to_bytes()
 }
 
-fn refused(step: Step) -> wire::caller::Refusal {
-    let Step::Refuse { reply, .. } = step else {
+fn refused(step: Decision) -> wire::caller::Refusal {
+    let Decision::Refuse { reply, .. } = step else {
         panic!("expected Step::Refuse, got {step:?}");
     };
     match Packet::from_bytes(reply.packet)
@@ -186,35 +186,44 @@
 #[test]
 fn unknown_service_is_ignored_until_marked_absent() {
     let mut router = Router::default();
-    assert_eq!(send(&router, open(0)), Step::Ignore(Drop::Sought));
-    assert_eq!(send(&router, request(&[], 0)), Step::Ignore(Drop::Sought));
-    router.refuse(address(80));
+    assert_eq!(
+        send(&router, open(0)),
+        Decision::Ignore(DropReason::UnknownAddress)
+    );
+    assert_eq!(
+        send(&router, request(&[], 0)),
+        Decision::Ignore(DropReason::UnknownAddress)
+    );
+    router.mark_absent(address(80));
     let refusal = refused(send(&router, open(0)));
     assert_eq!(refusal.reason(), Reason::NoService);
     assert!(refusal.retry_after_ms > 0);
-    router.forget(address(80));
-    assert_eq!(send(&router, open(0)), Step::Ignore(Drop::Sought));
+    router.remove(address(80));
+    assert_eq!(
+        send(&router, open(0)),
+        Decision::Ignore(DropReason::UnknownAddress)
+    );
 }
 
 #[test]
 fn service_that_appears_is_no_longer_refused() {
     let mut router = Router::default();
-    router.refuse(address(80));
+    router.mark_absent(address(80));
     router.insert(Service::new(address(80), 5, 3, Order::new(&ready())));
     relayed(send(&router, open(0)));
 }
 
-fn is_ignored(case: (Bytes, Drop)) {
+fn is_ignored(case: (Bytes, DropReason)) {
     let (packet, reason) = case;
-    assert_eq!(send(&router(&ready()), packet), Step::Ignore(reason));
+    assert_eq!(send(&router(&ready()), packet), Decision::Ignore(reason));
 }
 
 cases! { is_ignored;
-    random_bytes: (Bytes::from_static(&[0xff; 40]), Drop::Malformed),
-    empty_datagram: (Bytes::new(), Drop::Version),
+    random_bytes: (Bytes::from_static(&[0xff; 40]), DropReason::Malformed),
+    empty_datagram: (Bytes::new(), DropReason::Version),
     flow_key_zero:
-        (Packet::new(0, Body::Close(Close::default())).to_bytes(), Drop::Malformed),
-    packet_that_only_the_system_sends: (Packet::new(FLOW, Body::Closed(Closed {})).to_bytes(), Drop::Direction),
+        (Packet::new(0, Body::Close(Close::default())).to_bytes(), DropReason::Malformed),
+    packet_that_only_the_system_sends: (Packet::new(FLOW, Body::Closed(Closed {})).to_bytes(), DropReason::Direction),
 }
 
 proptest! {
--- a/roles/forward/examples/cost.rs
+++ b/roles/forward/examples/cost.rs
@@ -15,7 +15,7 @@
 use forward::Route;
 use forward::Routes;
 use forward::agent;
-use forward::agent::Backend;
+use forward::agent::Announcement;
 use forward::agent::State;
 use forward::entry;
 use forward::routes::Share;
@@ -27,7 +27,7 @@
 use wire::segment::Kind;
 use wire::target;
 use wire::transit;
-use wire::transit::Carry;
+use wire::transit::Forward;
 use wire::transit::Load;
 use wire::transit::Open;
 
@@ -93,7 +93,7 @@
     };
     let mut agent = Agent::new(settings, hop(1), false, Duration::ZERO);
     let mut actions = Vec::new();
-    let backend = Backend {
+    let backend = Announcement {
         name: "server".into(),
         service: "[fd00::1]:1".parse().expect("a valid address"),
         target: 1,
@@ -103,7 +103,11 @@
         state: State::Ready,
         warm_up: Duration::ZERO,
     };
-    agent.handle(Duration::ZERO, agent::Event::Backend(backend), &mut actions);
+    agent.handle(
+        Duration::ZERO,
+        agent::Event::Announcement(backend),
+        &mut actions,
+    );
     let before = resident_bytes();
     let opened = mean_nanos(FLOWS, |number| {
         let open = Open {
@@ -112,7 +116,7 @@
             position: 0,
             bids: Vec::new(),
             is_settled: true,
-            patience_ms: u32::MAX,
+            max_wait_ms: u32::MAX,
             packet: Bytes::from_static(b"packet"),
         };
         let open_segment = segment(number, Kind::Open);
@@ -127,7 +131,7 @@
     let bytes = resident_bytes().saturating_sub(before) / u64::from(FLOWS);
     let carried = mean_nanos(FLOWS * PACKETS, |number| {
         let number = number % FLOWS;
-        let carry = Carry {
+        let carry = Forward {
             target: 1,
             entry: SocketAddr::from(([10, 1, 0, 1], 7000)),
 
@@ -136,7 +140,7 @@
         let segment = segment(number, Kind::Data);
         agent.handle(
             Duration::ZERO,
-            agent::Event::Carry { carry, segment },
+            agent::Event::Forward { carry, segment },
             &mut actions,
         );
         send_answer(&mut agent, number, Kind::Data, &mut actions);
@@ -157,7 +161,7 @@
     let packet = Bytes::from_static(b"packet");
     agent.handle(
         Duration::ZERO,
-        agent::Event::Server { segment, packet },
+        agent::Event::ServerPacket { segment, packet },
         actions,
     );
 }
@@ -182,7 +186,7 @@
 }
 
 fn flow(number: u32) -> FlowId {
-    segment(number, Kind::Data).from_caller()
+    segment(number, Kind::Data).flow_from_caller()
 }
 
 fn segment(number: u32, kind: Kind) -> Segment {
@@ -196,7 +200,7 @@
         sequence: 1,
         acknowledged: 0,
         length: 0,
-        mark: 0,
+        echo: 0,
     }
 }
 
@@ -225,11 +229,11 @@
     let route = Route {
         shares: vec![Share { service, weight: 1 }],
         timeout: Duration::from_secs(1),
-        objective: Duration::from_millis(100),
+        target_latency: Duration::from_millis(100),
         priority: 1,
     };
     Arc::new(Routes {
-        silent: std::collections::HashSet::new(),
+        services_with_down_targets: std::collections::HashSet::new(),
         table: Arc::new(Table {
             version: 1,
             routes: HashMap::from([(SERVICE, route)]),
--- a/roles/forward/src/agent.rs
+++ b/roles/forward/src/agent.rs
@@ -21,7 +21,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use limit::Held;
+use limit::Forecast;
 use limit::Occupancy;
 use limit::Risk;
 use wire::FlowId;
@@ -29,24 +29,24 @@
 use wire::Segment;
 use wire::Transit;
 use wire::transit;
-use wire::transit::Absent;
-use wire::transit::Carry;
+use wire::transit::Forward;
+use wire::transit::Lookup;
+use wire::transit::NotHeld;
 use wire::transit::Open;
 use wire::transit::Search;
-use wire::transit::Seek;
 
 pub use action::Action;
 pub use action::Closed;
-pub use action::Drop;
+pub use action::DropReason;
 pub use action::Refusal;
-pub use backend::Backend;
+pub use backend::Announcement;
 pub use backend::State;
 pub use bid::Bid;
 use expiring_map::ExpiringMap;
 use flow::Flow;
 use flow::Progress;
 use lookup::reset_ended;
-use lookup::send_absent;
+use lookup::send_not_held;
 pub use search::Peers;
 use search::Pending;
 pub use settings::Settings;
@@ -62,9 +62,9 @@
         segment: Segment,
     },
     /// A packet arrived for a flow that the backend server is believed to hold.
-    Carry {
+    Forward {
         /// Received frame.
-        carry: Carry,
+        carry: Forward,
         /// Header of the packet in the frame.
         segment: Segment,
     },
@@ -76,29 +76,29 @@
         segment: Segment,
     },
     /// A searching agent asks whether the flow of a packet is held here.
-    Seek {
+    Lookup {
         /// Received frame.
-        seek: Seek,
+        seek: Lookup,
         /// Header of the packet in the frame.
         segment: Segment,
     },
     /// Another agent reports that it does not hold a flow that is searched for
     /// here.
-    Denied(Absent),
+    PeerDenied(NotHeld),
     /// The set of other agents of the service changed.
     Peers(Peers),
     /// The backend server sent a packet, or returned one that it does not hold
     /// or accept.
-    Server {
+    ServerPacket {
         /// Header of the packet.
         segment: Segment,
         /// Complete packet.
         packet: Bytes,
     },
     /// The backend server announced its state.
-    Backend(Backend),
+    Announcement(Announcement),
     /// The backend server announced its termination.
-    Gone,
+    ServerEnded,
     /// The process is shutting down.
     Stop,
     /// A timer fired. Expired state is removed if a sweep is due.
@@ -114,7 +114,7 @@
     /// Whether the backend server may hold flows that were opened before this
     /// process started.
     may_hold_prior_flows: bool,
-    backend: Option<Backend>,
+    backend: Option<Announcement>,
     last_announced: Duration,
     /// Time of the first announcement received from the current backend server,
     /// and the longest time for which the server can have been running then.
@@ -125,7 +125,7 @@
     unanswered_since: Option<Duration>,
     is_stopping: bool,
     occupancy: Occupancy,
-    held_load: Held,
+    held_load: Forecast,
     risk: Risk,
     flows: HashMap<FlowId, Flow>,
     passed_flows: ExpiringMap<Open>,
@@ -172,13 +172,13 @@
             unanswered_since: None,
             is_stopping: false,
             occupancy: Occupancy::new(settings.initial_slots, settings.initial_service_time),
-            held_load: Held::new(settings.held_load, now),
+            held_load: Forecast::new(settings.held_load, now),
             risk: Risk::new(settings.risk, now),
             flows: HashMap::new(),
             passed_flows: ExpiringMap::new(settings.linger),
-            probes: ExpiringMap::new(settings.oldest_flow),
-            flows_not_held: ExpiringMap::new(settings.oldest_flow),
-            ended_flows: ExpiringMap::new(settings.oldest_flow),
+            probes: ExpiringMap::new(settings.max_flow_age),
+            flows_not_held: ExpiringMap::new(settings.max_flow_age),
+            ended_flows: ExpiringMap::new(settings.max_flow_age),
             peers: Peers::default(),
             searches: HashMap::new(),
             next_sweep_at: now + settings.sweep_interval,
@@ -190,21 +190,21 @@
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Open { open, segment } => self.handle_open(now, open, segment, actions),
-            Event::Carry { carry, segment } => self.handle_carry(now, carry, segment, actions),
+            Event::Forward { carry, segment } => self.handle_forward(now, carry, segment, actions),
             Event::Search { search, segment } => self.handle_search(now, search, segment, actions),
-            Event::Seek { seek, segment } => self.handle_seek(now, seek, segment, actions),
-            Event::Denied(absent) => self.record_peer_denial(now, &absent, actions),
+            Event::Lookup { seek, segment } => self.handle_lookup(now, seek, segment, actions),
+            Event::PeerDenied(absent) => self.record_peer_denial(now, &absent, actions),
             Event::Peers(peers) => self.peers = peers,
-            Event::Server { segment, packet } if segment.is_returned => {
+            Event::ServerPacket { segment, packet } if segment.is_returned => {
                 self.unanswered_since = None;
                 self.handle_returned(now, segment, packet, actions);
             }
-            Event::Server { segment, packet } => {
+            Event::ServerPacket { segment, packet } => {
                 self.unanswered_since = None;
                 self.handle_sent(now, segment, packet, actions);
             }
-            Event::Backend(backend) => self.handle_announcement(now, backend, actions),
-            Event::Gone => self.end_server(now, actions),
+            Event::Announcement(backend) => self.handle_announcement(now, backend, actions),
+            Event::ServerEnded => self.end_server(now, actions),
             Event::Stop => self.is_stopping = true,
             Event::Tick => {}
         }
@@ -227,7 +227,9 @@
             _ if self.is_stopping => Some(Closed::Stopping),
             None if !self.assumes_ready(now) => Some(Closed::Unknown),
             Some(backend) if backend.state != State::Ready => Some(Closed::NotReady),
-            Some(_) if now >= self.last_announced + settings.silence => Some(Closed::Silent),
+            Some(_) if now >= self.last_announced + settings.announcement_timeout => {
+                Some(Closed::Silent)
+            }
             _ if reaction_deadline.is_some_and(|deadline| now >= deadline) => Some(Closed::Mute),
             _ if self.flows.len() >= settings.max_flows => Some(Closed::Flows),
             _ if self.occupancy.running() >= max_running => Some(Closed::Queue),
@@ -239,7 +241,7 @@
     /// announcement. It keeps serving after a crash of its agent, so a restarted
     /// agent admits flows at once.
     fn assumes_ready(&self, now: Duration) -> bool {
-        self.may_hold_prior_flows && now < self.started_at + self.settings.assumed
+        self.may_hold_prior_flows && now < self.started_at + self.settings.assumed_ready_time
     }
 
     /// Returns true if new flows are admitted, or are refused only because the
@@ -284,22 +286,22 @@
         let micros = |time: Duration| u32::try_from(time.as_micros()).unwrap_or(u32::MAX);
         transit::Load {
             held_us: micros(held),
-            risk_us: micros(self.risk.wait(now)),
+            risk_us: micros(self.risk.expected_cost(now)),
             ..own
         }
     }
 
     /// Handles a packet whose flow the entry believes to be held here.
-    fn handle_carry(
+    fn handle_forward(
         &mut self,
         now: Duration,
-        carry: Carry,
+        carry: Forward,
         segment: Segment,
         actions: &mut Vec<Action>,
     ) {
-        let flow = segment.from_caller();
+        let flow = segment.flow_from_caller();
         if carry.target != self.own.target {
-            return send_absent(flow, carry, &segment, None, actions);
+            return send_not_held(flow, carry, &segment, None, actions);
         }
         if self.flows.contains_key(&flow) {
             return self.deliver(now, flow, carry, segment, actions);
@@ -315,7 +317,7 @@
             let reply_to = carry.entry;
             return self.probe(now, flow, carry, reply_to, actions);
         }
-        send_absent(flow, carry, &segment, self.evidence(now), actions);
+        send_not_held(flow, carry, &segment, self.evidence(now), actions);
     }
 
     /// Delivers a packet of a held flow, or reports the flow as not held if the
@@ -324,7 +326,7 @@
         &mut self,
         now: Duration,
         flow: FlowId,
-        carry: Carry,
+        carry: Forward,
         segment: Segment,
         actions: &mut Vec<Action>,
     ) {
@@ -336,11 +338,11 @@
             held.end_request(now, &mut self.occupancy);
             self.flows.remove(&flow);
             self.flows_not_held.insert(now, flow, ());
-            return send_absent(flow, carry, &segment, None, actions);
+            return send_not_held(flow, carry, &segment, None, actions);
         }
         match held.record_caller_packet(now, &segment, &mut self.occupancy) {
-            Some(Progress::NextRequest) => self.held_load.request(now),
-            Some(Progress::Failed) => self.risk.failed(now),
+            Some(Progress::NextRequest) => self.held_load.record_request(now),
+            Some(Progress::Failed) => self.risk.record_failure(now),
             Some(Progress::Answered(_)) | None => {}
         }
         actions.push(Action::Deliver(carry.packet));
@@ -353,7 +355,7 @@
         let risk = &mut self.risk;
         self.flows.retain(|id, flow| {
             if flow.expire_request(now, settings.reservation_timeout, occupancy) {
-                risk.failed(now);
+                risk.record_failure(now);
                 actions.push(Action::Failed { flow: *id });
             }
             let keep = !flow.is_expired(now, settings.linger, settings.idle_timeout);
@@ -364,7 +366,7 @@
         });
         let idle = self.flows.values().filter(|flow| flow.is_idle()).count();
         self.held_load
-            .observe(now, u32::try_from(idle).unwrap_or(u32::MAX));
+            .set_idle_flows(now, u32::try_from(idle).unwrap_or(u32::MAX));
         self.passed_flows.expire(now);
         self.flows_not_held.expire(now);
         self.ended_flows.expire(now);
@@ -376,7 +378,7 @@
 /// Forwards a packet to the agent that its flow was passed on to. Also names
 /// that agent to the entry, because the agent's own notification may have been
 /// lost.
-fn forward_to_next_holder(flow: FlowId, to: Hop, carry: Carry, actions: &mut Vec<Action>) {
+fn forward_to_next_holder(flow: FlowId, to: Hop, carry: Forward, actions: &mut Vec<Action>) {
     let held = transit::Held {
         flow,
         holder: to,
@@ -387,12 +389,12 @@
         to: carry.entry,
         transit: Transit::Held(held),
     });
-    let carry = Carry {
+    let carry = Forward {
         target: to.target,
         ..carry
     };
     actions.push(Action::Send {
         to: to.address,
-        transit: Transit::Carry(carry),
+        transit: Transit::Forward(carry),
     });
 }
--- a/roles/forward/src/agent/action.rs
+++ b/roles/forward/src/agent/action.rs
@@ -43,7 +43,7 @@
         bids: Vec<u32>,
     },
     /// A new flow was admitted.
-    Taken {
+    Admitted {
         /// The flow.
         flow: FlowId,
         /// Expected cost of its first request.
@@ -67,7 +67,7 @@
         flow: FlowId,
     },
     /// A new flow was passed on to another agent.
-    Passed {
+    PassedOn {
         /// The flow.
         flow: FlowId,
         /// Bid of this agent, or the reason for which it admits no flows.
@@ -91,7 +91,7 @@
         was_held: bool,
     },
     /// A search ended: no agent of the service holds the flow.
-    Unheld {
+    HolderAbsent {
         /// The flow.
         flow: FlowId,
         /// Number of agents that deny holding the flow.
@@ -101,7 +101,7 @@
     },
     /// A search expired with neither a holder nor enough denials to prove that
     /// there is none.
-    Undecided {
+    SearchExpired {
         /// The flow.
         flow: FlowId,
         /// Number of agents that deny holding the flow.
@@ -114,12 +114,12 @@
         is_complete: bool,
     },
     /// The backend server terminated, which ended all its flows.
-    Ended {
+    ServerEnded {
         /// Number of flows that it held.
         flows: usize,
     },
     /// A packet, a search or an announcement was dropped.
-    Dropped(Drop),
+    Dropped(DropReason),
 }
 
 /// Reason for which an agent admits no new flows.
@@ -156,14 +156,14 @@
 
 /// Reason for dropping a packet, a search or an announcement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Drop {
+pub enum DropReason {
     /// No server can admit the flow, but the flow may already be open through
     /// an earlier copy of its opening packet.
     RefusedCopy,
     /// The limit of concurrent searches is reached.
-    Searches,
+    SearchLimit,
     /// Another probe of the flow is pending, or all its probes are used up.
-    Probing,
+    ProbeLimit,
     /// An announcement is older than one already received.
     OldAnnouncement,
 }
--- a/roles/forward/src/agent/admission.rs
+++ b/roles/forward/src/agent/admission.rs
@@ -14,7 +14,7 @@
 use super::Agent;
 use super::Bid;
 use super::Closed;
-use super::Drop;
+use super::DropReason;
 use super::Refusal;
 use super::bid;
 use super::bid::Verdict;
@@ -30,7 +30,7 @@
         segment: Segment,
         actions: &mut Vec<Action>,
     ) {
-        let flow = segment.from_caller();
+        let flow = segment.flow_from_caller();
         if let Some(held) = self.flows.get_mut(&flow) {
             held.last_used = now;
             held.entry = Some(open.entry);
@@ -53,7 +53,7 @@
             Verdict::Admit(open) => self.admit(now, flow, open, bid.unwrap_or_default(), actions),
             Verdict::Pass(open) => {
                 self.passed_flows.insert(now, flow, open.clone());
-                actions.push(Action::Passed {
+                actions.push(Action::PassedOn {
                     flow,
                     bid,
                     to: open.path[usize::from(open.position)].target,
@@ -65,8 +65,8 @@
             }
             // The flow may have been opened elsewhere through an earlier copy
             // of the packet.
-            Verdict::Refuse(_) if segment.is_copy() => {
-                actions.push(Action::Dropped(Drop::RefusedCopy));
+            Verdict::Refuse(_) if segment.is_retransmission() => {
+                actions.push(Action::Dropped(DropReason::RefusedCopy));
             }
             Verdict::Refuse(open) => actions.push(Action::Reset {
                 flow,
@@ -101,7 +101,7 @@
         bid: Bid,
         actions: &mut Vec<Action>,
     ) {
-        actions.push(Action::Taken {
+        actions.push(Action::Admitted {
             flow,
             bid,
             running: self.occupancy.running(),
@@ -178,8 +178,8 @@
                 self.passed_flows.insert(now, flow, open.clone());
                 pass_on(open, actions);
             }
-            Some(_) if segment.is_copy() || is_late => {
-                actions.push(Action::Dropped(Drop::RefusedCopy));
+            Some(_) if segment.is_retransmission() || is_late => {
+                actions.push(Action::Dropped(DropReason::RefusedCopy));
             }
             Some(Verdict::Admit(open) | Verdict::Refuse(open)) => actions.push(Action::Reset {
                 flow,
--- a/roles/forward/src/agent/backend.rs
+++ b/roles/forward/src/agent/backend.rs
@@ -10,7 +10,7 @@
 
 /// Announcement of a backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Backend {
+pub struct Announcement {
     /// Name of the backend server.
     pub name: String,
     /// Address of the service that it serves.
@@ -40,7 +40,7 @@
     Gone,
 }
 
-impl Backend {
+impl Announcement {
     /// Returns true if this announcement was made before `other`.
     #[must_use]
     pub fn is_older_than(&self, other: &Self) -> bool {
--- a/roles/forward/src/agent/bid.rs
+++ b/roles/forward/src/agent/bid.rs
@@ -76,7 +76,7 @@
     let bids = open.bids.iter().enumerate();
     let lowest = bids.min_by_key(|(_, bid)| **bid);
     match lowest {
-        Some((index, bid)) if *bid <= open.patience_ms => {
+        Some((index, bid)) if *bid <= open.max_wait_ms => {
             let is_here = !open.is_settled && index + 1 == open.path.len();
             open.position = u8::try_from(index).unwrap_or(u8::MAX);
             open.is_settled = true;
@@ -91,5 +91,5 @@
 }
 
 const fn max_wait(open: &Open) -> Duration {
-    Duration::from_millis(open.patience_ms as u64)
+    Duration::from_millis(open.max_wait_ms as u64)
 }
--- a/roles/forward/src/agent/flow.rs
+++ b/roles/forward/src/agent/flow.rs
@@ -75,7 +75,7 @@
         Self {
             entry: Some(open.entry),
             slot: Some(start),
-            request_timeout: Duration::from_millis(u64::from(open.patience_ms)),
+            request_timeout: Duration::from_millis(u64::from(open.max_wait_ms)),
             open: Some(open),
             is_reserved: true,
             handshake: Handshake::Sent,
@@ -142,7 +142,7 @@
         if self.slot.is_none() {
             self.slot = Some(occupancy.begin(now));
         }
-        self.slot = self.slot.map(|start| start.moved(now));
+        self.slot = self.slot.map(|start| start.restarted_at(now));
         // The first content of a flow that was opened before this process
         // started may be a retransmission.
         self.is_reserved = self.handshake == Handshake::Unseen && self.requests == 0;
--- a/roles/forward/src/agent/lookup.rs
+++ b/roles/forward/src/agent/lookup.rs
@@ -8,13 +8,13 @@
 use wire::Segment;
 use wire::Transit;
 use wire::segment::Kind;
-use wire::transit::Absent;
-use wire::transit::Carry;
-use wire::transit::Seek;
+use wire::transit::Forward;
+use wire::transit::Lookup;
+use wire::transit::NotHeld;
 
 use super::Action;
 use super::Agent;
-use super::Drop;
+use super::DropReason;
 use super::MAX_PROBES;
 use super::Probe;
 use super::Refusal;
@@ -34,7 +34,7 @@
     /// opened before this process started.
     pub(super) fn may_hold(&self, now: Duration, flow: &FlowId) -> bool {
         self.may_hold_prior_flows
-            && now < self.started_at + self.settings.oldest_flow
+            && now < self.started_at + self.settings.max_flow_age
             && self.flows_not_held.get(now, flow).is_none()
             && self.passed_flows.get(now, flow).is_none()
             && self.ended_flows.get(now, flow).is_none()
@@ -43,27 +43,27 @@
     /// Handles a lookup for a searching agent. An agent that does not hold the
     /// flow stays silent, which saves a reply from each of many agents, unless
     /// its backend server is young enough for a denial to be conclusive.
-    pub(super) fn handle_seek(
+    pub(super) fn handle_lookup(
         &mut self,
         now: Duration,
-        seek: Seek,
+        seek: Lookup,
         segment: Segment,
         actions: &mut Vec<Action>,
     ) {
-        let flow = segment.from_caller();
+        let flow = segment.flow_from_caller();
         if seek.target != self.own.target {
             return;
         }
-        let (target, asker) = (seek.target, seek.asker);
+        let (target, asker) = (seek.target, seek.searcher);
         if self.look_up_locally(now, seek, segment, actions).is_none() {
             return;
         }
-        let carry = Carry {
+        let carry = Forward {
             target,
             entry: asker,
             packet: Bytes::new(),
         };
-        send_absent(flow, carry, &segment, self.evidence(now), actions);
+        send_not_held(flow, carry, &segment, self.evidence(now), actions);
     }
 
     /// Delivers a packet whose holder is unknown if its flow is held here, or
@@ -73,13 +73,17 @@
     pub(super) fn look_up_locally(
         &mut self,
         now: Duration,
-        seek: Seek,
+        seek: Lookup,
         segment: Segment,
         actions: &mut Vec<Action>,
     ) -> Option<Duration> {
-        let flow = segment.from_caller();
-        let Seek { asker, terms, .. } = seek;
-        let carry = Carry {
+        let flow = segment.flow_from_caller();
+        let Lookup {
+            searcher: asker,
+            terms,
+            ..
+        } = seek;
+        let carry = Forward {
             target: seek.target,
             entry: seek.entry,
             packet: seek.packet,
@@ -97,7 +101,7 @@
             return None;
         }
         if self.may_hold(now, &flow) {
-            if terms.may_try {
+            if terms.may_probe {
                 self.probe(now, flow, carry, asker, actions);
             }
             return None;
@@ -112,7 +116,7 @@
         &mut self,
         now: Duration,
         flow: FlowId,
-        carry: Carry,
+        carry: Forward,
         reply_to: SocketAddr,
         actions: &mut Vec<Action>,
     ) {
@@ -121,7 +125,7 @@
             probe.count >= MAX_PROBES || now < probe.sent_at + self.settings.probe_interval
         });
         if is_waiting {
-            return actions.push(Action::Dropped(Drop::Probing));
+            return actions.push(Action::Dropped(DropReason::ProbeLimit));
         }
         let probe = Probe {
             entry: carry.entry,
@@ -149,9 +153,9 @@
 
 /// Reports that a flow is not held here, and returns its packet so that an
 /// entry can search for the holder with it.
-pub(super) fn send_absent(
+pub(super) fn send_not_held(
     flow: FlowId,
-    carry: Carry,
+    carry: Forward,
     segment: &Segment,
     evidence: Option<Evidence>,
     actions: &mut Vec<Action>,
@@ -161,7 +165,7 @@
     let evidence = evidence.filter(|_| segment.kind != Kind::Reset);
     actions.push(Action::Send {
         to: carry.entry,
-        transit: Transit::Absent(Absent {
+        transit: Transit::NotHeld(NotHeld {
             flow,
             target: carry.target,
             acknowledged: segment.acknowledged,
--- a/roles/forward/src/agent/search.rs
+++ b/roles/forward/src/agent/search.rs
@@ -9,14 +9,14 @@
 use wire::Segment;
 use wire::TargetId;
 use wire::Transit;
-use wire::transit::Absent;
+use wire::transit::HolderAbsent;
+use wire::transit::Lookup;
+use wire::transit::NotHeld;
 use wire::transit::Search;
-use wire::transit::Seek;
-use wire::transit::Unheld;
 
 use super::Action;
 use super::Agent;
-use super::Drop;
+use super::DropReason;
 
 /// Maximum number of concurrent searches of one agent. When it is reached, an
 /// entry retries at another agent after a timeout.
@@ -29,7 +29,7 @@
     pub hops: Arc<Vec<Hop>>,
     /// Whether an agent is marked down, which may only be unreachable and still
     /// hold flows.
-    pub has_silent: bool,
+    pub has_down_agent: bool,
 }
 
 /// Search that has not ended yet.
@@ -57,18 +57,18 @@
         segment: Segment,
         actions: &mut Vec<Action>,
     ) {
-        let flow = segment.from_caller();
+        let flow = segment.flow_from_caller();
         if search.target != self.own.target {
             return;
         }
         if self.searches.len() >= MAX_SEARCHES {
-            return actions.push(Action::Dropped(Drop::Searches));
+            return actions.push(Action::Dropped(DropReason::SearchLimit));
         }
         let known = self.peers.hops.len() + 1;
-        let knows_all = known >= usize::from(search.known);
-        let is_complete = knows_all && !self.peers.has_silent;
+        let knows_all = known >= usize::from(search.known_agents);
+        let is_complete = knows_all && !self.peers.has_down_agent;
         let mut terms = search.terms;
-        terms.may_try &= knows_all;
+        terms.may_probe &= knows_all;
         let pending = Pending {
             started_at: now,
             entry: search.entry,
@@ -78,10 +78,10 @@
             denied: Vec::new(),
         };
         self.searches.insert(flow, pending);
-        let seek = Seek {
+        let seek = Lookup {
             target: search.target,
             entry: search.entry,
-            asker: self.own.address,
+            searcher: self.own.address,
             terms,
             packet: search.packet,
         };
@@ -94,7 +94,7 @@
         for hop in self.peers.hops.iter() {
             actions.push(Action::Send {
                 to: hop.address,
-                transit: Transit::Seek(Seek {
+                transit: Transit::Lookup(Lookup {
                     target: hop.target,
                     ..seek.clone()
                 }),
@@ -109,7 +109,7 @@
     pub(super) fn record_peer_denial(
         &mut self,
         now: Duration,
-        absent: &Absent,
+        absent: &NotHeld,
         actions: &mut Vec<Action>,
     ) {
         self.record_denial(now, absent.flow, absent.target, absent.age_ms, actions);
@@ -150,14 +150,14 @@
         if !is_denied || !pending.is_complete {
             return;
         }
-        actions.push(Action::Unheld {
+        actions.push(Action::HolderAbsent {
             flow,
             agents: pending.denied.len(),
             took: now.saturating_sub(pending.started_at),
         });
         actions.push(Action::Send {
             to: pending.entry,
-            transit: Transit::Unheld(Unheld {
+            transit: Transit::HolderAbsent(HolderAbsent {
                 flow,
                 target: self.own.target,
                 acknowledged: pending.acknowledged,
@@ -175,7 +175,7 @@
             // A search without a maximum age cannot be decided by denials, so
             // its expiry is not reported.
             if !is_waiting && pending.max_age_ms > 0 {
-                actions.push(Action::Undecided {
+                actions.push(Action::SearchExpired {
                     flow: *flow,
                     denied: pending.denied.len(),
                     agents,
--- a/roles/forward/src/agent/server.rs
+++ b/roles/forward/src/agent/server.rs
@@ -5,19 +5,19 @@
 use limit::Risk;
 use wire::Segment;
 use wire::segment::Kind;
-use wire::transit::Carry;
+use wire::transit::Forward;
 
 use super::Action;
 use super::Agent;
-use super::Backend;
-use super::Drop;
+use super::Announcement;
+use super::DropReason;
 use super::FIRST_SEQUENCE;
 use super::State;
 use super::backend::Start;
 use super::flow::Flow;
 use super::flow::Progress;
 use super::lookup::Evidence;
-use super::lookup::send_absent;
+use super::lookup::send_not_held;
 
 impl Agent {
     /// Handles a packet that the backend server returned because it does not
@@ -29,7 +29,7 @@
         packet: Bytes,
         actions: &mut Vec<Action>,
     ) {
-        let flow = segment.from_caller();
+        let flow = segment.flow_from_caller();
         let probe = self.probes.remove(&flow);
         let held = self.flows.remove(&flow);
         if held.as_ref().is_some_and(|flow| flow.slot.is_some()) {
@@ -52,12 +52,12 @@
         if reply_to == self.own.address {
             return self.record_own_denial(now, flow, actions);
         }
-        let carry = Carry {
+        let carry = Forward {
             target: self.own.target,
             entry: reply_to,
             packet,
         };
-        send_absent(flow, carry, &segment, self.evidence(now), actions);
+        send_not_held(flow, carry, &segment, self.evidence(now), actions);
     }
 
     /// Handles a packet that the backend server sent to a caller.
@@ -68,7 +68,7 @@
         packet: Bytes,
         actions: &mut Vec<Action>,
     ) {
-        let flow = segment.from_server();
+        let flow = segment.flow_from_server();
         let probe = self.probes.remove(&flow);
         let held = self
             .flows
@@ -76,11 +76,11 @@
             .or_insert_with(|| Flow::discovered(now));
         match held.record_server_packet(now, &segment, &mut self.occupancy) {
             Some(Progress::Answered(took)) => {
-                self.risk.answered(now);
+                self.risk.record_answer(now);
                 actions.push(Action::Answered { took });
             }
             Some(Progress::Failed) => {
-                self.risk.failed(now);
+                self.risk.record_failure(now);
                 actions.push(Action::Failed { flow });
             }
             Some(Progress::NextRequest) | None => {}
@@ -100,12 +100,12 @@
     pub(super) fn handle_announcement(
         &mut self,
         now: Duration,
-        backend: Backend,
+        backend: Announcement,
         actions: &mut Vec<Action>,
     ) {
         let current = self.backend.as_ref();
         if current.is_some_and(|held| backend.is_older_than(held)) {
-            return actions.push(Action::Dropped(Drop::OldAnnouncement));
+            return actions.push(Action::Dropped(DropReason::OldAnnouncement));
         }
         let is_first = current.is_none();
         if current.is_none_or(|held| held.start != backend.start) {
@@ -121,8 +121,10 @@
             // adds at most one heartbeat interval to the age.
             let later_announcements = backend.sequence.saturating_sub(FIRST_SEQUENCE);
             let later_announcements = u32::try_from(later_announcements).unwrap_or(u32::MAX);
-            self.max_age_when_first_announced =
-                self.settings.heartbeat.saturating_mul(later_announcements);
+            self.max_age_when_first_announced = self
+                .settings
+                .max_announcement_interval
+                .saturating_mul(later_announcements);
         }
         self.last_announced = now;
         self.unanswered_since = None;
@@ -137,7 +139,7 @@
             backend.state = State::Gone;
         }
         if !self.flows.is_empty() {
-            actions.push(Action::Ended {
+            actions.push(Action::ServerEnded {
                 flows: self.flows.len(),
             });
         }
