--- a/roles/forward/src/agent/settings.rs
+++ b/roles/forward/src/agent/settings.rs
@@ -1,7 +1,7 @@
 //! Settings of an agent that forwards packets without reading their content.
 use std::time::Duration;
 
-use limit::held;
+use limit::forecast;
 use limit::risk;
 
 /// Settings of an agent that forwards packets without reading their content.
@@ -10,7 +10,7 @@
     /// Assumed service time of a request until some have been measured.
     pub initial_service_time: Duration,
     /// Settings of the estimate of the load from held flows.
-    pub held_load: held::Settings,
+    pub held_load: forecast::Settings,
     /// Settings of the estimate of the failure rate.
     pub risk: risk::Settings,
     /// Maximum number of requests, beyond its slots, that the backend server is
@@ -22,15 +22,15 @@
     /// Time after the agent's start during which a backend server that may have
     /// been running before is assumed to be ready. At least the interval
     /// between two announcements.
-    pub assumed: Duration,
+    pub assumed_ready_time: Duration,
     /// Assumed number of slots until the backend server announces its own.
     pub initial_slots: u16,
     /// Maximum interval between two announcements.
-    pub heartbeat: Duration,
+    pub max_announcement_interval: Duration,
     /// Time without an announcement after which no new flows are admitted.
     /// Shorter than the time after which the backend server's address may be
     /// reused for another service.
-    pub silence: Duration,
+    pub announcement_timeout: Duration,
     /// Time without any reaction to an opening packet after which no new flows
     /// are admitted.
     pub reaction_timeout: Duration,
@@ -46,7 +46,7 @@
     /// Timeout of a search for the holder of a flow.
     pub search_timeout: Duration,
     /// Upper limit of the age of a flow.
-    pub oldest_flow: Duration,
+    pub max_flow_age: Duration,
     /// Time without packets after which a flow is dropped.
     pub idle_timeout: Duration,
     /// Time for which a flow is kept after it has ended or was passed on.
@@ -59,20 +59,20 @@
     fn default() -> Self {
         Self {
             initial_service_time: Duration::from_millis(20),
-            held_load: held::Settings::default(),
+            held_load: forecast::Settings::default(),
             risk: risk::Settings::default(),
             max_queued: 6,
             max_flows: 2_000,
-            assumed: Duration::from_secs(2),
+            assumed_ready_time: Duration::from_secs(2),
             initial_slots: 2,
-            heartbeat: Duration::from_secs(1),
-            silence: Duration::from_millis(1_900),
+            max_announcement_interval: Duration::from_secs(1),
+            announcement_timeout: Duration::from_millis(1_900),
             reaction_timeout: Duration::from_millis(150),
             prompt_rejection: Duration::from_millis(100),
             reservation_timeout: Duration::from_millis(500),
             probe_interval: Duration::from_secs(1),
             search_timeout: Duration::from_millis(500),
-            oldest_flow: Duration::from_mins(1),
+            max_flow_age: Duration::from_mins(1),
             idle_timeout: Duration::from_mins(1),
             linger: Duration::from_secs(4),
             sweep_interval: Duration::from_millis(100),
--- a/roles/forward/src/entry.rs
+++ b/roles/forward/src/entry.rs
@@ -17,7 +17,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use route::Place;
+use route::Placement;
 use wire::FlowId;
 use wire::Hop;
 use wire::Revision;
@@ -27,16 +27,16 @@
 use wire::Transit;
 use wire::ZoneId;
 use wire::segment::Kind;
-use wire::transit::Absent;
 use wire::transit::Busy;
-use wire::transit::Carry;
+use wire::transit::Forward;
 use wire::transit::Held;
+use wire::transit::HolderAbsent;
+use wire::transit::NotHeld;
 use wire::transit::Open;
-use wire::transit::Unheld;
 
 use crate::Routes;
 pub use action::Action;
-pub use action::Drop;
+pub use action::DropReason;
 pub use action::Refusal;
 use flow::Flow;
 use flow::Phase;
@@ -55,9 +55,9 @@
     /// An agent reports the holder of a flow.
     Held(Held),
     /// An agent returned a packet whose flow it does not hold.
-    Absent(Absent),
+    NotHeld(NotHeld),
     /// An agent reports that no agent of its service holds a flow.
-    Unheld(Unheld),
+    HolderAbsent(HolderAbsent),
     /// An agent reported its load instead of admitting a flow.
     Busy(Busy),
     /// The routes or the known backend servers changed.
@@ -74,7 +74,7 @@
     zone: ZoneId,
     routes: Arc<Routes>,
     flows: HashMap<FlowId, Flow>,
-    placement: Place,
+    placement: Placement,
     started_at: Duration,
     known_targets: HashSet<TargetId>,
     /// Time at which a backend server was last added to the known ones.
@@ -105,7 +105,7 @@
         now: Duration,
     ) -> Self {
         Self {
-            placement: Place::new(settings.place, zone, seed),
+            placement: Placement::new(settings.place, zone, seed),
             random: fastrand::Rng::with_seed(seed),
             address,
             zone,
@@ -133,9 +133,9 @@
                 self.handle_packet(context);
             }
             Event::Held(held) => self.record_holder(now, &held, actions),
-            Event::Absent(absent) => self.handle_absent(now, absent, actions),
-            Event::Unheld(unheld) => self.handle_unheld(now, unheld, actions),
-            Event::Busy(busy) => self.placement.learn(now, busy.target, busy.load),
+            Event::NotHeld(absent) => self.handle_not_held(now, absent, actions),
+            Event::HolderAbsent(unheld) => self.handle_holder_absent(now, unheld, actions),
+            Event::Busy(busy) => self.placement.record_load(now, busy.target, busy.load),
             Event::Routes(routes) => self.replace_routes(now, routes),
             Event::Tick => {}
         }
@@ -194,28 +194,28 @@
         match context.segment.kind {
             _ if !is_routed => self.handle_unrouted(&context.segment, context.actions),
             Kind::Open => self.handle_open(&routes, context),
-            Kind::Accept => context.actions.push(Action::Dropped(Drop::Direction)),
-            Kind::Data | Kind::Close | Kind::Reset => self.handle_carry(&routes, context),
+            Kind::Accept => context.actions.push(Action::Dropped(DropReason::Direction)),
+            Kind::Data | Kind::Close | Kind::Reset => self.handle_forward(&routes, context),
         }
     }
 
     /// Handles a packet to an address without a route. While the configuration
     /// may be out of date, nothing is sent and callers retransmit.
     fn handle_unrouted(&mut self, segment: &Segment, actions: &mut Vec<Action>) {
-        let flow = segment.from_caller();
+        let flow = segment.flow_from_caller();
         self.flows.remove(&flow);
         match segment.kind {
             Kind::Reset => {}
             _ if !self.routes.is_confirmed => {
-                actions.push(Action::Dropped(Drop::Unconfirmed));
+                actions.push(Action::Dropped(DropReason::Unconfirmed));
             }
-            Kind::Open if !segment.is_copy() => actions.push(Action::Reset {
+            Kind::Open if !segment.is_retransmission() => actions.push(Action::Reset {
                 flow,
                 sequence: segment.acknowledged,
                 reason: Refusal::NoRoute,
             }),
             // The flow may be open under a newer configuration than this one.
-            _ => actions.push(Action::Dropped(Drop::NoRoute)),
+            _ => actions.push(Action::Dropped(DropReason::NoRoute)),
         }
     }
 
@@ -223,7 +223,7 @@
     /// soonest, or its retransmission to the agent that received the first
     /// copy. An agent that did not answer in time is skipped.
     fn handle_open(&mut self, routes: &Routes, context: PacketContext<'_>) {
-        let flow = context.segment.from_caller();
+        let flow = context.segment.flow_from_caller();
         let mut tried = Vec::new();
         match self.flows.get_mut(&flow).map(|flow| &mut flow.phase) {
             Some(Phase::Held(holder)) => {
@@ -241,7 +241,7 @@
                 let first = opening.path[0].target;
                 tried.clone_from(&opening.tried);
                 tried.push(first);
-                self.placement.distrust(context.now, first);
+                self.placement.mark_unresponsive(context.now, first);
             }
             _ => {}
         }
@@ -265,9 +265,9 @@
         context: &PacketContext<'_>,
         tried: &[TargetId],
     ) -> Vec<Hop> {
-        let flow = context.segment.from_caller();
+        let flow = context.segment.flow_from_caller();
         let route = routes.route(flow.service);
-        let Some(service) = route.and_then(|route| route.service(&flow)) else {
+        let Some(service) = route.and_then(|route| route.select_service(&flow)) else {
             return Vec::new();
         };
         let untried = routes
@@ -297,14 +297,14 @@
         actions: &mut Vec<Action>,
     ) {
         let is_starting = now < self.started_at + self.settings.startup_grace;
-        let flow = segment.from_caller();
+        let flow = segment.flow_from_caller();
         let is_known = routes
             .route(flow.service)
             .is_some_and(|route| routes.possible_holders(route).next().is_some());
         actions.push(if is_starting && !is_known {
-            Action::Dropped(Drop::Young)
-        } else if segment.is_copy() {
-            Action::Dropped(Drop::RefusedCopy)
+            Action::Dropped(DropReason::ServersUnknown)
+        } else if segment.is_retransmission() {
+            Action::Dropped(DropReason::RefusedCopy)
         } else {
             Action::Reset {
                 flow,
@@ -322,11 +322,11 @@
         tried: Vec<TargetId>,
         context: PacketContext<'_>,
     ) {
-        let flow = context.segment.from_caller();
+        let flow = context.segment.flow_from_caller();
         let first = path[0];
         let timeout = routes.route(flow.service).map(|route| route.timeout);
         let timeout_ms = timeout.unwrap_or_default().as_millis();
-        self.placement.sent(first.target);
+        self.placement.record_sent(first.target);
         let is_first = !self.flows.contains_key(&flow);
         if is_first {
             context.actions.push(Action::Opened {
@@ -353,7 +353,7 @@
                 position: 0,
                 bids: Vec::new(),
                 is_settled: false,
-                patience_ms: u32::try_from(timeout_ms).unwrap_or(u32::MAX),
+                max_wait_ms: u32::try_from(timeout_ms).unwrap_or(u32::MAX),
                 packet: context.packet,
             }),
         });
@@ -361,8 +361,8 @@
 
     /// Sends a packet to the agent that holds its flow, or starts a search for
     /// the holder.
-    fn handle_carry(&mut self, routes: &Routes, context: PacketContext<'_>) {
-        let flow = context.segment.from_caller();
+    fn handle_forward(&mut self, routes: &Routes, context: PacketContext<'_>) {
+        let flow = context.segment.flow_from_caller();
         let Some(state) = self.flows.get_mut(&flow) else {
             return self.start_search(routes, None, context);
         };
@@ -383,10 +383,12 @@
             }
             Phase::Searching(searching) => {
                 if !searching.enqueue(context.packet) {
-                    context.actions.push(Action::Dropped(Drop::Crowded));
+                    context.actions.push(Action::Dropped(DropReason::QueueFull));
                 }
             }
-            Phase::Lost => context.actions.push(Action::Dropped(Drop::Lost)),
+            Phase::Lost => context
+                .actions
+                .push(Action::Dropped(DropReason::HolderNotFound)),
         }
     }
 
@@ -394,7 +396,7 @@
     fn send_to_holder(&self, holder: Hop, context: PacketContext<'_>) {
         context.actions.push(Action::Send {
             to: holder.address,
-            transit: Transit::Carry(Carry {
+            transit: Transit::Forward(Forward {
                 target: holder.target,
                 entry: self.address,
                 packet: context.packet,
@@ -405,7 +407,7 @@
     /// Records the holder of a flow and sends it the queued packets.
     fn record_holder(&mut self, now: Duration, held: &Held, actions: &mut Vec<Action>) {
         if let Some(load) = held.load {
-            self.placement.learn(now, held.holder.target, load);
+            self.placement.record_load(now, held.holder.target, load);
         }
         let previous = self.flows.remove(&held.flow);
         let is_closing = previous.as_ref().is_some_and(|flow| flow.is_closing);
@@ -422,7 +424,7 @@
             }
             _ => return,
         };
-        actions.push(Action::Found {
+        actions.push(Action::HolderFound {
             flow: held.flow,
             holder: held.holder.target,
             took: now.saturating_sub(searching.asked_at),
@@ -430,7 +432,7 @@
         for packet in searching.queued {
             actions.push(Action::Send {
                 to: held.holder.address,
-                transit: Transit::Carry(Carry {
+                transit: Transit::Forward(Forward {
                     target: held.holder.target,
                     entry: self.address,
                     packet,
@@ -442,7 +444,7 @@
     /// Handles a denial by the recorded holder of a flow: resets the flow if
     /// the holder's backend server has restarted, or else searches for another
     /// holder.
-    fn handle_absent(&mut self, now: Duration, absent: Absent, actions: &mut Vec<Action>) {
+    fn handle_not_held(&mut self, now: Duration, absent: NotHeld, actions: &mut Vec<Action>) {
         let Some(state) = self.flows.get(&absent.flow) else {
             return;
         };
@@ -512,6 +514,6 @@
         sequence: 0,
         acknowledged: 0,
         length: 0,
-        mark: 0,
+        echo: 0,
     }
 }
--- a/roles/forward/src/entry/action.rs
+++ b/roles/forward/src/entry/action.rs
@@ -45,7 +45,7 @@
         took: Duration,
     },
     /// An agent was asked to search for the holder of a flow.
-    Sought {
+    SearchRequested {
         /// The flow.
         flow: FlowId,
         /// Backend server of the agent that was asked.
@@ -56,7 +56,7 @@
         terms: Terms,
     },
     /// A search found the holder of a flow.
-    Found {
+    HolderFound {
         /// The flow.
         flow: FlowId,
         /// Backend server that holds the flow.
@@ -65,7 +65,7 @@
         took: Duration,
     },
     /// A search ended without a holder.
-    Vanished {
+    SearchFailed {
         /// The flow.
         flow: FlowId,
         /// Number of search attempts, each at another agent of the service if
@@ -73,7 +73,7 @@
         rounds: u8,
     },
     /// A packet was dropped.
-    Dropped(Drop),
+    Dropped(DropReason),
 }
 
 /// Reason for which a flow was refused or reset.
@@ -89,7 +89,7 @@
 
 /// Reason for dropping a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Drop {
+pub enum DropReason {
     /// The packet is of a kind that only backend servers send.
     Direction,
     /// The address has no route, but the configuration may be out of date.
@@ -101,9 +101,9 @@
     /// earlier copy of its opening packet.
     RefusedCopy,
     /// The entry has just started and does not know any backend server yet.
-    Young,
+    ServersUnknown,
     /// The queue of packets that wait for the holder of their flow is full.
-    Crowded,
+    QueueFull,
     /// A recent search found no holder of the flow.
-    Lost,
+    HolderNotFound,
 }
--- a/roles/forward/src/entry/search.rs
+++ b/roles/forward/src/entry/search.rs
@@ -11,9 +11,9 @@
 use wire::Target;
 use wire::TargetId;
 use wire::Transit;
+use wire::transit::HolderAbsent;
 use wire::transit::Search;
 use wire::transit::Terms;
-use wire::transit::Unheld;
 
 use super::Action;
 use super::Entry;
@@ -37,7 +37,7 @@
         absent: Option<TargetId>,
         context: PacketContext<'_>,
     ) {
-        let flow = context.segment.from_caller();
+        let flow = context.segment.flow_from_caller();
         let mut searching = flow::Searching {
             asked_at: context.now,
             packet: context.packet,
@@ -79,11 +79,11 @@
                     target: searcher.id,
                     entry: self.address,
                     terms,
-                    known: u16::try_from(known).unwrap_or(u16::MAX),
+                    known_agents: u16::try_from(known).unwrap_or(u16::MAX),
                     packet: searching.packet.clone(),
                 }),
             });
-            actions.push(Action::Sought {
+            actions.push(Action::SearchRequested {
                 flow,
                 searcher: searcher.id,
                 known,
@@ -116,7 +116,7 @@
         let may_try = self.knows_all_agents(now);
         let is_conclusive = may_try && !self.routes.has_down_target(route);
         Terms {
-            may_try,
+            may_probe: may_try,
             max_age_ms: if is_conclusive {
                 self.max_age_ms(now)
             } else {
@@ -141,10 +141,10 @@
     /// Records that no agent of a service holds a flow. Once this applies to
     /// all services of its route, the flow ended with its backend server and is
     /// reset.
-    pub(super) fn handle_unheld(
+    pub(super) fn handle_holder_absent(
         &mut self,
         now: Duration,
-        unheld: Unheld,
+        unheld: HolderAbsent,
         actions: &mut Vec<Action>,
     ) {
         let routes = Arc::clone(&self.routes);
@@ -200,7 +200,7 @@
                 state.phase = Phase::Lost;
                 state.last_used = now;
                 state.phase_since = now;
-                actions.push(Action::Vanished { flow, rounds });
+                actions.push(Action::SearchFailed { flow, rounds });
                 continue;
             }
             let Some(mut state) = self.flows.remove(&flow) else {
--- a/roles/forward/src/entry/settings.rs
+++ b/roles/forward/src/entry/settings.rs
@@ -1,13 +1,13 @@
 //! Settings of an entry that forwards packets without reading their content.
 use std::time::Duration;
 
-use route::place;
+use route::placement;
 
 /// Settings of an entry that forwards packets without reading their content.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// Settings of the ranking of backend servers for new flows.
-    pub place: place::Settings,
+    pub place: placement::Settings,
     /// Maximum number of agents that an opening packet visits before the bids
     /// decide.
     pub path_length: usize,
@@ -49,7 +49,7 @@
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            place: place::Settings::default(),
+            place: placement::Settings::default(),
             path_length: 3,
             agent_timeout: Duration::from_millis(150),
             startup_grace: Duration::from_secs(3),
--- a/roles/forward/src/routes.rs
+++ b/roles/forward/src/routes.rs
@@ -21,7 +21,7 @@
     /// Timeout of a request.
     pub timeout: Duration,
     /// Target latency of a request: an answer within it has its full value.
-    pub objective: Duration,
+    pub target_latency: Duration,
     /// Load-shedding priority: under overload, routes with a higher number are
     /// shed first and 0 last.
     pub priority: u8,
@@ -61,14 +61,14 @@
     pub targets: HashMap<ServiceAddress, Arc<Vec<Target>>>,
     /// Services with backend servers that are marked down but may only be
     /// unreachable.
-    pub silent: HashSet<ServiceAddress>,
+    pub services_with_down_targets: HashSet<ServiceAddress>,
 }
 
 impl Route {
     /// Returns the service for a new flow, or `None` if the weights sum to 0.
     /// The same flow always maps to the same service.
     #[must_use]
-    pub fn service(&self, flow: &FlowId) -> Option<ServiceAddress> {
+    pub fn select_service(&self, flow: &FlowId) -> Option<ServiceAddress> {
         let sum: u64 = self
             .shares
             .iter()
@@ -111,7 +111,7 @@
     #[must_use]
     pub fn has_down_target(&self, route: &Route) -> bool {
         let mut shares = route.shares.iter();
-        shares.any(|share| self.silent.contains(&share.service))
+        shares.any(|share| self.services_with_down_targets.contains(&share.service))
     }
 
     /// Returns all backend servers that may hold a flow of a route.
--- a/roles/forward/tests/agent.rs
+++ b/roles/forward/tests/agent.rs
@@ -78,13 +78,13 @@
     let mut agent = ready_agent(false);
     fill_slots(&mut agent, ms(1));
     send_open(&mut agent, ms(1), 9, open_frame(&[OWN, 2]));
-    let event = Event::Carry {
+    let event = Event::Forward {
         carry: carry_frame(OWN),
         segment: caller_segment(9, Kind::Data, 100),
     };
     let actions = handle(&mut agent, ms(20), event);
     let followed = actions.iter().any(|action| {
-        matches!(action, Action::Send { to, transit: Transit::Carry(carry) }
+        matches!(action, Action::Send { to, transit: Transit::Forward(carry) }
             if *to == hop(2).address && carry.target == 2)
     });
     let is_notified = actions.iter().any(|action| {
@@ -99,7 +99,7 @@
     let mut agent = ready_agent(false);
     fill_slots(&mut agent, ms(1));
     let impatient = Open {
-        patience_ms: 1,
+        max_wait_ms: 1,
         ..open_frame(&[OWN])
     };
     let actions = send_open(&mut agent, ms(1), 9, impatient);
@@ -110,7 +110,7 @@
 fn flow_that_the_server_does_not_accept_is_passed_on() {
     let mut agent = ready_agent(false);
     send_open(&mut agent, ms(1), 9, open_frame(&[OWN, 2]));
-    let event = Event::Server {
+    let event = Event::ServerPacket {
         segment: returned_segment(9, Kind::Open),
         packet: packet(),
     };
@@ -124,10 +124,10 @@
     send_open(&mut agent, ms(1), 9, open_frame(&[OWN, 2]));
     accept_flow(&mut agent, ms(1), 9);
     let draining = announcement(OWN, 1, 6, State::Draining);
-    handle(&mut agent, ms(2), Event::Backend(draining));
+    handle(&mut agent, ms(2), Event::Announcement(draining));
     let opened = send_open(&mut agent, ms(3), 10, open_frame(&[OWN, 2]));
     assert!(passed_on(&opened).is_some());
-    let event = Event::Carry {
+    let event = Event::Forward {
         carry: carry_frame(OWN),
         segment: caller_segment(9, Kind::Data, 100),
     };
@@ -137,7 +137,7 @@
 #[test]
 fn server_without_recent_announcement_gets_no_new_flows() {
     let mut agent = ready_agent(false);
-    let late = Settings::default().silence + ms(1);
+    let late = Settings::default().announcement_timeout + ms(1);
     let actions = send_open(&mut agent, late, 9, open_frame(&[OWN, 2]));
     assert!(passed_on(&actions).is_some());
 }
@@ -148,12 +148,12 @@
     handle(
         &mut agent,
         ms(1),
-        Event::Backend(announcement(OWN, 2, 1, State::Ready)),
+        Event::Announcement(announcement(OWN, 2, 1, State::Ready)),
     );
     handle(
         &mut agent,
         ms(2),
-        Event::Backend(announcement(OWN, 1, 9, State::Draining)),
+        Event::Announcement(announcement(OWN, 1, 9, State::Draining)),
     );
     assert_eq!(agent.closed_reason(ms(3)), None);
 }
@@ -165,9 +165,9 @@
     handle(
         &mut agent,
         ms(2),
-        Event::Backend(announcement(OWN, 2, 1, State::Ready)),
+        Event::Announcement(announcement(OWN, 2, 1, State::Ready)),
     );
-    let event = Event::Carry {
+    let event = Event::Forward {
         carry: carry_frame(OWN),
         segment: caller_segment(9, Kind::Data, 100),
     };
@@ -180,7 +180,7 @@
         matches!(
             action,
             Action::Send {
-                transit: Transit::Absent(_),
+                transit: Transit::NotHeld(_),
                 ..
             }
         )
@@ -191,7 +191,7 @@
 fn restarted_agent_does_not_probe_a_flow_again_that_was_returned() {
     let mut agent = ready_agent(true);
     assert!(delivers(&look_up(&mut agent, ms(1), 9)));
-    let event = Event::Server {
+    let event = Event::ServerPacket {
         segment: returned_segment(9, Kind::Data),
         packet: packet(),
     };
@@ -210,7 +210,7 @@
 fn flow_is_held_if_the_server_answers_a_probe() {
     let mut agent = ready_agent(true);
     look_up(&mut agent, ms(1), 9);
-    let event = Event::Server {
+    let event = Event::ServerPacket {
         segment: server_segment(9, Kind::Data, 50),
         packet: packet(),
     };
@@ -231,7 +231,7 @@
 #[test]
 fn packet_for_another_server_is_reported_absent() {
     let mut agent = ready_agent(true);
-    let event = Event::Carry {
+    let event = Event::Forward {
         carry: carry_frame(7),
         segment: caller_segment(9, Kind::Data, 100),
     };
@@ -246,7 +246,7 @@
     let mut agent = ready_agent(false);
     send_open(&mut agent, ms(1), 9, open_frame(&[OWN]));
     accept_flow(&mut agent, ms(1), 9);
-    let event = Event::Carry {
+    let event = Event::Forward {
         carry: carry_frame(OWN),
         segment: caller_segment(9, Kind::Data, 100),
     };
@@ -277,7 +277,7 @@
 fn passed_on_flow_is_not_probed() {
     let mut agent = ready_agent(true);
     send_open(&mut agent, ms(1), 9, open_frame(&[OWN, 2]));
-    let event = Event::Server {
+    let event = Event::ServerPacket {
         segment: returned_segment(9, Kind::Open),
         packet: packet(),
     };
@@ -310,7 +310,7 @@
     handle(
         &mut agent,
         ms(0),
-        Event::Backend(announcement(OWN, 1, 1, State::Ready)),
+        Event::Announcement(announcement(OWN, 1, 1, State::Ready)),
     );
     assert_eq!(look_up(&mut agent, ms(1), 9), []);
 }
@@ -320,12 +320,12 @@
 #[test]
 fn first_request_of_a_prior_flow_frees_its_slot_after_the_reservation() {
     let mut agent = ready_agent(true);
-    let sent = Event::Server {
+    let sent = Event::ServerPacket {
         segment: server_segment(9, Kind::Data, 0),
         packet: packet(),
     };
     handle(&mut agent, ms(1), sent);
-    let event = Event::Carry {
+    let event = Event::Forward {
         carry: carry_frame(OWN),
         segment: caller_segment(9, Kind::Data, 100),
     };
@@ -339,12 +339,12 @@
     let mut agent = ready_agent(false);
     send_open(&mut agent, ms(1), 9, open_frame(&[OWN]));
     accept_flow(&mut agent, ms(1), 9);
-    let request = || Event::Carry {
+    let request = || Event::Forward {
         carry: carry_frame(OWN),
         segment: caller_segment(9, Kind::Data, 100),
     };
     handle(&mut agent, ms(2), request());
-    let answer = Event::Server {
+    let answer = Event::ServerPacket {
         segment: server_segment(9, Kind::Data, 50),
         packet: packet(),
     };
@@ -365,7 +365,7 @@
         9,
         open_frame(&[OWN])
     )));
-    let late = Settings::default().assumed;
+    let late = Settings::default().assumed_ready_time;
     assert_eq!(agent.closed_reason(late), Some(Closed::Unknown));
 }
 
@@ -388,7 +388,7 @@
 fn packet_after_accept(acknowledged: u32) -> Vec<Action> {
     let mut agent = ready_agent(true);
     send_open(&mut agent, ms(1), 9, open_frame(&[OWN]));
-    let accept = Event::Server {
+    let accept = Event::ServerPacket {
         segment: wire::Segment {
             sequence: 5_000,
             ..server_segment(9, Kind::Accept, 0)
@@ -396,7 +396,7 @@
         packet: packet(),
     };
     handle(&mut agent, ms(2), accept);
-    let event = Event::Carry {
+    let event = Event::Forward {
         carry: carry_frame(OWN),
         segment: wire::Segment {
             acknowledged,
@@ -431,7 +431,7 @@
         ..caller_segment(9, Kind::Open, 0)
     };
     let open = Open {
-        patience_ms: 1,
+        max_wait_ms: 1,
         ..open_frame(&[OWN])
     };
     let actions = handle(&mut agent, ms(1), Event::Open { open, segment });
@@ -442,7 +442,7 @@
 fn opening_packet_returned_late_is_not_reset() {
     let mut agent = ready_agent(false);
     send_open(&mut agent, ms(1), 9, open_frame(&[OWN]));
-    let event = Event::Server {
+    let event = Event::ServerPacket {
         segment: returned_segment(9, Kind::Open),
         packet: packet(),
     };
@@ -454,7 +454,7 @@
 fn opening_packet_returned_at_once_is_reset() {
     let mut agent = ready_agent(false);
     send_open(&mut agent, ms(1), 9, open_frame(&[OWN]));
-    let event = Event::Server {
+    let event = Event::ServerPacket {
         segment: returned_segment(9, Kind::Open),
         packet: packet(),
     };
--- a/roles/forward/tests/entry.rs
+++ b/roles/forward/tests/entry.rs
@@ -8,7 +8,7 @@
 use forward::Entry;
 use forward::Routes;
 use forward::entry::Action;
-use forward::entry::Drop;
+use forward::entry::DropReason;
 use forward::entry::Event;
 use forward::entry::Refusal;
 use forward::entry::Settings;
@@ -74,7 +74,7 @@
 }
 
 fn flow() -> FlowId {
-    caller_segment(9, Kind::Data, 0).from_caller()
+    caller_segment(9, Kind::Data, 0).flow_from_caller()
 }
 
 fn report_holder(entry: &mut Entry, now: Duration, target: TargetId) -> Vec<Action> {
@@ -105,7 +105,7 @@
 }
 
 fn forwarded(actions: &[Action]) -> Vec<TargetId> {
-    receivers(actions, |transit| matches!(transit, Transit::Carry(_)))
+    receivers(actions, |transit| matches!(transit, Transit::Forward(_)))
 }
 
 /// Returns the agents that are asked to search.
@@ -186,14 +186,14 @@
 fn starting_entry_without_servers_drops_opening_packets() {
     let mut entry = entry_with(Vec::new());
     let actions = send(&mut entry, ms(1), Kind::Open);
-    assert_eq!(actions, [Action::Dropped(Drop::Young)]);
+    assert_eq!(actions, [Action::Dropped(DropReason::ServersUnknown)]);
 }
 
 #[test]
 fn address_without_a_route_is_reset_only_if_the_configuration_is_confirmed() {
     let mut entry = Entry::new(Settings::default(), entry_address(), LOCAL_ZONE, 1, ms(0));
     let actions = send(&mut entry, ms(1), Kind::Open);
-    assert_eq!(actions, [Action::Dropped(Drop::Unconfirmed)]);
+    assert_eq!(actions, [Action::Dropped(DropReason::Unconfirmed)]);
     let empty = Routes {
         is_confirmed: true,
         ..Routes::default()
@@ -257,7 +257,7 @@
     let lost = discovery_time() + ms(500);
     assert_eq!(
         send(&mut entry, lost, Kind::Data),
-        [Action::Dropped(Drop::Lost)]
+        [Action::Dropped(DropReason::HolderNotFound)]
     );
 }
 
@@ -267,13 +267,13 @@
 fn probes_are_not_allowed_until_all_agents_are_known() {
     let mut entry = entry_with(two_zones());
     let first = search_terms(&send(&mut entry, ms(100), Kind::Data)).unwrap();
-    assert!(!first.may_try);
+    assert!(!first.may_probe);
     for time in (100..1_500).step_by(50) {
         let asked = search_terms(&handle(&mut entry, ms(time), Event::Tick));
-        assert!(asked.is_none_or(|terms| terms.may_try == (ms(time) >= discovery_time())));
+        assert!(asked.is_none_or(|terms| terms.may_probe == (ms(time) >= discovery_time())));
     }
     let asked = search_terms(&send(&mut entry, ms(1_500), Kind::Data)).unwrap();
-    assert!(asked.may_try);
+    assert!(asked.may_probe);
 }
 
 #[test]
@@ -283,7 +283,7 @@
     more.push(target(4, LOCAL_ZONE, State::Draining));
     handle(&mut entry, discovery_time(), Event::Routes(routes(more)));
     let asked = search_terms(&send(&mut entry, discovery_time() + ms(1), Kind::Data)).unwrap();
-    assert!(!asked.may_try);
+    assert!(!asked.may_probe);
     assert_eq!(asked.max_age_ms, 0);
 }
 
@@ -292,7 +292,7 @@
     let mut entry = entry_with(two_zones());
     send(&mut entry, ms(1), Kind::Open);
     report_holder(&mut entry, ms(2), 1);
-    let absent = transit::Absent {
+    let absent = transit::NotHeld {
         flow: flow(),
         target: 1,
         acknowledged: 0,
@@ -301,7 +301,11 @@
         packet: packet(),
     };
     assert_eq!(
-        asked_to_search(&handle(&mut entry, discovery_time(), Event::Absent(absent))),
+        asked_to_search(&handle(
+            &mut entry,
+            discovery_time(),
+            Event::NotHeld(absent)
+        )),
         [2]
     );
 }
@@ -331,7 +335,7 @@
 /// Reports that a backend server with the given start time does not hold the
 /// flow.
 fn report_absent(entry: &mut Entry, now: Duration, target: TargetId, start: u64) -> Vec<Action> {
-    let absent = transit::Absent {
+    let absent = transit::NotHeld {
         flow: flow(),
         target,
         acknowledged: 77,
@@ -339,7 +343,7 @@
         start: Some(start),
         packet: packet(),
     };
-    handle(entry, now, Event::Absent(absent))
+    handle(entry, now, Event::NotHeld(absent))
 }
 
 fn resets(actions: &[Action]) -> bool {
@@ -351,12 +355,12 @@
 
 /// Reports that no agent of the service of `target` holds the flow.
 fn report_unheld(entry: &mut Entry, now: Duration, target: TargetId) -> Vec<Action> {
-    let unheld = transit::Unheld {
+    let unheld = transit::HolderAbsent {
         flow: flow(),
         target,
         acknowledged: 1,
     };
-    handle(entry, now, Event::Unheld(unheld))
+    handle(entry, now, Event::HolderAbsent(unheld))
 }
 
 #[test]
@@ -404,7 +408,7 @@
 fn flow_is_not_reset_while_a_server_may_be_unreachable() {
     let known = Arc::unwrap_or_clone(routes(two_zones()));
     let routes = Routes {
-        silent: [service_address()].into(),
+        services_with_down_targets: [service_address()].into(),
         ..known
     };
     let mut entry = Entry::new(Settings::default(), entry_address(), LOCAL_ZONE, 1, ms(0));
--- a/roles/forward/tests/failing_server.rs
+++ b/roles/forward/tests/failing_server.rs
@@ -85,7 +85,7 @@
         configured_entry.handle(ms(0), routes, &mut Vec::new());
         let agents = ids.clone().map(|id| {
             let mut agent = Agent::new(settings.clone(), hop(id), false, ms(0));
-            let announced = agent::Event::Backend(announcement(id, 1, 1, State::Ready));
+            let announced = agent::Event::Announcement(announcement(id, 1, 1, State::Ready));
             agent.handle(ms(0), announced, &mut Vec::new());
             (id, agent)
         });
@@ -146,7 +146,7 @@
             Event::FrameAtAgent(id, transit) => self.receive_at_agent(id, transit),
             Event::ServerPacket(id, segment) => {
                 let packet = encode(&segment);
-                self.notify_agent(id, agent::Event::Server { segment, packet });
+                self.notify_agent(id, agent::Event::ServerPacket { segment, packet });
             }
             Event::PacketAtCaller(segment) => self.receive_at_caller(&segment),
             Event::GiveUp(port) => {
@@ -158,7 +158,7 @@
                 self.announcements += 1;
                 for id in 1..=SERVERS {
                     let announced = announcement(id, 1, 1 + self.announcements, State::Ready);
-                    self.notify_agent(id, agent::Event::Backend(announced));
+                    self.notify_agent(id, agent::Event::Announcement(announced));
                 }
                 self.notify_entry(entry::Event::Tick);
                 self.schedule(ms(50), Event::Tick);
@@ -192,9 +192,9 @@
                 let segment = decode(&open.packet);
                 self.notify_agent(id, agent::Event::Open { open, segment });
             }
-            Transit::Carry(carry) => {
+            Transit::Forward(carry) => {
                 let segment = decode(&carry.packet);
-                self.notify_agent(id, agent::Event::Carry { carry, segment });
+                self.notify_agent(id, agent::Event::Forward { carry, segment });
             }
             _ => {}
         }
--- a/roles/forward/tests/search.rs
+++ b/roles/forward/tests/search.rs
@@ -15,7 +15,7 @@
 use wire::TargetId;
 use wire::Transit;
 use wire::segment::Kind;
-use wire::transit::Absent;
+use wire::transit::NotHeld;
 use wire::transit::Search;
 use wire::transit::Terms;
 
@@ -23,7 +23,7 @@
 /// backend servers.
 fn look_up_with_max_age(agent: &mut Agent, now: Duration, max_age: Duration) -> Vec<Action> {
     let terms = Terms {
-        may_try: false,
+        may_probe: false,
         max_age_ms: u32::try_from(max_age.as_millis()).unwrap(),
     };
     look_up_with_terms(agent, now, 9, terms)
@@ -31,7 +31,7 @@
 
 fn sends_denial(actions: &[Action]) -> bool {
     actions.iter().any(|action| {
-        matches!(action, Action::Send { to, transit: Transit::Absent(absent) }
+        matches!(action, Action::Send { to, transit: Transit::NotHeld(absent) }
             if absent.age_ms.is_some() && absent.packet.is_empty() && *to == searcher_address())
     })
 }
@@ -40,7 +40,7 @@
 fn agent_since_first_announcement() -> Agent {
     let mut agent = Agent::new(Settings::default(), hop(OWN), true, ms(0));
     let first = announcement(OWN, 1, 1, State::Ready);
-    handle(&mut agent, ms(0), Event::Backend(first));
+    handle(&mut agent, ms(0), Event::Announcement(first));
     agent
 }
 
@@ -72,7 +72,7 @@
 fn restarted_server_denies_the_flows_of_its_predecessor() {
     let mut agent = ready_agent(true);
     let next = announcement(OWN, 2, 1, State::Ready);
-    handle(&mut agent, ms(5_000), Event::Backend(next));
+    handle(&mut agent, ms(5_000), Event::Announcement(next));
     assert!(sends_denial(&look_up_with_max_age(
         &mut agent,
         ms(5_100),
@@ -85,7 +85,7 @@
     let mut agent = ready_agent(false);
     send_open(&mut agent, ms(1), 9, open_frame(&[OWN]));
     accept_flow(&mut agent, ms(2), 9);
-    handle(&mut agent, ms(3), Event::Gone);
+    handle(&mut agent, ms(3), Event::ServerEnded);
     let actions = look_up_with_max_age(&mut agent, ms(4), ms(0));
     assert!(matches!(actions[..], [Action::Reset { .. }]), "{actions:?}");
 }
@@ -96,10 +96,10 @@
         target: OWN,
         entry: entry_address(),
         terms: Terms {
-            may_try: true,
+            may_probe: true,
             max_age_ms: u32::try_from(max_age.as_millis()).unwrap(),
         },
-        known,
+        known_agents: known,
         packet: packet(),
     };
     let segment = caller_segment(9, Kind::Data, 100);
@@ -110,31 +110,31 @@
     let hops = others.iter().copied().map(hop).collect();
     let others = Peers {
         hops: Arc::new(hops),
-        has_silent: has_down_agent,
+        has_down_agent,
     };
     handle(agent, ms(0), Event::Peers(others));
 }
 
 /// Another agent reports that it does not hold the flow.
 fn receive_denial(agent: &mut Agent, now: Duration, target: TargetId, age_ms: u32) -> Vec<Action> {
-    let absent = Absent {
-        flow: caller_segment(9, Kind::Data, 0).from_caller(),
+    let absent = NotHeld {
+        flow: caller_segment(9, Kind::Data, 0).flow_from_caller(),
         target,
         acknowledged: 1,
         age_ms: Some(age_ms),
         start: Some(1),
         packet: bytes::Bytes::new(),
     };
-    handle(agent, now, Event::Denied(absent))
+    handle(agent, now, Event::PeerDenied(absent))
 }
 
 /// Returns the agents that are asked, and whether they may probe.
 fn asked_agents(actions: &[Action]) -> Vec<(TargetId, bool)> {
     let asked = actions.iter().filter_map(|action| match action {
         Action::Send {
-            transit: Transit::Seek(seek),
+            transit: Transit::Lookup(seek),
             ..
-        } => Some((seek.target, seek.terms.may_try)),
+        } => Some((seek.target, seek.terms.may_probe)),
         _ => None,
     });
     asked.collect()
@@ -142,7 +142,7 @@
 
 fn reports_unheld(actions: &[Action]) -> bool {
     actions.iter().any(|action| {
-        matches!(action, Action::Send { to, transit: Transit::Unheld(_) } if *to == entry_address())
+        matches!(action, Action::Send { to, transit: Transit::HolderAbsent(_) } if *to == entry_address())
     })
 }
 
@@ -210,7 +210,7 @@
 fn search_waits_for_a_probe_of_its_own_server() {
     let mut agent = Agent::new(Settings::default(), hop(OWN), true, ms(0));
     let second = announcement(OWN, 1, 2, State::Ready);
-    handle(&mut agent, ms(0), Event::Backend(second));
+    handle(&mut agent, ms(0), Event::Announcement(second));
     set_peers(&mut agent, &[2], false);
     assert!(delivers(&send_search(&mut agent, ms(100), 2, MAX_AGE)));
     assert!(!reports_unheld(&receive_denial(
@@ -219,7 +219,7 @@
         2,
         500
     )));
-    let event = Event::Server {
+    let event = Event::ServerPacket {
         segment: returned_segment(9, Kind::Data),
         packet: packet(),
     };
--- a/roles/forward/tests/simulation/mod.rs
+++ b/roles/forward/tests/simulation/mod.rs
@@ -228,7 +228,7 @@
             let others = ids.iter().filter(|other| *other != id);
             let others = agent::Peers {
                 hops: Arc::new(others.map(|other| hop(*other)).collect()),
-                has_silent: false,
+                has_down_agent: false,
             };
             if let Some(agent) = self.agents.get_mut(id) {
                 agent.handle(self.now, agent::Event::Peers(others), &mut Vec::new());
@@ -283,10 +283,17 @@
             }
             Event::FrameAtEntry(number, transit) => match transit {
                 Transit::Held(held) => self.notify_entry(number, entry::Event::Held(held)),
-                Transit::Absent(absent) => self.notify_entry(number, entry::Event::Absent(absent)),
-                Transit::Unheld(unheld) => self.notify_entry(number, entry::Event::Unheld(unheld)),
+                Transit::NotHeld(absent) => {
+                    self.notify_entry(number, entry::Event::NotHeld(absent));
+                }
+                Transit::HolderAbsent(unheld) => {
+                    self.notify_entry(number, entry::Event::HolderAbsent(unheld));
+                }
                 Transit::Busy(busy) => self.notify_entry(number, entry::Event::Busy(busy)),
-                Transit::Open(_) | Transit::Carry(_) | Transit::Search(_) | Transit::Seek(_) => {}
+                Transit::Open(_)
+                | Transit::Forward(_)
+                | Transit::Search(_)
+                | Transit::Lookup(_) => {}
             },
             Event::FrameAtAgent(id, transit) => {
                 let event = match transit {
@@ -294,19 +301,19 @@
                         let segment = decode(&open.packet);
                         agent::Event::Open { open, segment }
                     }
-                    Transit::Carry(carry) => {
+                    Transit::Forward(carry) => {
                         let segment = decode(&carry.packet);
-                        agent::Event::Carry { carry, segment }
+                        agent::Event::Forward { carry, segment }
                     }
                     Transit::Search(search) => {
                         let segment = decode(&search.packet);
                         agent::Event::Search { search, segment }
                     }
-                    Transit::Seek(seek) => {
+                    Transit::Lookup(seek) => {
                         let segment = decode(&seek.packet);
-                        agent::Event::Seek { seek, segment }
+                        agent::Event::Lookup { seek, segment }
                     }
-                    Transit::Absent(absent) => agent::Event::Denied(absent),
+                    Transit::NotHeld(absent) => agent::Event::PeerDenied(absent),
                     _ => return,
                 };
                 self.notify_agent(id, event);
@@ -314,7 +321,7 @@
             Event::PacketAtServer(id, segment) => self.receive_at_server(id, segment),
             Event::ServerPacket(id, segment) => {
                 let packet = encode(&segment);
-                self.notify_agent(id, agent::Event::Server { segment, packet });
+                self.notify_agent(id, agent::Event::ServerPacket { segment, packet });
             }
             Event::PacketAtCaller(segment, is_ours) => self.receive_at_caller(&segment, is_ours),
             Event::Announce(id) => {
@@ -322,7 +329,7 @@
                 *sequence += 1;
                 let start = self.starts.get(&id).copied().unwrap_or_default();
                 let announced = announcement(id, 1 + start, *sequence, State::Ready);
-                self.notify_agent(id, agent::Event::Backend(announced));
+                self.notify_agent(id, agent::Event::Announcement(announced));
                 self.schedule(Duration::from_secs(1), Event::Announce(id));
             }
             Event::Tick => {
@@ -375,7 +382,7 @@
                 position
             },
             length: if kind == Kind::Data { 100 } else { 0 },
-            mark: 0,
+            echo: 0,
         };
         let entry = self.entry_of(&flow);
         self.schedule(NETWORK_DELAY, Event::PacketAtEntry(entry, segment));
@@ -384,7 +391,7 @@
     }
 
     fn receive_at_caller(&mut self, segment: &Segment, is_from_system: bool) {
-        let flow = segment.from_server();
+        let flow = segment.flow_from_server();
         let caller = self.callers.get_mut(&flow).unwrap();
         match segment.kind {
             Kind::Accept if !caller.is_open => {
@@ -413,7 +420,7 @@
     }
 
     fn receive_at_server(&mut self, id: TargetId, segment: Segment) {
-        let flow = segment.from_caller();
+        let flow = segment.flow_from_caller();
         let holds = self.servers[&id].contains(&flow);
         self.check_delivery(id, &flow, holds, segment.kind);
         let answer = |kind, length| Segment {
@@ -514,7 +521,7 @@
             sequence: 0,
             acknowledged: 0,
             length: 0,
-            mark: 0,
+            echo: 0,
         };
         self.schedule(NETWORK_DELAY, Event::PacketAtCaller(segment, true));
     }
@@ -531,11 +538,11 @@
                 let entry = self.entry_of(&held.flow);
                 self.schedule(NETWORK_DELAY, Event::FrameAtEntry(entry, transit));
             }
-            (None, Transit::Absent(absent)) => {
+            (None, Transit::NotHeld(absent)) => {
                 let entry = self.entry_of(&absent.flow);
                 self.schedule(NETWORK_DELAY, Event::FrameAtEntry(entry, transit));
             }
-            (None, Transit::Unheld(unheld)) => {
+            (None, Transit::HolderAbsent(unheld)) => {
                 let entry = self.entry_of(&unheld.flow);
                 self.schedule(NETWORK_DELAY, Event::FrameAtEntry(entry, transit));
             }
--- a/state/flow/src/ledger.rs
+++ b/state/flow/src/ledger.rs
@@ -32,14 +32,14 @@
     pub max_bytes: usize,
     /// Time after a request's deadline during which a duplicate of the request
     /// may still arrive.
-    pub late_copy: Duration,
+    pub duplicate_window: Duration,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
             max_bytes: 64 * 1024 * 1024,
-            late_copy: Duration::from_mins(1),
+            duplicate_window: Duration::from_mins(1),
         }
     }
 }
@@ -54,7 +54,7 @@
     /// The request has this final state.
     Final(State),
     /// The request may have been admitted before; its record has expired.
-    Forgotten,
+    RecordExpired,
     /// The ledger is at its memory limit; the request was not recorded.
     Full,
 }
@@ -152,7 +152,7 @@
         match self.get(key) {
             Some(state) if state.is_final() => return Admission::Final(state.clone()),
             Some(_) => return Admission::Pending,
-            None if !idempotent && self.has_seen(key) => return Admission::Forgotten,
+            None if !idempotent && self.has_seen(key) => return Admission::RecordExpired,
             None => {}
         }
         self.reclaim();
@@ -202,7 +202,7 @@
         }
         if state.is_final() {
             record.deadline = record.deadline.max(now);
-            let time = record.deadline + self.settings.late_copy;
+            let time = record.deadline + self.settings.duplicate_window;
             self.expiries.push(Reverse(Expiry { time, key }));
         }
         if matches!(state, State::Done(_)) {
@@ -236,7 +236,7 @@
     }
 
     /// Removes the ids of a flow that is no longer held.
-    pub fn forget(&mut self, flow: FlowKey) {
+    pub fn remove_seen(&mut self, flow: FlowKey) {
         if let Some(ids) = self.seen.remove(&flow) {
             self.fold_order.remove(&ids.position);
             self.seen_bytes -= ids.seen.bytes();
--- a/state/flow/src/table.rs
+++ b/state/flow/src/table.rs
@@ -17,13 +17,13 @@
     /// Maximum number of flows, including closed ones that have not expired.
     pub capacity: usize,
     /// Time without a packet after which a flow expires.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Time after its last open at which a flow expires if no other packet was
     /// received.
     pub half_open_timeout: Duration,
     /// Time for which a closed flow is kept, so that delayed duplicates of its
     /// packets do not open it again.
-    pub late_copy: Duration,
+    pub duplicate_window: Duration,
     /// Resolution of the timers for the timeouts above.
     pub timer_resolution: Duration,
 }
@@ -32,9 +32,9 @@
     fn default() -> Self {
         Self {
             capacity: 500_000,
-            idle: Duration::from_hours(1),
+            idle_timeout: Duration::from_hours(1),
             half_open_timeout: Duration::from_secs(30),
-            late_copy: Duration::from_mins(1),
+            duplicate_window: Duration::from_mins(1),
             timer_resolution: Duration::from_secs(1),
         }
     }
@@ -79,7 +79,7 @@
     /// the flow was closed recently; open a flow with another key
     Closed,
     /// the flow key is already in use; open a flow with another key
-    Taken,
+    KeyInUse,
 }
 
 /// The flows that an agent holds.
@@ -129,14 +129,14 @@
 
     /// Changes the idle timeout. Flows already in the table adopt it when their
     /// current timers fire, within about a minute at a timer resolution of 1 s.
-    pub fn set_idle(&mut self, idle: Duration) {
-        self.settings.idle = idle;
+    pub fn set_idle_timeout(&mut self, idle: Duration) {
+        self.settings.idle_timeout = idle;
     }
 
     /// Returns the time without a packet after which a flow expires.
     #[must_use]
-    pub const fn idle(&self) -> Duration {
-        self.settings.idle
+    pub const fn idle_timeout(&self) -> Duration {
+        self.settings.idle_timeout
     }
 
     /// Opens a flow, or returns the flow if the caller has already opened it.
@@ -152,7 +152,7 @@
         caller: SocketAddr,
     ) -> Result<Flow, Error> {
         match self.get_mut(key) {
-            Some(flow) if flow.caller != caller => Err(Error::Taken),
+            Some(flow) if flow.caller != caller => Err(Error::KeyInUse),
             Some(flow) if flow.phase == Phase::Closed => Err(Error::Closed),
             Some(flow) => {
                 flow.last_seen = now;
@@ -178,7 +178,7 @@
     /// table already contains the flow.
     pub fn insert(&mut self, flow: Flow) -> Result<Flow, Error> {
         if self.index.contains_key(&flow.key) {
-            return Err(Error::Taken);
+            return Err(Error::KeyInUse);
         }
         if self.is_full() {
             return Err(Error::Full);
@@ -322,9 +322,9 @@
     fn expiry_time(&self, flow: &Flow) -> Duration {
         let settings = &self.settings;
         let timeout = match flow.phase {
-            Phase::HalfOpen => settings.half_open_timeout.min(settings.idle),
-            Phase::Open => settings.idle,
-            Phase::Closed => settings.late_copy,
+            Phase::HalfOpen => settings.half_open_timeout.min(settings.idle_timeout),
+            Phase::Open => settings.idle_timeout,
+            Phase::Closed => settings.duplicate_window,
         };
         flow.last_seen + timeout
     }
--- a/state/flow/tests/ledger.rs
+++ b/state/flow/tests/ledger.rs
@@ -104,7 +104,7 @@
 fn a_record_expires_one_duplicate_window_after_its_deadline() {
     let mut ledger = ledger(1 << 20);
     finish(&mut ledger, 1, State::NotRun(refusal()));
-    let end = DEADLINE + Settings::default().late_copy;
+    let end = DEADLINE + Settings::default().duplicate_window;
     assert_eq!(ledger.next_deadline(), Some(end));
     ledger.expire(end.saturating_sub(Duration::from_millis(1)));
     assert_eq!(ledger.get(key(1)), Some(&State::NotRun(refusal())));
@@ -118,9 +118,9 @@
     finish(&mut ledger, 5, done(1));
     ledger.expire(Duration::from_hours(1));
     let admission = ledger.admit(key(5), false, DEADLINE);
-    assert_eq!(admission, Admission::Forgotten);
+    assert_eq!(admission, Admission::RecordExpired);
     assert_eq!(ledger.admit(key(4), false, DEADLINE), Admission::New);
-    ledger.forget(7);
+    ledger.remove_seen(7);
     assert_eq!(ledger.admit(key(5), false, DEADLINE), Admission::New);
 }
 
--- a/state/flow/tests/table.rs
+++ b/state/flow/tests/table.rs
@@ -21,9 +21,9 @@
 fn settings() -> Settings {
     Settings {
         capacity: 4,
-        idle: Duration::from_mins(10),
+        idle_timeout: Duration::from_mins(10),
         half_open_timeout: Duration::from_secs(30),
-        late_copy: Duration::from_mins(1),
+        duplicate_window: Duration::from_mins(1),
         timer_resolution: Duration::from_secs(1),
     }
 }
@@ -137,7 +137,7 @@
     table.open(Duration::ZERO, 7, TOKEN, caller()).unwrap();
     let other = "203.0.113.6:4000".parse().unwrap();
     let result = table.open(Duration::ZERO, 7, TOKEN, other);
-    assert_eq!(result, Err(Error::Taken));
+    assert_eq!(result, Err(Error::KeyInUse));
 }
 
 #[test]
@@ -224,8 +224,8 @@
             for flow in before {
                 let timeout = match flow.phase {
                     Phase::HalfOpen => settings().half_open_timeout,
-                    Phase::Open => settings().idle,
-                    Phase::Closed => settings().late_copy,
+                    Phase::Open => settings().idle_timeout,
+                    Phase::Closed => settings().duplicate_window,
                 };
                 let is_due = flow.last_seen + timeout <= now;
                 prop_assert!(is_due || !expired.contains(&flow.key));
--- a/state/limit/src/held.rs
+++ b/state/limit/src/forecast.rs
@@ -44,7 +44,7 @@
 /// assert!(held.bid(now, 100) > held.bid(now, 200));
 /// ```
 #[derive(Debug)]
-pub struct Held {
+pub struct Forecast {
     settings: Settings,
     load: Load,
     flows: f64,
@@ -55,7 +55,7 @@
     updated: Duration,
 }
 
-impl Held {
+impl Forecast {
     /// Creates an estimate without held flows.
     #[must_use]
     pub fn new(settings: Settings, now: Duration) -> Self {
@@ -70,13 +70,13 @@
     }
 
     /// Records a request of a held flow other than the flow's first.
-    pub fn request(&mut self, now: Duration) {
-        self.load.request(now);
+    pub fn record_request(&mut self, now: Duration) {
+        self.load.record_request(now);
         self.requests += 1.0;
     }
 
     /// Records the number of held flows that are idle between two requests.
-    pub fn observe(&mut self, now: Duration, flows: u32) {
+    pub fn set_idle_flows(&mut self, now: Duration, flows: u32) {
         let passed = now.saturating_sub(self.updated).as_secs_f64();
         self.updated = now;
         self.flow_seconds += self.flows * passed;
--- a/state/limit/src/gate.rs
+++ b/state/limit/src/gate.rs
@@ -29,7 +29,7 @@
     pub max_wait: Duration,
     /// Maximum expected wait of a queued short job, in multiples of the mean
     /// service time; the smaller of the two limits applies.
-    pub max_wait_times: u32,
+    pub max_wait_service_times: u32,
     /// Maximum number of queued jobs of each class.
     pub max_queue: usize,
     /// Order in which queued jobs start.
@@ -51,7 +51,7 @@
         Self {
             slots: 4,
             max_wait: Duration::from_secs(2),
-            max_wait_times: 8,
+            max_wait_service_times: 8,
             max_queue: 1000,
             discipline: Discipline::default(),
             share: share::Settings::default(),
@@ -157,14 +157,14 @@
     /// Returns true if a short job would start immediately, as of the latest
     /// event.
     #[must_use]
-    pub fn free(&self) -> bool {
-        self.free_for(Class::Short)
+    pub fn has_free_slot(&self) -> bool {
+        self.has_free_slot_for(Class::Short)
     }
 
     /// Returns true if a job of the given class would start immediately, as of
     /// the latest event.
     #[must_use]
-    pub fn free_for(&self, class: Class) -> bool {
+    pub fn has_free_slot_for(&self, class: Class) -> bool {
         self.admits(class, self.pause.limit(self.now))
     }
 
@@ -205,7 +205,7 @@
         }
         let wait = self.expected_wait_for(now, job.class, job.deadline);
         let due = now + wait + self.deadline_margin(now, job.class);
-        if self.free_for(job.class) {
+        if self.has_free_slot_for(job.class) {
             return Verdict::Start;
         }
         if job.deadline <= now + self.pause.remaining(now) {
@@ -388,7 +388,7 @@
     fn max_wait(&self, now: Duration, class: Class) -> Duration {
         let Settings {
             max_wait,
-            max_wait_times,
+            max_wait_service_times: max_wait_times,
             ..
         } = self.settings;
         match class {
--- a/state/limit/src/lib.rs
+++ b/state/limit/src/lib.rs
@@ -14,8 +14,8 @@
 pub mod backoff;
 pub mod budget;
 pub mod capacity;
+pub mod forecast;
 pub mod gate;
-pub mod held;
 pub mod job;
 pub mod load;
 pub mod occupancy;
@@ -26,9 +26,9 @@
 
 pub use backoff::Backoff;
 pub use budget::Budget;
+pub use forecast::Forecast;
 pub use gate::Gate;
 pub use gate::Settings;
-pub use held::Held;
 pub use job::Class;
 pub use job::Finish;
 pub use job::Job;
--- a/state/limit/src/load.rs
+++ b/state/limit/src/load.rs
@@ -56,7 +56,7 @@
     }
 
     /// Records a request of a held flow other than the flow's first.
-    pub fn request(&mut self, now: Duration) {
+    pub fn record_request(&mut self, now: Duration) {
         self.rate = self.rate * self.decay(now) + 1.0 / self.smoothing_seconds();
         self.updated = self.updated.max(now);
     }
--- a/state/limit/src/occupancy.rs
+++ b/state/limit/src/occupancy.rs
@@ -129,7 +129,7 @@
     /// Returns this start with a later time, for a slot that was reserved
     /// before its request began.
     #[must_use]
-    pub const fn moved(self, now: Duration) -> Self {
+    pub const fn restarted_at(self, now: Duration) -> Self {
         Self { at: now, ..self }
     }
 }
--- a/state/limit/src/risk.rs
+++ b/state/limit/src/risk.rs
@@ -65,13 +65,13 @@
     }
 
     /// Records that a request was answered.
-    pub fn answered(&mut self, now: Duration) {
+    pub fn record_answer(&mut self, now: Duration) {
         self.apply_decay(now);
         self.answered += 1.0;
     }
 
     /// Records that a request was reset, or not answered in time.
-    pub fn failed(&mut self, now: Duration) {
+    pub fn record_failure(&mut self, now: Duration) {
         self.apply_decay(now);
         self.failed += 1.0;
     }
@@ -87,7 +87,7 @@
     /// Returns the expected cost of failure for a new request, expressed as a
     /// wait.
     #[must_use]
-    pub fn wait(&self, now: Duration) -> Duration {
+    pub fn expected_cost(&self, now: Duration) -> Duration {
         self.settings.cost.mul_f64(self.share(now))
     }
 
--- a/state/limit/tests/gate.rs
+++ b/state/limit/tests/gate.rs
@@ -38,7 +38,7 @@
     Settings {
         slots,
         discipline: Discipline::Fifo,
-        max_wait_times: u32::MAX,
+        max_wait_service_times: u32::MAX,
         ..Settings::default()
     }
 }
@@ -117,7 +117,7 @@
 #[test]
 fn a_wait_above_the_limit_in_service_times_is_refused() {
     let settings = Settings {
-        max_wait_times: 3,
+        max_wait_service_times: 3,
         ..settings(1)
     };
     let mut warm = Warm::new(settings);
@@ -269,7 +269,7 @@
     for id in 0..3 {
         warm.finish(id, Finish::Shed { retry_after });
     }
-    assert!(!warm.gate.free());
+    assert!(!warm.gate.has_free_slot());
     assert!(warm.gate.expected_wait(warm.now) >= retry_after);
     let verdict = warm.offer(10, Class::Short, ms(500));
     assert_eq!(refusal(verdict), Some(Reason::Paused));
@@ -282,7 +282,7 @@
     warm.now += ms(50);
     warm.finish(11, Finish::Done);
     assert_eq!(warm.out[1..], [Release::Start(12)]);
-    assert!(warm.gate.free(), "a success adds a second slot");
+    assert!(warm.gate.has_free_slot(), "a success adds a second slot");
 }
 
 #[test]
@@ -293,7 +293,10 @@
         warm.now += ms(1);
         warm.finish(id, Finish::Failed);
     }
-    assert!(!warm.gate.free(), "fast failures must not attract work");
+    assert!(
+        !warm.gate.has_free_slot(),
+        "fast failures must not attract work"
+    );
 }
 
 #[test]
--- a/state/limit/tests/load.rs
+++ b/state/limit/tests/load.rs
@@ -22,7 +22,7 @@
 fn steady(every: u64, end: u64) -> Load {
     let mut load = Load::new(settings(), ms(0));
     for time in (0..end).step_by(usize::try_from(every).unwrap()) {
-        load.request(ms(time));
+        load.record_request(ms(time));
     }
     load
 }
@@ -64,7 +64,7 @@
     ) {
         let mut load = Load::new(settings(), ms(0));
         for &time in &times {
-            load.request(ms(time));
+            load.record_request(ms(time));
         }
         let requests = u32::try_from(times.len()).unwrap();
         let most = settings().full * requests / 5;
--- a/state/limit/tests/risk.rs
+++ b/state/limit/tests/risk.rs
@@ -9,17 +9,17 @@
 fn risk(answered: u32, failed: u32) -> Risk {
     let mut risk = Risk::new(Settings::default(), START);
     for _ in 0..answered {
-        risk.answered(START);
+        risk.record_answer(START);
     }
     for _ in 0..failed {
-        risk.failed(START);
+        risk.record_failure(START);
     }
     risk
 }
 
 #[test]
 fn a_server_that_answers_all_requests_has_no_cost() {
-    assert_eq!(risk(50, 0).wait(START), Duration::ZERO);
+    assert_eq!(risk(50, 0).expected_cost(START), Duration::ZERO);
 }
 
 #[test]
@@ -34,7 +34,7 @@
 
 #[test]
 fn a_server_that_fails_all_requests_has_almost_the_full_cost() {
-    let wait = risk(0, 40).wait(START);
+    let wait = risk(0, 40).expected_cost(START);
     assert!(wait > Settings::default().cost.mul_f64(0.9), "{wait:?}");
 }
 
--- a/tools/bench/src/gate.rs
+++ b/tools/bench/src/gate.rs
@@ -89,7 +89,7 @@
             let gate = Settings {
                 slots: SLOTS,
                 discipline,
-                max_wait_times,
+                max_wait_service_times: max_wait_times,
                 seed: settings.seeds,
                 ..Settings::default()
             };
@@ -165,7 +165,7 @@
             next_expiry: None,
             row: Row {
                 discipline: format!("{:?}", settings.discipline),
-                max_wait_times: settings.max_wait_times,
+                max_wait_times: settings.max_wait_service_times,
                 load,
                 ..Row::default()
             },
--- a/tools/bench/src/member.rs
+++ b/tools/bench/src/member.rs
@@ -221,7 +221,7 @@
         let start = fleet.now;
         let now = fleet.now;
         let source = usize::from(number) * entries / usize::from(CHANGES);
-        fleet.entries[source].put(
+        fleet.entries[source].put_service(
             now,
             Service {
                 address: service(number),
@@ -231,7 +231,7 @@
         );
         let is_everywhere = |fleet: &Fleet| {
             let mut entries = fleet.entries.iter();
-            entries.all(|entry| entry.service(&service(number)).is_some())
+            entries.all(|entry| entry.view(&service(number)).is_some())
         };
         fleet.run_until(TIMEOUT, POLL_INTERVAL, is_everywhere);
         times.push(fleet.now.saturating_sub(start).as_millis());
@@ -288,7 +288,7 @@
     let have_down = |fleet: &Fleet, wanted: usize| {
         let entries = (0..AGENT_ENTRIES).filter(|number| !fleet.is_frozen(*number));
         let mut counts = entries.map(|number| {
-            let views = fleet.entries[number].services();
+            let views = fleet.entries[number].views();
             let members = views.flat_map(|view| view.targets.values());
             members.filter(|member| member.health != Health::Up).count()
         });
--- a/tools/bench/src/member/directory.rs
+++ b/tools/bench/src/member/directory.rs
@@ -104,7 +104,7 @@
     }
     let elapsed = stopwatch.elapsed().as_nanos();
     registry.tick(now, &mut Vec::new());
-    registry.changes();
+    registry.take_changes();
     let memory_bytes = resident_bytes().saturating_sub(memory_before);
     let steady_micros_a_second = steady_micros_a_second(&mut registry, own);
     let mut changed = fleet::identity(5);
@@ -148,7 +148,7 @@
             subject: Subject::Target(target),
             sequence,
             watchers: vec![own],
-            observe: false,
+            to_observer: false,
             digest: 0,
             parts: Vec::new(),
         };
@@ -158,7 +158,7 @@
 
 fn deliver_push(registry: &mut Registry, now: Duration, from: SocketAddr, records: Vec<Record>) {
     let push = Push {
-        hot: false,
+        is_rumor: false,
         records,
     };
     registry.handle(now, from, Message::Push(push), &mut Vec::new());
--- a/tools/bench/src/member/fleet.rs
+++ b/tools/bench/src/member/fleet.rs
@@ -94,7 +94,7 @@
             let mut entry = Registry::new(settings.clone(), identity.clone(), number as u64, now);
             for records in records.chunks(PUSH_RECORDS) {
                 let push = Push {
-                    hot: false,
+                    is_rumor: false,
                     records: records.to_vec(),
                 };
                 entry.handle(now, identity.address, Message::Push(push), &mut Vec::new());
@@ -260,7 +260,7 @@
         address: identity.address,
         zone: identity.zone,
         incarnation: identity.incarnation,
-        left: false,
+        has_left: false,
     })
 }
 
--- a/tools/bench/src/place/server.rs
+++ b/tools/bench/src/place/server.rs
@@ -103,7 +103,7 @@
     /// Adds a request of a held flow to the load estimate. The first request of
     /// a flow must not be counted.
     pub fn record_request(&mut self, now: Duration) {
-        self.load.request(now);
+        self.load.record_request(now);
     }
 
     /// Counts a flow that is held here from now on.
@@ -134,7 +134,7 @@
             Signal::Load => (Duration::ZERO, load),
             Signal::Blend => (wait, load),
         };
-        let free = self.gate.free() && matches!(signal, Signal::Slots | Signal::Blend);
+        let free = self.gate.has_free_slot() && matches!(signal, Signal::Slots | Signal::Blend);
         Bid { free, wait, load }
     }
 
@@ -154,7 +154,7 @@
     let settings = Settings {
         slots,
         max_wait: DEADLINE,
-        max_wait_times: u32::MAX,
+        max_wait_service_times: u32::MAX,
         discipline: Discipline::Fifo,
         max_queue: 100_000,
         seed,
--- a/tools/bench/src/place/simulation.rs
+++ b/tools/bench/src/place/simulation.rs
@@ -265,7 +265,7 @@
 
     /// Returns the first `width` targets for a flow, in the order of its key.
     fn path(&self, flow: usize, width: usize) -> Vec<usize> {
-        let open = self.order.open(self.flows[flow].key, width);
+        let open = self.order.top_open(self.flows[flow].key, width);
         open.map(index_of).collect()
     }
 
@@ -277,7 +277,7 @@
         let target = index(relay.path[usize::from(relay.position)].target);
         let bid = self.servers[target].bid(self.now, signal);
         match hunt::step(relay, bid) {
-            Step::Take => self.assign(flow, target),
+            Step::Accept => self.assign(flow, target),
             Step::Refuse => self.recorder.refused += 1,
             Step::Forward(relay) => {
                 self.recorder.messages += u64::from(self.now >= WARM_UP_END);
@@ -412,8 +412,8 @@
         home: path[0],
         path,
         position: 0,
-        waits: Vec::new(),
-        settle: false,
+        bids: Vec::new(),
+        is_settled: false,
         packet: bytes::Bytes::new(),
     }
 }
--- a/tools/bench/src/place/simulation/request.rs
+++ b/tools/bench/src/place/simulation/request.rs
@@ -68,7 +68,7 @@
             last_asked: None,
         });
         let gate = &self.servers[holder].gate;
-        let (free, wait) = (gate.free(), gate.expected_wait(self.now));
+        let (free, wait) = (gate.has_free_slot(), gate.expected_wait(self.now));
         match self.policy.pass {
             Some(forwarding) if !free && wait > forwarding.threshold => {
                 self.requests[request].candidates = self.candidates(request, forwarding);
@@ -88,7 +88,7 @@
             Key::Request => route::hash::mix(flow_key, request as u64),
         };
         let holder = self.requests[request].holder;
-        let open = self.order.open(key, forwarding.width + 1).map(index_of);
+        let open = self.order.top_open(key, forwarding.width + 1).map(index_of);
         let candidates = open.filter(|&target| target != holder);
         let mut candidates: Vec<usize> = candidates.take(forwarding.width).collect();
         candidates.reverse();
@@ -125,7 +125,7 @@
     /// it or replies with its expected wait.
     pub(super) fn receive_forwarded(&mut self, request: usize, target: usize, must_queue: bool) {
         let gate = &self.servers[target].gate;
-        if gate.free() || must_queue {
+        if gate.has_free_slot() || must_queue {
             return self.offer(request, target);
         }
         self.recorder.messages += u64::from(self.now >= WARM_UP_END);
@@ -142,7 +142,7 @@
             best,
             ..
         } = self.requests[request];
-        if self.servers[holder].gate.free() {
+        if self.servers[holder].gate.has_free_slot() {
             return self.offer(request, holder);
         }
         let better = best.is_none_or(|best| wait < best.wait);
--- a/tools/bench/src/relay.rs
+++ b/tools/bench/src/relay.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use app::entry::edge::Edge;
+use app::entry::frontend::Frontend;
 use app::entry::traffic::Counters;
 use app::entry::traffic::Traffic;
 use arc_swap::ArcSwap;
@@ -33,7 +33,7 @@
 use wire::caller::Packet;
 use wire::caller::Request;
 use wire::caller::packet::Body;
-use wire::frame::Sprayed;
+use wire::frame::Encapsulated;
 use wire::seal::KEY_LEN;
 use wire::seal::Key;
 use wire::target::State;
@@ -160,7 +160,7 @@
     let (control, _inputs) = async_channel::bounded(1);
     let traffic = Arc::new(Traffic {
         port,
-        edge: Edge::new(Some(sink.local_addr()?)),
+        frontend: Frontend::new(Some(sink.local_addr()?)),
         executor: smol::Executor::new(),
         router: ArcSwap::from_pointee(router(targets, sink.local_addr()?)),
         control,
@@ -220,12 +220,12 @@
     let seal = seal();
     (1..=flows)
         .filter_map(|flow| {
-            let encapsulated = Sprayed {
+            let encapsulated = Encapsulated {
                 caller: service(),
                 service: service(),
                 packet: Packet::new(flow, body(kind)).to_bytes(),
             };
-            seal.seal(&Frame::Sprayed(encapsulated)).ok()
+            seal.seal(&Frame::Encapsulated(encapsulated)).ok()
         })
         .collect()
 }
--- a/tools/bench/src/route/baseline.rs
+++ b/tools/bench/src/route/baseline.rs
@@ -22,7 +22,7 @@
         let key = finalize(key);
         let scores = self.leaves.iter().map(|leaf| {
             let inverse = u64::MAX / u64::from(leaf.weight.max(1));
-            u128::from(neg_log2(mix(key, leaf.spread))) * u128::from(inverse)
+            u128::from(neg_log2(mix(key, leaf.hashed_id))) * u128::from(inverse)
         });
         let mut ranked: Vec<Scored> = scores
             .zip(0..)
--- a/tools/bench/src/route/order.rs
+++ b/tools/bench/src/route/order.rs
@@ -85,11 +85,11 @@
 fn leaves(count: u64) -> Vec<Leaf> {
     let weight = |index: u64| if index.is_multiple_of(2) { 50 } else { 100 };
     let leaf = |index| Leaf {
-        spread: finalize(finalize(index)),
+        hashed_id: finalize(finalize(index)),
         weight: weight(index),
     };
     let mut leaves: Vec<Leaf> = (0..count).map(leaf).collect();
-    leaves.sort_unstable_by_key(|leaf| leaf.spread);
+    leaves.sort_unstable_by_key(|leaf| leaf.hashed_id);
     leaves
 }
 
--- a/tools/proof/tests/processes.rs
+++ b/tools/proof/tests/processes.rs
@@ -26,7 +26,10 @@
     let report = &finding.report;
     assert!(report.answered > 0, "no request was answered: {report:?}");
     assert_eq!(finding.run_twice, 0, "requests ran twice: {report:?}");
-    assert_eq!(finding.ran_refused, 0, "refused requests ran: {report:?}");
+    assert_eq!(
+        finding.ran_after_refusal, 0,
+        "refused requests ran: {report:?}"
+    );
     assert_eq!(
         report.wrong_service, 0,
         "answers from another service: {report:?}"
--- a/tools/soak/src/caller.rs
+++ b/tools/soak/src/caller.rs
@@ -132,7 +132,7 @@
                 "a caller got a packet that cannot be decoded".into(),
             );
         };
-        let id = segment.from_server();
+        let id = segment.flow_from_server();
         if segment.kind == Kind::Reset && is_system_reset(packet) {
             return self.system_reset(now, from, &id, &segment);
         }
@@ -453,6 +453,6 @@
         sequence,
         acknowledged,
         length: 0,
-        mark: 0,
+        echo: 0,
     }
 }
--- a/tools/soak/src/lifecycle.rs
+++ b/tools/soak/src/lifecycle.rs
@@ -123,7 +123,7 @@
         );
         (to, format!("server-{number}-{start}"))
     };
-    call::end(to, &name, ACKNOWLEDGE_TIMEOUT).await;
+    call::deregister(to, &name, ACKNOWLEDGE_TIMEOUT).await;
     harness.borrow_mut().server_end(number);
     true
 }
--- a/tools/soak/src/server.rs
+++ b/tools/soak/src/server.rs
@@ -93,7 +93,7 @@
             let text = format!("server {number} got a packet that no caller wrote: {segment:?}");
             return self.checker.record_violation(Invariant::Unasked, now, text);
         }
-        let flow = segment.from_caller();
+        let flow = segment.flow_from_caller();
         let start = self.servers[number].starts;
         if self
             .checker
@@ -179,7 +179,7 @@
     }
 
     fn server_open(&mut self, now: Duration, number: usize, segment: &Segment, packet: &[u8]) {
-        let flow = segment.from_caller();
+        let flow = segment.flow_from_caller();
         let own = self.random.u32(..);
         let Some(instance) = &mut self.servers[number].instance else {
             return;
@@ -322,7 +322,7 @@
         sequence,
         acknowledged: received,
         length: 0,
-        mark: 0,
+        echo: 0,
     }
 }
 
--- a/tools/standin/src/audit/finding.rs
+++ b/tools/standin/src/audit/finding.rs
@@ -45,7 +45,7 @@
     pub run_twice: u64,
     /// Number of requests that started to run although they were refused with
     /// the outcome `NOT_RUN`.
-    pub ran_refused: u64,
+    pub ran_after_refusal: u64,
     /// Busy time per slot of the busiest backend server, divided by the mean
     /// over all slots; 0 if nothing ran.
     pub imbalance: f64,
@@ -67,7 +67,7 @@
             .count();
         Self {
             run_twice: run_twice as u64,
-            ran_refused: ran_refused as u64,
+            ran_after_refusal: ran_refused as u64,
             imbalance: imbalance(ledgers),
             shed: ledgers.iter().map(|ledger| ledger.shed).sum(),
             report,
@@ -80,7 +80,7 @@
         let report = &self.report;
         let counts = [
             self.run_twice,
-            self.ran_refused,
+            self.ran_after_refusal,
             report.wrong_service,
             report.mismatched,
             report.lost,
--- a/tools/standin/src/audit/table.rs
+++ b/tools/standin/src/audit/table.rs
@@ -34,7 +34,7 @@
         row("broken flows *", &|finding| reasons(&finding.report.broken))?;
         row("run twice *", &|finding| finding.run_twice.to_string())?;
         row("ran though refused *", &|finding| {
-            finding.ran_refused.to_string()
+            finding.ran_after_refusal.to_string()
         })?;
         row("wrong service *", &|finding| {
             finding.report.wrong_service.to_string()
--- a/tools/standin/src/fabric.rs
+++ b/tools/standin/src/fabric.rs
@@ -19,8 +19,8 @@
 use wire::Frame;
 use wire::Seal;
 use wire::ServiceAddress;
+use wire::frame::Encapsulated;
 use wire::frame::MAX_DATAGRAM_BYTES;
-use wire::frame::Sprayed;
 use wire::seal::KEY_LEN;
 use wire::seal::Key;
 
@@ -164,7 +164,7 @@
         let Ok((len, caller)) = service.socket.recv_from(&mut buffer).await else {
             continue;
         };
-        let frame = Frame::Sprayed(Sprayed {
+        let frame = Frame::Encapsulated(Encapsulated {
             caller,
             service: service.address,
             packet: Bytes::copy_from_slice(&buffer[..len]),
@@ -189,7 +189,7 @@
         let Ok((len, _)) = fabric.entry_socket.recv_from(&mut buffer).await else {
             continue;
         };
-        let Ok(Frame::Sprayed(encapsulated)) = fabric.seal.open(&buffer[..len]) else {
+        let Ok(Frame::Encapsulated(encapsulated)) = fabric.seal.open(&buffer[..len]) else {
             continue;
         };
         let service = fabric
--- a/tools/standin/src/platform/route.rs
+++ b/tools/standin/src/platform/route.rs
@@ -53,7 +53,7 @@
     }
 
     /// Ends all sessions.
-    pub fn lapse(&self) {
+    pub fn end_sessions(&self) {
         let mut state = self.lock();
         for id in state.sessions.ids() {
             state.end_session(&id);
@@ -117,7 +117,7 @@
                 return Some(answer::json(StatusCode::OK, 1, &self.calls()));
             }
             (&Method::PUT, "/lapse") => {
-                self.lapse();
+                self.end_sessions();
                 StatusCode::OK
             }
             (&Method::PUT, "/fault") => {
--- a/tools/standin/tests/audit.rs
+++ b/tools/standin/tests/audit.rs
@@ -53,7 +53,7 @@
         ..report()
     };
     let finding = Finding::new(report, &[ledger(4, 0, &["a"])]);
-    assert_eq!(finding.ran_refused, 1);
+    assert_eq!(finding.ran_after_refusal, 1);
     assert!(finding.has_violation());
 }
 
--- a/transport/net/src/port.rs
+++ b/transport/net/src/port.rs
@@ -73,7 +73,7 @@
 }
 
 /// A counter with its metric name.
-pub struct Named<'a> {
+pub struct Counter<'a> {
     /// Metric name, followed by the reason where there is one.
     pub name: &'static str,
     /// The counter.
@@ -129,7 +129,7 @@
     /// The operating system's error where the address cannot be bound.
     pub fn bind_blocking(address: SocketAddr, seal: Arc<Seal>, wait: Duration) -> io::Result<Self> {
         Ok(Self {
-            socket: Socket::Blocking(Arc::new(blocking(address, wait)?)),
+            socket: Socket::Blocking(Arc::new(bind_blocking_socket(address, wait)?)),
             seal,
             counters: Arc::default(),
         })
@@ -190,7 +190,7 @@
 impl Counters {
     /// Returns all counters with their metric names.
     #[must_use]
-    pub fn all(&self) -> [Named<'_>; 11] {
+    pub fn all(&self) -> [Counter<'_>; 11] {
         [
             ("port.received", &self.received),
             ("port.received_bytes", &self.received_bytes),
@@ -204,7 +204,7 @@
             ("port.refused.malformed", &self.malformed),
             ("port.send_failed", &self.send_failed),
         ]
-        .map(|(name, value)| Named { name, value })
+        .map(|(name, value)| Counter { name, value })
     }
 }
 
@@ -261,7 +261,7 @@
 /// # Errors
 ///
 /// The operating system's error where the address cannot be bound.
-pub fn blocking(address: SocketAddr, wait: Duration) -> io::Result<UdpSocket> {
+pub fn bind_blocking_socket(address: SocketAddr, wait: Duration) -> io::Result<UdpSocket> {
     let socket = open_socket(address)?;
     socket.set_read_timeout(Some(wait))?;
     socket.set_write_timeout(Some(SEND_TIMEOUT))?;
--- a/transport/store/src/http.rs
+++ b/transport/store/src/http.rs
@@ -32,7 +32,7 @@
 
 use crate::Counts;
 use crate::Fault;
-use crate::Item;
+use crate::KeyValue;
 use crate::LeaseId;
 use crate::Listing;
 use crate::Store;
@@ -239,7 +239,7 @@
 }
 
 impl Store for Http {
-    async fn get(&self, key: &str) -> Result<Option<Item>, Fault> {
+    async fn get(&self, key: &str) -> Result<Option<KeyValue>, Fault> {
         let path = format!("/v1/kv/{key}?consistent");
         let (pairs, _) = self.read(Kind::Read, &path, Duration::ZERO).await?;
         Ok(pairs.into_iter().next().map(to_item))
@@ -301,7 +301,7 @@
         let refused = transaction.errors.unwrap_or_default().into_iter().next();
         match (answer.status, refused, transaction.results) {
             (StatusCode::CONFLICT, Some(refused), _) if fenced && refused.op_index == 0 => {
-                Err(Fault::Lapsed)
+                Err(Fault::Expired)
             }
             (StatusCode::CONFLICT, ..) => Err(Fault::Conflict),
             (StatusCode::OK, None, Some(results)) => results
@@ -325,11 +325,11 @@
         decode::<schema::Created>(&answer.body).map(|created| created.id)
     }
 
-    async fn keep_alive(&self, lease: &LeaseId) -> Result<(), Fault> {
+    async fn renew(&self, lease: &LeaseId) -> Result<(), Fault> {
         let path = format!("/v1/session/renew/{lease}");
         let answer = self.write(Kind::Lease, &path, &()).await?;
         match answer.status {
-            StatusCode::NOT_FOUND => Err(Fault::Lapsed),
+            StatusCode::NOT_FOUND => Err(Fault::Expired),
             _ => Ok(()),
         }
     }
@@ -364,8 +364,8 @@
     serde_json::from_slice(body).map_err(|_| Fault::Malformed)
 }
 
-fn to_item(pair: schema::Pair) -> Item {
-    Item {
+fn to_item(pair: schema::Pair) -> KeyValue {
+    KeyValue {
         key: pair.key,
         value: pair.value.unwrap_or_default(),
         revision: pair.modify_index,
--- a/transport/store/src/lib.rs
+++ b/transport/store/src/lib.rs
@@ -17,7 +17,7 @@
 
 pub use config::Fault;
 pub use config::Fence;
-pub use config::Item;
+pub use config::KeyValue;
 pub use config::LeaseId;
 pub use config::Listing;
 
@@ -45,7 +45,7 @@
 /// store may have applied the call despite the failure.
 pub trait Store: Clone + Send + Sync + 'static {
     /// Reads one key; returns `None` if it does not exist.
-    fn get(&self, key: &str) -> impl Future<Output = Result<Option<Item>, Fault>> + Send;
+    fn get(&self, key: &str) -> impl Future<Output = Result<Option<KeyValue>, Fault>> + Send;
 
     /// Reads all keys under a prefix.
     fn list(&self, prefix: &str) -> impl Future<Output = Result<Listing, Fault>> + Send;
@@ -72,7 +72,7 @@
     fn grant(&self, ttl: Duration) -> impl Future<Output = Result<LeaseId, Fault>> + Send;
 
     /// Renews a lease. Fails with [`Fault::Lapsed`] if it has expired.
-    fn keep_alive(&self, lease: &LeaseId) -> impl Future<Output = Result<(), Fault>> + Send;
+    fn renew(&self, lease: &LeaseId) -> impl Future<Output = Result<(), Fault>> + Send;
 
     /// Revokes a lease and releases the keys it holds.
     fn revoke(&self, lease: &LeaseId) -> impl Future<Output = Result<(), Fault>> + Send;
--- a/transport/store/src/reader.rs
+++ b/transport/store/src/reader.rs
@@ -126,7 +126,7 @@
         Call::List { prefix } => Answer::Listed(store.list(&prefix).await),
         Call::Grant { ttl } => Answer::Granted(store.grant(ttl).await),
         Call::Acquire { key, lease } => Answer::Acquired(store.acquire(&key, &lease).await),
-        Call::Renew { lease } => Answer::Renewed(store.keep_alive(&lease).await),
+        Call::Renew { lease } => Answer::Renewed(store.renew(&lease).await),
         Call::Revoke { lease } => {
             // If this call fails, the lease expires by itself.
             let _ = store.revoke(&lease).await;
--- a/transport/store/tests/http.rs
+++ b/transport/store/tests/http.rs
@@ -149,12 +149,12 @@
             ..swap("a/1", "one", expected)
         };
         let first = http.swap(fenced(0)).await.expect("the lease holds");
-        platform.lapse();
-        assert_eq!(http.swap(fenced(first)).await, Err(Fault::Lapsed));
-        assert_eq!(http.keep_alive(&lease).await, Err(Fault::Lapsed));
+        platform.end_sessions();
+        assert_eq!(http.swap(fenced(first)).await, Err(Fault::Expired));
+        assert_eq!(http.renew(&lease).await, Err(Fault::Expired));
         let next = http.grant(TTL).await.expect("a lease");
         assert_eq!(http.acquire("lock", &next).await, Ok(true));
-        assert_eq!(http.swap(fenced(first)).await, Err(Fault::Lapsed));
+        assert_eq!(http.swap(fenced(first)).await, Err(Fault::Expired));
     });
 }
 
@@ -165,7 +165,7 @@
         let two = http.grant(TTL).await.expect("a lease");
         assert_eq!(http.acquire("lock", &one).await, Ok(true));
         assert_eq!(http.acquire("lock", &two).await, Ok(false));
-        assert_eq!(http.keep_alive(&one).await, Ok(()));
+        assert_eq!(http.renew(&one).await, Ok(()));
         assert_eq!(http.revoke(&one).await, Ok(()));
         assert_eq!(http.acquire("lock", &two).await, Ok(true));
     });
--- a/transport/store/tests/reader.rs
+++ b/transport/store/tests/reader.rs
@@ -136,7 +136,7 @@
             while platform.calls().refused < refused + 3 {
                 futures_lite::future::yield_now().await;
             }
-            platform.lapse();
+            platform.end_sessions();
             platform.set_faults(|faults| faults.mode = Mode::Up);
             revision = fixture.write("again", revision).await;
             fixture.expect_update("again", revision).await;
