--- a/coordination/route/src/hunt.rs
+++ b/coordination/route/src/hunt.rs
@@ -28,11 +28,11 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use route::hunt::pass_pays;
+/// use route::hunt::should_forward;
 ///
 /// let round_trip = Duration::from_millis(3);
-/// assert!(!pass_pays(Duration::from_millis(5), round_trip));
-/// assert!(pass_pays(Duration::from_millis(20), round_trip));
+/// assert!(!should_forward(Duration::from_millis(5), round_trip));
+/// assert!(should_forward(Duration::from_millis(20), round_trip));
 /// ```
 #[must_use]
 pub fn should_forward(wait: Duration, round_trip: Duration) -> bool {
--- a/coordination/route/src/order.rs
+++ b/coordination/route/src/order.rs
@@ -36,9 +36,9 @@
 /// let ranked: Vec<_> = order.top(42, 3).map(|target| target.id).collect();
 ///
 /// // Exclude the first target from new flows: they open at the second.
-/// let order = order.close([ranked[0]]);
+/// let order = order.exclude([ranked[0]]);
 /// assert_eq!(order.top(42, 1).next().unwrap().id, ranked[0]);
-/// assert_eq!(order.open(42, 1).next().unwrap().id, ranked[1]);
+/// assert_eq!(order.top_open(42, 1).next().unwrap().id, ranked[1]);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Order {
--- a/coordination/route/src/pin.rs
+++ b/coordination/route/src/pin.rs
@@ -101,7 +101,7 @@
 ///     address: "198.51.100.1:7000".parse().unwrap(),
 /// };
 /// let mut table = Table::new(settings);
-/// assert_eq!(table.pin(Duration::ZERO, service, 42, holder), Outcome::Kept);
+/// assert_eq!(table.pin(Duration::ZERO, service, 42, holder), Outcome::Pinned);
 /// assert_eq!(table.get(service, 42), Some(holder));
 ///
 /// table.expire(settings.lifetime * 2);
--- a/state/flow/src/table.rs
+++ b/state/flow/src/table.rs
@@ -99,7 +99,7 @@
 /// assert_eq!(table.get(42).unwrap().token, token);
 ///
 /// let mut expired = Vec::new();
-/// table.expire(settings.idle * 2, &mut expired);
+/// table.expire(settings.idle_timeout * 2, &mut expired);
 /// assert_eq!(expired[0].key, 42);
 /// ```
 #[derive(Debug)]
--- a/state/limit/src/forecast.rs
+++ b/state/limit/src/forecast.rs
@@ -34,14 +34,14 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use limit::Held;
-/// use limit::held::Settings;
+/// use limit::Forecast;
+/// use limit::forecast::Settings;
 ///
 /// let now = Duration::ZERO;
-/// let mut held = Held::new(Settings::default(), now);
-/// assert_eq!(held.bid(now, 100), Duration::ZERO);
-/// held.observe(now, 10);
-/// assert!(held.bid(now, 100) > held.bid(now, 200));
+/// let mut forecast = Forecast::new(Settings::default(), now);
+/// assert_eq!(forecast.bid(now, 100), Duration::ZERO);
+/// forecast.set_idle_flows(now, 10);
+/// assert!(forecast.bid(now, 100) > forecast.bid(now, 200));
 /// ```
 #[derive(Debug)]
 pub struct Forecast {
--- a/state/limit/src/load.rs
+++ b/state/limit/src/load.rs
@@ -33,7 +33,7 @@
 ///
 /// let now = Duration::ZERO;
 /// let mut load = Load::new(Settings::default(), now);
-/// load.request(now);
+/// load.record_request(now);
 /// assert!(load.bid(now, 10) > load.bid(now, 20));
 /// ```
 #[derive(Debug)]
--- a/state/limit/src/risk.rs
+++ b/state/limit/src/risk.rs
@@ -39,10 +39,10 @@
 ///
 /// let now = Duration::ZERO;
 /// let mut risk = Risk::new(Settings::default(), now);
-/// risk.answered(now);
-/// assert_eq!(risk.wait(now), Duration::ZERO);
-/// risk.failed(now);
-/// assert!(risk.wait(now) > Duration::ZERO);
+/// risk.record_answer(now);
+/// assert_eq!(risk.expected_cost(now), Duration::ZERO);
+/// risk.record_failure(now);
+/// assert!(risk.expected_cost(now) > Duration::ZERO);
 /// ```
 #[derive(Debug)]
 pub struct Risk {
