--- a/tools/bench/src/gate.rs
+++ b/tools/bench/src/gate.rs
@@ -98,7 +98,7 @@
     }
     println!("4 slots of 50 ms; half of the jobs allow 200 ms, half 2 s\n");
     table::print(&HEADER, &rows.iter().map(cells).collect::<Vec<_>>());
-    println!("offering and finishing a job takes {:.0} ns", decision_ns());
+    println!("offer and finish of a job: {:.0} ns", decision_ns());
     fs::create_dir_all(&settings.out)?;
     fs::write(
         settings.out.join("gate.json"),
@@ -149,7 +149,7 @@
     jobs: Vec<Arrival>,
     random: Rng,
     now: Duration,
-    /// Time of the earliest expiry that is scheduled.
+    /// Time of the earliest scheduled [`Event::Expire`].
     next_expiry: Option<Duration>,
     row: Row,
 }
@@ -261,8 +261,8 @@
         self.row.hasty_in_time += f64::from(u8::from(in_time && hasty));
     }
 
-    /// Schedules an event. One at a time that is taken already is put off by
-    /// whole nanoseconds, as the map holds one event per time.
+    /// Schedules an event at `time`, or at the next free nanosecond after it,
+    /// since the map holds only one event per time.
     fn schedule(&mut self, time: Duration, event: Event) {
         let mut time = time;
         while self.events.contains_key(&time) {
--- a/tools/bench/src/member.rs
+++ b/tools/bench/src/member.rs
@@ -21,11 +21,12 @@
 use crate::report;
 use crate::table;
 
-/// Numbers of entries over which a change is gossiped.
+/// Numbers of entries in the fleets that gossip a change.
 const ENTRY_COUNTS: [usize; 5] = [10, 30, 100, 300, 1_000];
 
-/// Numbers of agents per entry. Three entries watch each agent, so that an
-/// entry watches three times as many on average.
+/// Numbers of agents per entry. Three entries of its region watch each agent,
+/// so that an entry watches on average three times the agents of its region
+/// divided by the entries of that region, besides other entries.
 const AGENTS_PER_ENTRY: [usize; 3] = [0, 2, 7];
 
 /// Number of entries in the fleets with agents.
@@ -178,7 +179,7 @@
     let directory = directory::measure();
     println!("The directory at full size");
     table::print(&["figure", "value"], &directory.rows());
-    println!("Gossip of a change to every entry ({CHANGES} changes, 9 zones, 3 regions)");
+    println!("A change on its way to every entry ({CHANGES} changes, 9 zones, 3 regions)");
     let spread: Vec<Spread> = ENTRY_COUNTS.map(spread).into_iter().collect();
     let rows: Vec<Vec<String>> = spread.iter().map(Spread::row).collect();
     table::print(&SPREAD_HEADER, &rows);
--- a/tools/bench/src/member/directory.rs
+++ b/tools/bench/src/member/directory.rs
@@ -126,7 +126,8 @@
 }
 
 /// Returns the processor time of one second with the heartbeats of all watched
-/// agents and the periodic work of the entry, in microseconds.
+/// agents and the periodic work of the entry, which includes four rounds, in
+/// microseconds.
 fn steady_micros_a_second(registry: &mut Registry, own: SocketAddr) -> u128 {
     let stopwatch = Stopwatch::start();
     for second in 1..=HEARTBEAT_SECONDS {
--- a/tools/bench/src/member/fleet.rs
+++ b/tools/bench/src/member/fleet.rs
@@ -135,7 +135,7 @@
             .sum()
     }
 
-    /// Returns whether the entry or agent with this number is in the frozen
+    /// Returns true if the entry or agent with this number is in the frozen
     /// zone.
     pub fn is_frozen(&self, number: usize) -> bool {
         self.frozen_zone == Some(number % ZONES)
--- a/tools/bench/src/place/outcome.rs
+++ b/tools/bench/src/place/outcome.rs
@@ -36,7 +36,8 @@
     pub p50_ms: f64,
     /// 99th percentile of the latency in milliseconds.
     pub p99_ms: f64,
-    /// Requests refused or expired, as a share of those issued.
+    /// Requests refused or expired, and refused opens, as a share of the
+    /// requests issued.
     pub refused: f64,
     /// Largest utilisation of a target divided by the mean utilisation.
     pub imbalance: f64,
--- a/tools/bench/src/place/server.rs
+++ b/tools/bench/src/place/server.rs
@@ -73,13 +73,14 @@
         }
     }
 
-    /// Returns the jobs per second that it can run without a fault.
+    /// Returns the number of jobs per second that the server can run without a
+    /// fault.
     pub fn capacity(&self) -> f64 {
         f64::from(self.slots) / self.mean
     }
 
-    /// Returns the utilisation of the slots, from 0 to 1, over the time
-    /// `measured`.
+    /// Returns the share of the time `measured` during which slots were busy, on
+    /// average over the slots.
     pub fn utilisation(&self, measured: Duration) -> f64 {
         self.busy / f64::from(self.slots) / measured.as_secs_f64()
     }
@@ -138,7 +139,7 @@
         Bid { free, wait, load }
     }
 
-    /// Returns whether a fault slows this server now.
+    /// Returns true if a fault slows this server now.
     fn is_slow(&self, now: Duration) -> bool {
         let end = match self.fault {
             Fault::Slow => SLOW_END,
--- a/tools/bench/src/place/simulation.rs
+++ b/tools/bench/src/place/simulation.rs
@@ -41,7 +41,8 @@
 /// Time at the start over which the flows of [`Work::Long`] open.
 const RAMP_UP_TIME: Duration = Duration::from_secs(20);
 
-/// Event of the simulation. Flows, requests and targets go by their index.
+/// Event of the simulation. Flows, requests and targets are identified by their
+/// index.
 #[derive(Debug)]
 enum Event {
     /// A caller opens a flow.
@@ -111,7 +112,7 @@
     servers: Vec<Server>,
     flows: Vec<Flow>,
     requests: Vec<Request>,
-    /// Order of the targets at the entries, by their reported weights.
+    /// Weighted order of the targets at the entries, from the reported weights.
     order: Order,
     /// Round-robin counter of each entry.
     next_targets: [usize; ENTRIES],
@@ -362,7 +363,7 @@
     }
 }
 
-/// Ranks the targets by their reported weights.
+/// Builds the weighted order of the targets from their reported weights.
 fn order(servers: &[Server]) -> Order {
     let targets: Vec<Target> = (0..)
         .zip(servers)
--- a/tools/bench/src/route/baseline.rs
+++ b/tools/bench/src/route/baseline.rs
@@ -37,7 +37,7 @@
         ranked.into_iter().map(|scored| scored.index).collect()
     }
 
-    /// Memory, in bytes.
+    /// Returns the memory in bytes.
     pub fn bytes(&self) -> usize {
         self.leaves.capacity() * size_of::<Leaf>()
     }
@@ -81,7 +81,7 @@
         self.targets[bucket]
     }
 
-    /// Memory, in bytes.
+    /// Returns the memory in bytes.
     pub fn bytes(&self) -> usize {
         self.targets.capacity() * size_of::<[u32; 3]>()
     }
--- a/tools/standin/src/audit.rs
+++ b/tools/standin/src/audit.rs
@@ -31,7 +31,7 @@
     }
 }
 
-/// Prints the table and returns whether a guarantee was violated.
+/// Prints the table and returns true if a guarantee was violated.
 fn run(args: &[String]) -> Result<bool, Box<dyn std::error::Error>> {
     let mut flags = Options::new();
     flags.optmulti(
--- a/tools/standin/src/audit/finding.rs
+++ b/tools/standin/src/audit/finding.rs
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Returns whether a guarantee was violated, or no operation was answered.
+    /// Returns true if a guarantee was violated or no operation was answered.
     #[must_use]
     pub fn has_violation(&self) -> bool {
         let report = &self.report;
--- a/tools/standin/src/backend/http.rs
+++ b/tools/standin/src/backend/http.rs
@@ -29,7 +29,7 @@
 /// Deadline of a request without a valid `deadline-ms` header.
 const DEFAULT_DEADLINE: Duration = Duration::from_mins(1);
 
-/// Accepts connections, without end, and serves each in a task of its own.
+/// Accepts connections without end and serves each in its own task.
 pub async fn accept(
     listener: Async<TcpListener>,
     executor: Rc<LocalExecutor<'static>>,
--- a/tools/standin/src/backend/worker.rs
+++ b/tools/standin/src/backend/worker.rs
@@ -51,7 +51,7 @@
     pub name: String,
     /// Whether it may run more than once.
     pub idempotent: bool,
-    /// Time, from its arrival, within which it has to start.
+    /// Time after its arrival by which it must have started.
     pub deadline: Duration,
 }
 
@@ -66,7 +66,7 @@
     Expired,
 }
 
-/// Load from a point in time on.
+/// Load from `time` until the next sample.
 struct Sample {
     time: Instant,
     load: Load,
--- a/tools/standin/src/fabric/fault.rs
+++ b/tools/standin/src/fabric/fault.rs
@@ -27,7 +27,7 @@
             .collect()
     }
 
-    /// Draws whether a fault with this probability occurs.
+    /// Returns true at random with a probability of `percent`.
     fn occurs(&mut self, percent: u32) -> bool {
         self.random.u32(0..100) < percent
     }
--- a/tools/standin/src/platform/call.rs
+++ b/tools/standin/src/platform/call.rs
@@ -6,11 +6,11 @@
 /// sessions or read these numbers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Calls {
-    /// Reads of a key or prefix that returned at once.
+    /// Reads of a key or prefix that are not watches.
     pub reads: u64,
     /// Transactions.
     pub writes: u64,
-    /// Watches: reads that wait for a change.
+    /// Watches: reads that wait for a change. Each counts once.
     pub watches: u64,
     /// All other calls that write: sessions and acquisitions of keys.
     pub leases: u64,
--- a/tools/standin/src/platform/fault.rs
+++ b/tools/standin/src/platform/fault.rs
@@ -22,7 +22,7 @@
 /// Invalid name or value of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, Error)]
 pub enum Error {
-    /// unknown fault; the fields of `Faults` list the names
+    /// unknown fault; give `mode`, `slow_ms`, `lose_answers`, `drop_events`, `repeat_events` or `stale_reads`
     UnknownName,
     /// invalid value of a fault; give a whole number, or for the mode: up, down, fail or hang
     UnknownValue,
@@ -86,7 +86,7 @@
     }
 }
 
-/// Decrements the count of a fault; returns whether the fault is to happen now.
+/// Decrements the count of a fault; returns true if the fault is to happen now.
 pub(super) fn consume(count: &mut u32) -> bool {
     let due = *count > 0;
     *count = count.saturating_sub(1);
--- a/tools/standin/src/platform/session.rs
+++ b/tools/standin/src/platform/session.rs
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Returns whether the session exists.
+    /// Returns true if the session exists.
     #[must_use]
     pub fn contains(&self, id: &str) -> bool {
         self.by_id.contains_key(id)
--- a/tools/standin/src/platform/state.rs
+++ b/tools/standin/src/platform/state.rs
@@ -181,7 +181,7 @@
         Cow::Owned(pairs)
     }
 
-    /// Returns whether the condition of an operation is met.
+    /// Returns true if the condition of an operation is met.
     fn is_satisfied(&self, operation: &Operation) -> bool {
         match operation {
             Operation::Set { .. } => true,
@@ -194,7 +194,8 @@
         }
     }
 
-    /// Starts a write with the next revision.
+    /// Starts a write: assigns the next revision, and discards the values that
+    /// the previous write replaced.
     fn begin_write(&mut self) {
         self.replaced.clear();
         // The first write must have a larger revision than an empty prefix.
--- a/tools/standin/tests/audit.rs
+++ b/tools/standin/tests/audit.rs
@@ -57,7 +57,7 @@
     assert!(finding.has_violation());
 }
 
-/// Asserts that a report is found broken after one change.
+/// Asserts that a report violates a guarantee after one change.
 fn violates_a_guarantee(change: fn(&mut Report)) {
     let mut report = report();
     change(&mut report);
--- a/tools/standin/tests/backend.rs
+++ b/tools/standin/tests/backend.rs
@@ -138,7 +138,7 @@
         cold_factor: 3,
         ..Settings::default()
     };
-    let time = |age, dice| settings.run_time(Duration::from_secs(age), dice);
+    let time = |age, uniform| settings.run_time(Duration::from_secs(age), uniform);
     assert_eq!(time(0, 0.5), Duration::from_millis(30));
     assert_eq!(time(2, 0.5), Duration::from_millis(20));
     assert_eq!(time(4, 0.5), Duration::from_millis(10));
