--- a/coordination/config/src/lib.rs
+++ b/coordination/config/src/lib.rs
@@ -8,9 +8,9 @@
 //! * [`Change`] applies an operator's change by compare-and-swap.
 //! * [`Reader`] reads the configuration into an entry: a [`Lease`] decides
 //!   whether this entry reads, and a [`Feed`] does the reading.
-//! * [`Follow`] follows a single key of the store.
-//! * [`Presence`] keeps a process registered in the store.
-//! * [`Item`], [`Listing`] and [`Fault`] are the store's answers.
+//! * [`Follower`](follower::Follower) follows a single key of the store.
+//! * [`Registration`](registration::Registration) keeps a process registered in the store.
+//! * [`KeyValue`], [`Listing`] and [`Fault`] are the store's answers.
 pub mod change;
 pub mod diff;
 pub mod fault;
--- a/coordination/route/src/hunt.rs
+++ b/coordination/route/src/hunt.rs
@@ -79,7 +79,7 @@
 /// Decides what the agent at the frame's position does with an open.
 ///
 /// Refuses an invalid frame, which no correct process sends: one with a
-/// position outside the path, a path that is too long, or a number of waits
+/// position outside the path, a path that is too long, or a number of bids
 /// that does not match the position.
 #[must_use]
 pub fn step(mut relay: Relay, bid: Bid) -> Step {
--- a/coordination/route/src/lib.rs
+++ b/coordination/route/src/lib.rs
@@ -5,7 +5,7 @@
 //! * [`hunt`] relays an open along the first targets of that order until one
 //!   accepts it.
 //! * [`pin`] records, at a flow's home, which other target holds the flow.
-//! * [`place`] ranks targets for a new flow by their expected response time.
+//! * [`placement`] ranks targets for a new flow by their expected response time.
 //!
 //! All modules are sans-IO: the caller passes in the time and random seeds, and
 //! does the network I/O.
--- a/coordination/route/src/placement.rs
+++ b/coordination/route/src/placement.rs
@@ -15,7 +15,7 @@
 use wire::ZoneId;
 use wire::transit::Load;
 
-/// Parameters of a [`Place`].
+/// Parameters of a [`Placement`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// Cost of sending a flow to another availability zone, expressed as a
@@ -90,7 +90,7 @@
     }
 
     /// Records that a backend server, or its agent, did not answer, which makes
-    /// it rank last for [`Settings::distrust`].
+    /// it rank last for [`Settings::unresponsive_time`].
     pub fn mark_unresponsive(&mut self, now: Duration, target: TargetId) {
         let observation = self.observations.entry(target).or_default();
         observation.unresponsive_until = now + self.settings.unresponsive_time;
--- a/protocol/wire/src/transit.rs
+++ b/protocol/wire/src/transit.rs
@@ -142,7 +142,7 @@
     /// Start time of the backend server in milliseconds since the Unix epoch,
     /// by its own clock; `None` where `age_ms` is `None`.
     pub start: Option<u64>,
-    /// The caller's packet; empty in the reply to a [`Seek`].
+    /// The caller's packet; empty in the reply to a [`Lookup`].
     pub packet: Bytes,
 }
 
--- a/roles/agent/src/event.rs
+++ b/roles/agent/src/event.rs
@@ -91,10 +91,10 @@
     /// Accept new flows again after an [`Event::Drain`].
     Resume,
     /// The backend server leaves for good: finish pending requests within
-    /// [`crate::settings::Leave::grace`], then exit.
+    /// [`crate::settings::Leave::grace_period`], then exit.
     Stop,
     /// The agent is replaced while its backend server stays: finish pending
-    /// requests within [`crate::settings::Leave::grace`], park the flows at a
+    /// requests within [`crate::settings::Leave::grace_period`], park the flows at a
     /// peer, then exit.
     Replace,
 }
--- a/roles/agent/src/offered.rs
+++ b/roles/agent/src/offered.rs
@@ -187,7 +187,7 @@
 }
 
 /// Time that a withdrawal is recorded whose offer has not arrived, in addition
-/// to [`flow::ledger::Settings::late_copy`].
+/// to [`flow::ledger::Settings::duplicate_window`].
 const WITHDRAWAL_RETENTION: Duration = Duration::from_mins(1);
 
 impl From<Reason> for Refusal {
--- a/roles/agent/src/open.rs
+++ b/roles/agent/src/open.rs
@@ -41,7 +41,7 @@
             .filter(|hop| !relay::visited(&relay, hop) && position + 1 < MAX_HOPS)
             .filter(|_| !relay.is_settled);
         if let Some(hop) = pinned {
-            // `waits` must have one element per visited hop; this agent
+            // `bids` must have one element per visited hop; this agent
             // places no bid.
             relay.bids.push(u32::MAX);
             return relay::forward(outbox, relay, hop);
--- a/roles/agent/src/settings.rs
+++ b/roles/agent/src/settings.rs
@@ -38,7 +38,7 @@
 pub struct Pass {
     /// Expected round trip to another agent of the service, across zones. A
     /// request is passed if the expected wait here is long compared to it; see
-    /// [`hunt::pass_pays`].
+    /// [`hunt::should_forward`].
     pub round_trip: Duration,
     /// Largest number of agents that one request is passed to, one at a time.
     pub max_attempts: usize,
--- a/roles/entry/src/lib.rs
+++ b/roles/entry/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! An entry keeps no state of any flow. [`Router`] is an immutable snapshot of
 //! the directory, built by the control thread and read by the traffic threads;
-//! [`Router::route`] maps one datagram to one [`Step`].
+//! [`Router::route`] maps one datagram to one [`Decision`].
 pub mod decision;
 pub mod router;
 pub mod service;
--- a/roles/forward/src/entry/search.rs
+++ b/roles/forward/src/entry/search.rs
@@ -30,7 +30,7 @@
 
 impl Entry {
     /// Starts a search for the holder of a flow, leaving out the agent
-    /// `absent`, which has denied it.
+    /// `excluded`, which has denied it.
     pub(super) fn start_search(
         &mut self,
         routes: &Routes,
--- a/state/limit/src/forecast.rs
+++ b/state/limit/src/forecast.rs
@@ -8,7 +8,7 @@
 use crate::Load;
 use crate::load;
 
-/// Parameters of a [`Held`].
+/// Parameters of a [`Forecast`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
     /// Parameters of the load estimate from observed requests.
--- a/state/limit/src/lib.rs
+++ b/state/limit/src/lib.rs
@@ -2,7 +2,7 @@
 //! slots and the caller's deadline.
 //!
 //! * [`Gate`] manages the slots and the queue of one backend server.
-//! * [`Held`] estimates the load that held flows are expected to cause.
+//! * [`Forecast`] estimates the load that held flows are expected to cause.
 //! * [`Occupancy`] estimates the wait at a backend server whose queue is not
 //!   visible, from requests and answers on the network.
 //! * [`Load`] estimates the load of held flows from their request rate.
--- a/transport/store/src/lib.rs
+++ b/transport/store/src/lib.rs
@@ -64,14 +64,14 @@
     ) -> impl Future<Output = Result<Listing, Fault>> + Send;
 
     /// Writes a key by compare-and-swap and returns its new revision. Fails with
-    /// [`Fault::Conflict`] if the key has changed and with [`Fault::Lapsed`] if
+    /// [`Fault::Conflict`] if the key has changed and with [`Fault::Expired`] if
     /// the fence's lease no longer holds its key.
     fn swap(&self, swap: Swap) -> impl Future<Output = Result<Revision, Fault>> + Send;
 
     /// Grants a lease that expires `ttl` after its last renewal.
     fn grant(&self, ttl: Duration) -> impl Future<Output = Result<LeaseId, Fault>> + Send;
 
-    /// Renews a lease. Fails with [`Fault::Lapsed`] if it has expired.
+    /// Renews a lease. Fails with [`Fault::Expired`] if it has expired.
     fn renew(&self, lease: &LeaseId) -> impl Future<Output = Result<(), Fault>> + Send;
 
     /// Revokes a lease and releases the keys it holds.
