--- a/coordination/member/src/announcer.rs
+++ b/coordination/member/src/announcer.rs
@@ -56,7 +56,7 @@
 pub struct Change {
     /// Learned capacity in requests per second, in coarse steps; at least 1.
     pub weight: u32,
-    /// State of the backend server, which says whether it takes new flows.
+    /// State of the backend server, which says whether it accepts new flows.
     pub state: State,
 }
 
--- a/coordination/member/src/view.rs
+++ b/coordination/member/src/view.rs
@@ -140,7 +140,7 @@
     /// Updates the health of all targets, given which are silent. Returns the
     /// targets whose health changed.
     ///
-    /// At most half of the ready targets count as down for silence. If more
+    /// At most half of the ready targets are marked down for silence. If more
     /// are silent, the observers are more likely at fault than the targets, and
     /// all silent ones become [`Health::Doubted`].
     pub(crate) fn update_health(&mut self, is_silent: impl Fn(&Target) -> bool) -> Vec<TargetId> {
--- a/coordination/member/tests/failure.rs
+++ b/coordination/member/tests/failure.rs
@@ -79,8 +79,8 @@
     assert!(net.all_see(Health::Down, 1));
 }
 
-/// An entry that was frozen missed heartbeats, and must not take their senders
-/// for silent when it resumes.
+/// An entry that was frozen missed heartbeats, and must not consider their
+/// senders silent when it resumes.
 fn frozen_entries_take_no_target_down(frozen: &[u8]) {
     let mut net = region(7, 5, 4);
     let frozen: Vec<SocketAddr> = frozen.iter().map(|number| entry(*number)).collect();
--- a/coordination/route/src/hunt.rs
+++ b/coordination/route/src/hunt.rs
@@ -117,9 +117,9 @@
 }
 
 /// Returns the index of the lowest bid; the first one wins a tie.
-fn index_of_least(waits: &[u32]) -> u8 {
+fn index_of_least(bids: &[u32]) -> u8 {
     (0..)
-        .zip(waits)
+        .zip(bids)
         .min_by_key(|&(_, wait)| wait)
         .map_or(0, |(index, _)| index)
 }
--- a/coordination/route/src/tree.rs
+++ b/coordination/route/src/tree.rs
@@ -65,7 +65,7 @@
 }
 
 impl<const BITS: u32> Tree<BITS> {
-    /// Builds the trie. The leaves must be sorted by `spread`, without
+    /// Builds the trie. The leaves must be sorted by `hashed_id`, without
     /// duplicates; leaves are identified by their position in `leaves`.
     #[must_use]
     pub fn new(leaves: Vec<Leaf>) -> Self {
--- a/protocol/wire/src/caller.rs
+++ b/protocol/wire/src/caller.rs
@@ -93,7 +93,7 @@
     ///
     /// # Errors
     ///
-    /// Any [`Error`]; the caller of this function counts the datagram and may
+    /// Any [`enum@Error`]; the caller of this function counts the datagram and may
     /// answer it with [`Packet::reject`].
     pub fn from_bytes(bytes: Bytes) -> Result<Self, Error> {
         let packet = Self::decode(bytes).map_err(|_| Error::Malformed)?;
--- a/protocol/wire/src/seal.rs
+++ b/protocol/wire/src/seal.rs
@@ -87,7 +87,7 @@
     ///
     /// # Errors
     ///
-    /// Any [`Error`]; the receiving process counts and drops the datagram.
+    /// Any [`enum@Error`]; the receiving process counts and drops the datagram.
     pub fn open(&self, datagram: &[u8]) -> Result<Frame, Error> {
         self.open_as(Purpose::Frame, datagram)
     }
@@ -111,7 +111,7 @@
     ///
     /// # Errors
     ///
-    /// Any [`Error`]; the receiving process counts and drops the message.
+    /// Any [`enum@Error`]; the receiving process counts and drops the message.
     pub fn open_as<T: DeserializeOwned>(
         &self,
         purpose: Purpose,
--- a/roles/agent/src/event.rs
+++ b/roles/agent/src/event.rs
@@ -36,7 +36,7 @@
     },
     /// Another agent passes a request to this one.
     Offered {
-        /// The call to answer by [`crate::Action::Resolve`].
+        /// The call to answer by [`crate::Action::AnswerOffer`].
         call: CallId,
         /// The request.
         offer: Offer,
@@ -58,7 +58,7 @@
     View(View),
     /// Another agent parks a part of its state here.
     Park {
-        /// The call to answer by [`crate::Action::Parked`].
+        /// The call to answer by [`crate::Action::AnswerPark`].
         call: CallId,
         /// The part.
         part: park::Part,
@@ -72,7 +72,7 @@
     },
     /// The successor of an agent that parked its state here claims a part.
     Claim {
-        /// The call to answer by [`crate::Action::Claimed`].
+        /// The call to answer by [`crate::Action::AnswerClaim`].
         call: CallId,
         /// The claimed part.
         claim: park::Claim,
@@ -94,8 +94,8 @@
     /// [`crate::settings::Leave::grace_period`], then exit.
     Stop,
     /// The agent is replaced while its backend server stays: finish pending
-    /// requests within [`crate::settings::Leave::grace_period`], park the flows at a
-    /// peer, then exit.
+    /// requests within [`crate::settings::Leave::grace_period`], park the flows
+    /// at a peer, then exit.
     Replace,
 }
 
--- a/roles/app/src/call.rs
+++ b/roles/app/src/call.rs
@@ -54,7 +54,7 @@
 /// Runs the load tool, prints its report and writes the files that the settings
 /// name.
 ///
-/// Returns [`exit::BROKEN`] if the report has violations, see
+/// Returns [`exit::VIOLATION`] if the report has violations, see
 /// [`Report::has_violations`].
 #[must_use]
 pub fn main(settings: &settings::Call) -> ExitCode {
--- a/roles/app/src/call/answer.rs
+++ b/roles/app/src/call/answer.rs
@@ -64,8 +64,8 @@
     /// fetch may request.
     #[must_use]
     pub fn missing(&self) -> Vec<u32> {
-        let absent = (0..).zip(&self.chunks).filter(|(_, chunk)| chunk.is_none());
-        absent
+        let missing = (0..).zip(&self.chunks).filter(|(_, chunk)| chunk.is_none());
+        missing
             .map(|(index, _)| index)
             .take(MAX_FETCH_CHUNKS)
             .collect()
--- a/roles/app/src/call/payload.rs
+++ b/roles/app/src/call/payload.rs
@@ -39,7 +39,7 @@
 ///
 /// # Errors
 ///
-/// Returns an [`Error`] if it is not.
+/// Returns an [`enum@Error`] if it is not.
 pub fn check(answer: &[u8], service: &str, payload: &[u8]) -> Result<(), Error> {
     let end = answer.iter().position(|byte| *byte == b'\n');
     let (name, body) = answer.split_at(end.ok_or(Error::Mismatch)?);
--- a/roles/app/src/entry/traffic.rs
+++ b/roles/app/src/entry/traffic.rs
@@ -113,7 +113,7 @@
         };
         let entry = self.port.local_addr()?;
         let traffic = Arc::clone(self);
-        let relay = move |sprayed| traffic.relay(sprayed, entry);
+        let relay = move |encapsulated| traffic.relay(encapsulated, entry);
         let reading = frontend::receive(service, socket, relay);
         Ok(Some(self.executor.spawn(reading)))
     }
@@ -127,7 +127,7 @@
 
     fn dispatch(&self, received: Received, entry: SocketAddr) {
         match received.frame {
-            Frame::Encapsulated(sprayed) => self.relay(sprayed, entry),
+            Frame::Encapsulated(encapsulated) => self.relay(encapsulated, entry),
             Frame::Reply(reply) => self.reply(reply),
             Frame::Control(payload) => self.enqueue_control(received.from, payload),
             Frame::Relay(_) | Frame::Pin(_) | Frame::Unpin(_) | Frame::Transit(_) => {
@@ -136,9 +136,9 @@
         }
     }
 
-    fn relay(&self, sprayed: Encapsulated, entry: SocketAddr) {
-        let service = sprayed.service;
-        match self.router.load().route(sprayed, entry) {
+    fn relay(&self, encapsulated: Encapsulated, entry: SocketAddr) {
+        let service = encapsulated.service;
+        match self.router.load().route(encapsulated, entry) {
             Decision::Relay { to, relay } => {
                 count(&self.counters.relayed);
                 self.port.send(to, &Frame::Relay(relay));
@@ -161,12 +161,12 @@
     fn reply(&self, reply: Reply) {
         match &self.frontend {
             Frontend::Encapsulated { fabric } => {
-                let sprayed = Encapsulated {
+                let encapsulated = Encapsulated {
                     caller: reply.caller,
                     service: reply.service,
                     packet: reply.packet,
                 };
-                self.port.send(*fabric, &Frame::Encapsulated(sprayed));
+                self.port.send(*fabric, &Frame::Encapsulated(encapsulated));
             }
             Frontend::Bound(bound) if bound.send(&reply) => {}
             Frontend::Bound(_) => return count(&self.counters.not_bound),
--- a/roles/app/src/event.rs
+++ b/roles/app/src/event.rs
@@ -103,7 +103,7 @@
     1005 Info CarrierStarting { role: String, host: String, zone: String, frames: SocketAddr }
         "{role} starts on host {host} in availability zone {zone} and receives frames on {frames}", "nothing";
     1006 Info Stopping { role: String }
-        "{role} received a stop signal and takes no new flows", "nothing";
+        "{role} received a stop signal and accepts no new flows", "nothing";
     1007 Info Reloading { role: String }
         "{role} received SIGHUP; changed settings take effect at the next start", "nothing";
     1008 Info Unlogged { lines: u64 }
@@ -129,7 +129,7 @@
         "backend server {target} of service {service} is marked down",
         "check its host, its agent's log and the network to it";
     3003 Info TargetDraining { service: ServiceAddress, target: TargetId }
-        "backend server {target} of service {service} is draining and takes no new flows", "nothing";
+        "backend server {target} of service {service} is draining and accepts no new flows", "nothing";
     3004 Info TargetLeft { service: ServiceAddress, target: TargetId }
         "backend server {target} of service {service} has left", "nothing";
     3005 Error Superseded { incarnation: Incarnation }
@@ -148,7 +148,7 @@
         "flow {flow} was accepted: expected wait {wait_us} us, later wait through other flows {held_us} us, loss through failures {risk_us} us; {running} requests and {held} flows before it; from entry {entry}",
         "nothing";
     4003 Info FlowPassed { flow: String, bid: String, to: TargetId, settled: bool }
-        "flow {flow} was passed on to the agent of {to}: bid here {bid}, final decision left to that agent: {settled}", "nothing";
+        "the opening packet of flow {flow} was forwarded to the agent of {to}: bid here {bid}, final decision left to that agent: {settled}", "nothing";
     4004 Warn FlowReset { flow: String, reason: String, detail: String }
         "flow {flow} was reset: {reason}, {detail}",
         "no_route: check the configuration; no_slot or no_server: check the load";
--- a/roles/app/src/gateway/traffic.rs
+++ b/roles/app/src/gateway/traffic.rs
@@ -99,9 +99,9 @@
     fn on_frame(&self, received: Received) {
         match received.frame {
             Frame::Transit(Transit::Held(held)) => self.handle(Event::Held(held)),
-            Frame::Transit(Transit::NotHeld(absent)) => self.handle(Event::NotHeld(absent)),
-            Frame::Transit(Transit::HolderAbsent(unheld)) => {
-                self.handle(Event::HolderAbsent(unheld));
+            Frame::Transit(Transit::NotHeld(denial)) => self.handle(Event::NotHeld(denial)),
+            Frame::Transit(Transit::HolderAbsent(report)) => {
+                self.handle(Event::HolderAbsent(report));
             }
             Frame::Transit(Transit::Busy(busy)) => self.handle(Event::Busy(busy)),
             Frame::Control(payload) => {
--- a/roles/app/src/operator/args.rs
+++ b/roles/app/src/operator/args.rs
@@ -234,7 +234,7 @@
 ///
 /// # Errors
 ///
-/// Returns an [`Error`] if they are not accepted.
+/// Returns an [`enum@Error`] if they are not accepted.
 pub fn parse(args: &[String]) -> Result<Command, Error> {
     let matches = options().parse(args)?;
     let mut free = matches.free.iter().cloned();
--- a/roles/app/src/settings/table.rs
+++ b/roles/app/src/settings/table.rs
@@ -1,4 +1,4 @@
-//! Types of the table of settings; [`super::list`] has its rows.
+//! Types of the table of settings; `super::list` has its rows.
 use std::fmt;
 use std::time::Duration;
 
--- a/roles/app/src/sidecar.rs
+++ b/roles/app/src/sidecar.rs
@@ -142,7 +142,7 @@
         own,
         zone: host.zone_id(),
         inputs,
-        backend: None,
+        announcement: None,
     };
     let stopping = wait_for_stop(signals, sender, traffic);
     let control = Box::pin(control.run(&host));
--- a/roles/app/src/sidecar/announcements.rs
+++ b/roles/app/src/sidecar/announcements.rs
@@ -48,7 +48,10 @@
 /// the call announces another backend server.
 fn input_from(call: Call, own: SocketAddr) -> Option<Input> {
     match call {
-        Call::Announce { address, backend } if address == own => Some(Input::Backend(backend)),
+        Call::Announce {
+            address,
+            announcement: backend,
+        } if address == own => Some(Input::Backend(backend)),
         Call::Announce { .. } => None,
         Call::Deregister { name } => Some(Input::End { name }),
     }
--- a/roles/app/src/sidecar/control.rs
+++ b/roles/app/src/sidecar/control.rs
@@ -76,7 +76,7 @@
     /// Inputs from other threads and tasks.
     pub inputs: Receiver<Input>,
     /// Last announcement of the backend server.
-    pub backend: Option<Announcement>,
+    pub announcement: Option<Announcement>,
 }
 
 impl Control {
@@ -98,7 +98,7 @@
         let now = self.origin.elapsed();
         match input {
             Some(Input::Message { from, payload }) => self.receive(now, from, &payload, actions),
-            Some(Input::Backend(backend)) => self.update_backend(now, backend),
+            Some(Input::Backend(announcement)) => self.update_backend(now, announcement),
             Some(Input::End { name }) => self.mark_ended(&name),
             Some(Input::Entries(entries)) => self.add_entries(now, entries),
             Some(Input::Stop) => self.stop(now),
@@ -132,32 +132,38 @@
 
     /// Applies an announcement of the backend server, unless it is older than the
     /// last one.
-    fn update_backend(&mut self, now: Duration, backend: Announcement) {
-        let last = self.backend.as_ref();
-        if last.is_some_and(|last| backend.is_older_than(last)) {
-            let (server, sequence) = (backend.name, backend.sequence);
+    fn update_backend(&mut self, now: Duration, announcement: Announcement) {
+        let last = self.announcement.as_ref();
+        if last.is_some_and(|last| announcement.is_older_than(last)) {
+            let (server, sequence) = (announcement.name, announcement.sequence);
             return LogEvent::OldAnnouncement { server, sequence }.log();
         }
-        let has_changed =
-            last.is_none_or(|last| (&last.name, last.state) != (&backend.name, backend.state));
+        let has_changed = last.is_none_or(|last| {
+            (&last.name, last.state) != (&announcement.name, announcement.state)
+        });
         if has_changed {
             let announced = LogEvent::Announced {
-                server: backend.name.clone(),
-                state: format!("{:?}", backend.state).to_lowercase(),
-                sequence: backend.sequence,
+                server: announcement.name.clone(),
+                state: format!("{:?}", announcement.state).to_lowercase(),
+                sequence: announcement.sequence,
             };
             announced.log();
         }
-        self.traffic.handle(Event::Announcement(backend.clone()));
+        self.traffic
+            .handle(Event::Announcement(announcement.clone()));
         let announced = self
             .announcer
             .as_ref()
             .map(|announcer| announcer.target().id);
-        if announced != Some(backend.target) {
-            let (service, target, slots) = (backend.service, backend.target, backend.slots);
+        if announced != Some(announcement.target) {
+            let (service, target, slots) = (
+                announcement.service,
+                announcement.target,
+                announcement.slots,
+            );
             self.announcer = Some(self.new_announcer(now, service, target, slots));
         }
-        self.backend = Some(backend);
+        self.announcement = Some(announcement);
     }
 
     /// Announces the backend server from the settings, before it has announced
@@ -208,7 +214,7 @@
 
     /// Marks the backend server as ended if it has this name.
     fn mark_ended(&mut self, name: &str) {
-        if let Some(last) = &mut self.backend
+        if let Some(last) = &mut self.announcement
             && last.name == name
         {
             last.state = State::Gone;
@@ -221,9 +227,9 @@
     fn stop(&mut self, now: Duration) {
         self.traffic.handle(Event::Stop);
         let has_ended = self
-            .backend
+            .announcement
             .as_ref()
-            .is_some_and(|backend| backend.state == State::Gone);
+            .is_some_and(|announcement| announcement.state == State::Gone);
         if let Some(announcer) = self.announcer.as_mut().filter(|_| has_ended) {
             announcer.leave(now);
         }
--- a/roles/app/src/sidecar/traffic.rs
+++ b/roles/app/src/sidecar/traffic.rs
@@ -276,19 +276,19 @@
             let segment = packet::decode(&open.packet)?;
             Some(Event::Open { open, segment })
         }
-        Transit::Forward(carry) => {
-            let segment = packet::decode(&carry.packet)?;
-            Some(Event::Forward { carry, segment })
+        Transit::Forward(forward) => {
+            let segment = packet::decode(&forward.packet)?;
+            Some(Event::Forward { forward, segment })
         }
         Transit::Search(search) => {
             let segment = packet::decode(&search.packet)?;
             Some(Event::Search { search, segment })
         }
-        Transit::Lookup(seek) => {
-            let segment = packet::decode(&seek.packet)?;
-            Some(Event::Lookup { seek, segment })
+        Transit::Lookup(lookup) => {
+            let segment = packet::decode(&lookup.packet)?;
+            Some(Event::Lookup { lookup, segment })
         }
-        Transit::NotHeld(absent) => Some(Event::PeerDenied(absent)),
+        Transit::NotHeld(denial) => Some(Event::PeerDenied(denial)),
         Transit::Held(_) | Transit::HolderAbsent(_) | Transit::Busy(_) => None,
     })
 }
--- a/roles/entry/src/router.rs
+++ b/roles/entry/src/router.rs
@@ -97,15 +97,20 @@
     /// Decides where a datagram goes. `entry` is the address to which agents
     /// send their replies.
     #[must_use]
-    pub fn route(&self, sprayed: Encapsulated, entry: SocketAddr) -> Decision {
-        let header = match parse(sprayed.packet.clone()) {
+    pub fn route(&self, encapsulated: Encapsulated, entry: SocketAddr) -> Decision {
+        let header = match parse(encapsulated.packet.clone()) {
             Ok(header) => header,
-            Err(reason) => return reject_unparsable(&sprayed, reason),
+            Err(reason) => return reject_unparsable(&encapsulated, reason),
         };
-        let service = match self.services.get(&sprayed.service) {
+        let service = match self.services.get(&encapsulated.service) {
             Some(service) => service,
-            None if self.absent.contains(&sprayed.service) => {
-                return refuse(&sprayed, &header, Reason::NoService, DropReason::NoService);
+            None if self.absent.contains(&encapsulated.service) => {
+                return refuse(
+                    &encapsulated,
+                    &header,
+                    Reason::NoService,
+                    DropReason::NoService,
+                );
             }
             None => return Decision::Ignore(DropReason::UnknownAddress),
         };
@@ -114,8 +119,8 @@
             (Some(first), Some(home)) => Decision::Relay {
                 to: first.address,
                 relay: Relay {
-                    caller: sprayed.caller,
-                    service: sprayed.service,
+                    caller: encapsulated.caller,
+                    service: encapsulated.service,
                     entry,
                     revision: service.revision,
                     home,
@@ -123,10 +128,15 @@
                     position: 0,
                     bids: Vec::new(),
                     is_settled: false,
-                    packet: sprayed.packet,
+                    packet: encapsulated.packet,
                 },
             },
-            _ => refuse(&sprayed, &header, Reason::NoTarget, DropReason::NoTarget),
+            _ => refuse(
+                &encapsulated,
+                &header,
+                Reason::NoTarget,
+                DropReason::NoTarget,
+            ),
         }
     }
 }
@@ -220,18 +230,18 @@
 
 /// Answers a packet that cannot be parsed, but only if the sender can match the
 /// answer to a flow.
-fn reject_unparsable(sprayed: &Encapsulated, reason: DropReason) -> Decision {
+fn reject_unparsable(encapsulated: &Encapsulated, reason: DropReason) -> Decision {
     let answer = match reason {
         DropReason::Version => Reason::BadVersion,
         DropReason::TooLarge => Reason::TooLarge,
         _ => return Decision::Ignore(reason),
     };
-    let Some(flow) = caller::flow_key(sprayed.packet.clone()) else {
+    let Some(flow) = caller::flow_key(encapsulated.packet.clone()) else {
         return Decision::Ignore(reason);
     };
-    let request = caller::request_id(sprayed.packet.clone());
+    let request = caller::request_id(encapsulated.packet.clone());
     let packet = Packet::refuse(flow, request, answer, Outcome::NotRun, 0);
-    reply(sprayed, &packet, reason)
+    reply(encapsulated, &packet, reason)
 }
 
 /// Refuses a packet that was not relayed to any agent.
@@ -239,7 +249,7 @@
 /// Another entry may have relayed an earlier copy, so only an open is certain
 /// not to have run.
 fn refuse(
-    sprayed: &Encapsulated,
+    encapsulated: &Encapsulated,
     header: &Header,
     reason: Reason,
     drop_reason: DropReason,
@@ -255,14 +265,14 @@
         outcome,
         retry_after_ms(header.flow),
     );
-    reply(sprayed, &packet, drop_reason)
+    reply(encapsulated, &packet, drop_reason)
 }
 
-fn reply(sprayed: &Encapsulated, packet: &Packet, reason: DropReason) -> Decision {
+fn reply(encapsulated: &Encapsulated, packet: &Packet, reason: DropReason) -> Decision {
     Decision::Refuse {
         reply: Reply {
-            caller: sprayed.caller,
-            service: sprayed.service,
+            caller: encapsulated.caller,
+            service: encapsulated.service,
             packet: packet.to_bytes(),
         },
         reason,
--- a/roles/entry/tests/router.rs
+++ b/roles/entry/tests/router.rs
@@ -61,12 +61,12 @@
 }
 
 fn send(router: &Router, packet: Bytes) -> Decision {
-    let sprayed = Encapsulated {
+    let encapsulated = Encapsulated {
         caller: address(9),
         service: address(80),
         packet,
     };
-    router.route(sprayed, address(7))
+    router.route(encapsulated, address(7))
 }
 
 fn relayed(step: Decision) -> Relay {
--- a/roles/forward/examples/cost.rs
+++ b/roles/forward/examples/cost.rs
@@ -131,7 +131,7 @@
     let bytes = resident_bytes().saturating_sub(before) / u64::from(FLOWS);
     let carried = mean_nanos(FLOWS * PACKETS, |number| {
         let number = number % FLOWS;
-        let carry = Forward {
+        let forward = Forward {
             target: 1,
             entry: SocketAddr::from(([10, 1, 0, 1], 7000)),
 
@@ -140,7 +140,7 @@
         let segment = segment(number, Kind::Data);
         agent.handle(
             Duration::ZERO,
-            agent::Event::Forward { carry, segment },
+            agent::Event::Forward { forward, segment },
             &mut actions,
         );
         send_answer(&mut agent, number, Kind::Data, &mut actions);
--- a/roles/forward/src/agent.rs
+++ b/roles/forward/src/agent.rs
@@ -64,7 +64,7 @@
     /// A packet arrived for a flow that the backend server is believed to hold.
     Forward {
         /// Received frame.
-        carry: Forward,
+        forward: Forward,
         /// Header of the packet in the frame.
         segment: Segment,
     },
@@ -78,7 +78,7 @@
     /// A searching agent asks whether the flow of a packet is held here.
     Lookup {
         /// Received frame.
-        seek: Lookup,
+        lookup: Lookup,
         /// Header of the packet in the frame.
         segment: Segment,
     },
@@ -114,7 +114,7 @@
     /// Whether the backend server may hold flows that were opened before this
     /// process started.
     may_hold_prior_flows: bool,
-    backend: Option<Announcement>,
+    announcement: Option<Announcement>,
     last_announced: Duration,
     /// Time of the first announcement received from the current backend server,
     /// and the longest time for which the server can have been running then.
@@ -165,7 +165,7 @@
             own,
             started_at: now,
             may_hold_prior_flows,
-            backend: None,
+            announcement: None,
             last_announced: now,
             first_announced: now,
             max_age_when_first_announced: Duration::ZERO,
@@ -190,10 +190,12 @@
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Open { open, segment } => self.handle_open(now, open, segment, actions),
-            Event::Forward { carry, segment } => self.handle_forward(now, carry, segment, actions),
+            Event::Forward { forward, segment } => {
+                self.handle_forward(now, forward, segment, actions)
+            }
             Event::Search { search, segment } => self.handle_search(now, search, segment, actions),
-            Event::Lookup { seek, segment } => self.handle_lookup(now, seek, segment, actions),
-            Event::PeerDenied(absent) => self.record_peer_denial(now, &absent, actions),
+            Event::Lookup { lookup, segment } => self.handle_lookup(now, lookup, segment, actions),
+            Event::PeerDenied(denial) => self.record_peer_denial(now, &denial, actions),
             Event::Peers(peers) => self.peers = peers,
             Event::ServerPacket { segment, packet } if segment.is_returned => {
                 self.unanswered_since = None;
@@ -203,7 +205,9 @@
                 self.unanswered_since = None;
                 self.handle_sent(now, segment, packet, actions);
             }
-            Event::Announcement(backend) => self.handle_announcement(now, backend, actions),
+            Event::Announcement(announcement) => {
+                self.handle_announcement(now, announcement, actions)
+            }
             Event::ServerEnded => self.end_server(now, actions),
             Event::Stop => self.is_stopping = true,
             Event::Tick => {}
@@ -223,10 +227,10 @@
         let reaction_deadline = self
             .unanswered_since
             .map(|since| since + settings.reaction_timeout);
-        match &self.backend {
+        match &self.announcement {
             _ if self.is_stopping => Some(Closed::Stopping),
             None if !self.assumes_ready(now) => Some(Closed::Unknown),
-            Some(backend) if backend.state != State::Ready => Some(Closed::NotReady),
+            Some(announcement) if announcement.state != State::Ready => Some(Closed::NotReady),
             Some(_) if now >= self.last_announced + settings.announcement_timeout => {
                 Some(Closed::Silent)
             }
@@ -295,29 +299,29 @@
     fn handle_forward(
         &mut self,
         now: Duration,
-        carry: Forward,
+        forward: Forward,
         segment: Segment,
         actions: &mut Vec<Action>,
     ) {
         let flow = segment.flow_from_caller();
-        if carry.target != self.own.target {
-            return send_not_held(flow, carry, &segment, None, actions);
+        if forward.target != self.own.target {
+            return send_not_held(flow, forward, &segment, None, actions);
         }
         if self.flows.contains_key(&flow) {
-            return self.deliver(now, flow, carry, segment, actions);
+            return self.deliver(now, flow, forward, segment, actions);
         }
         if let Some(open) = self.passed_flows.get(now, &flow) {
             let to = open.path[usize::from(open.position)];
-            return forward_to_next_holder(flow, to, carry, actions);
+            return forward_to_next_holder(flow, to, forward, actions);
         }
         if self.ended_flows.get(now, &flow).is_some() {
             return reset_ended(flow, &segment, actions);
         }
         if self.may_hold(now, &flow) {
-            let reply_to = carry.entry;
-            return self.probe(now, flow, carry, reply_to, actions);
+            let reply_to = forward.entry;
+            return self.probe(now, flow, forward, reply_to, actions);
         }
-        send_not_held(flow, carry, &segment, self.evidence(now), actions);
+        send_not_held(flow, forward, &segment, self.evidence(now), actions);
     }
 
     /// Delivers a packet of a held flow, or reports the flow as not held if the
@@ -326,26 +330,26 @@
         &mut self,
         now: Duration,
         flow: FlowId,
-        carry: Forward,
+        forward: Forward,
         segment: Segment,
         actions: &mut Vec<Action>,
     ) {
         let Some(held) = self.flows.get_mut(&flow) else {
             return;
         };
-        held.entry = Some(carry.entry);
+        held.entry = Some(forward.entry);
         if held.is_accepted_elsewhere(&segment) {
             held.end_request(now, &mut self.occupancy);
             self.flows.remove(&flow);
             self.flows_not_held.insert(now, flow, ());
-            return send_not_held(flow, carry, &segment, None, actions);
+            return send_not_held(flow, forward, &segment, None, actions);
         }
         match held.record_caller_packet(now, &segment, &mut self.occupancy) {
             Some(Progress::NextRequest) => self.held_load.record_request(now),
             Some(Progress::Failed) => self.risk.record_failure(now),
             Some(Progress::Answered(_)) | None => {}
         }
-        actions.push(Action::Deliver(carry.packet));
+        actions.push(Action::Deliver(forward.packet));
     }
 
     /// Expires requests, flows, probes and searches.
@@ -378,7 +382,7 @@
 /// Forwards a packet to the agent that its flow was passed on to. Also names
 /// that agent to the entry, because the agent's own notification may have been
 /// lost.
-fn forward_to_next_holder(flow: FlowId, to: Hop, carry: Forward, actions: &mut Vec<Action>) {
+fn forward_to_next_holder(flow: FlowId, to: Hop, forward: Forward, actions: &mut Vec<Action>) {
     let held = transit::Held {
         flow,
         holder: to,
@@ -386,15 +390,15 @@
         load: None,
     };
     actions.push(Action::Send {
-        to: carry.entry,
+        to: forward.entry,
         transit: Transit::Held(held),
     });
-    let carry = Forward {
+    let forward = Forward {
         target: to.target,
-        ..carry
+        ..forward
     };
     actions.push(Action::Send {
         to: to.address,
-        transit: Transit::Forward(carry),
+        transit: Transit::Forward(forward),
     });
 }
--- a/roles/forward/src/agent/lookup.rs
+++ b/roles/forward/src/agent/lookup.rs
@@ -46,24 +46,27 @@
     pub(super) fn handle_lookup(
         &mut self,
         now: Duration,
-        seek: Lookup,
+        lookup: Lookup,
         segment: Segment,
         actions: &mut Vec<Action>,
     ) {
         let flow = segment.flow_from_caller();
-        if seek.target != self.own.target {
+        if lookup.target != self.own.target {
             return;
         }
-        let (target, asker) = (seek.target, seek.searcher);
-        if self.look_up_locally(now, seek, segment, actions).is_none() {
+        let (target, searcher) = (lookup.target, lookup.searcher);
+        if self
+            .look_up_locally(now, lookup, segment, actions)
+            .is_none()
+        {
             return;
         }
-        let carry = Forward {
+        let forward = Forward {
             target,
-            entry: asker,
+            entry: searcher,
             packet: Bytes::new(),
         };
-        send_not_held(flow, carry, &segment, self.evidence(now), actions);
+        send_not_held(flow, forward, &segment, self.evidence(now), actions);
     }
 
     /// Delivers a packet whose holder is unknown if its flow is held here, or
@@ -73,24 +76,22 @@
     pub(super) fn look_up_locally(
         &mut self,
         now: Duration,
-        seek: Lookup,
+        lookup: Lookup,
         segment: Segment,
         actions: &mut Vec<Action>,
     ) -> Option<Duration> {
         let flow = segment.flow_from_caller();
         let Lookup {
-            searcher: asker,
-            terms,
-            ..
-        } = seek;
-        let carry = Forward {
-            target: seek.target,
-            entry: seek.entry,
-            packet: seek.packet,
+            searcher, terms, ..
+        } = lookup;
+        let forward = Forward {
+            target: lookup.target,
+            entry: lookup.entry,
+            packet: lookup.packet,
         };
         if self.flows.contains_key(&flow) {
-            let entry = carry.entry;
-            self.deliver(now, flow, carry, segment, actions);
+            let entry = forward.entry;
+            self.deliver(now, flow, forward, segment, actions);
             if self.flows.contains_key(&flow) {
                 self.announce_holder(now, flow, entry, actions);
             }
@@ -102,7 +103,7 @@
         }
         if self.may_hold(now, &flow) {
             if terms.may_probe {
-                self.probe(now, flow, carry, asker, actions);
+                self.probe(now, flow, forward, searcher, actions);
             }
             return None;
         }
@@ -116,7 +117,7 @@
         &mut self,
         now: Duration,
         flow: FlowId,
-        carry: Forward,
+        forward: Forward,
         reply_to: SocketAddr,
         actions: &mut Vec<Action>,
     ) {
@@ -128,14 +129,14 @@
             return actions.push(Action::Dropped(DropReason::ProbeLimit));
         }
         let probe = Probe {
-            entry: carry.entry,
+            entry: forward.entry,
             reply_to,
             sent_at: now,
             count: previous.map_or(1, |probe| probe.count + 1),
         };
         self.probes.insert(now, flow, probe);
         actions.push(Action::Probed { flow });
-        actions.push(Action::Deliver(carry.packet));
+        actions.push(Action::Deliver(forward.packet));
     }
 }
 
@@ -155,7 +156,7 @@
 /// entry can search for the holder with it.
 pub(super) fn send_not_held(
     flow: FlowId,
-    carry: Forward,
+    forward: Forward,
     segment: &Segment,
     evidence: Option<Evidence>,
     actions: &mut Vec<Action>,
@@ -164,14 +165,14 @@
     // answer it with a reset.
     let evidence = evidence.filter(|_| segment.kind != Kind::Reset);
     actions.push(Action::Send {
-        to: carry.entry,
+        to: forward.entry,
         transit: Transit::NotHeld(NotHeld {
             flow,
-            target: carry.target,
+            target: forward.target,
             acknowledged: segment.acknowledged,
             age_ms: evidence.map(|evidence| millis(evidence.max_age)),
             start: evidence.map(|evidence| evidence.server_start),
-            packet: carry.packet,
+            packet: forward.packet,
         }),
     });
 }
--- a/roles/forward/src/agent/search.rs
+++ b/roles/forward/src/agent/search.rs
@@ -78,7 +78,7 @@
             denied: Vec::new(),
         };
         self.searches.insert(flow, pending);
-        let seek = Lookup {
+        let lookup = Lookup {
             target: search.target,
             entry: search.entry,
             searcher: self.own.address,
@@ -86,7 +86,7 @@
             packet: search.packet,
         };
         let is_held = self.flows.contains_key(&flow);
-        let age = self.look_up_locally(now, seek.clone(), segment, actions);
+        let age = self.look_up_locally(now, lookup.clone(), segment, actions);
         if is_held || self.ended_flows.get(now, &flow).is_some() {
             self.searches.remove(&flow);
             return;
@@ -96,7 +96,7 @@
                 to: hop.address,
                 transit: Transit::Lookup(Lookup {
                     target: hop.target,
-                    ..seek.clone()
+                    ..lookup.clone()
                 }),
             });
         }
@@ -109,10 +109,10 @@
     pub(super) fn record_peer_denial(
         &mut self,
         now: Duration,
-        absent: &NotHeld,
+        denial: &NotHeld,
         actions: &mut Vec<Action>,
     ) {
-        self.record_denial(now, absent.flow, absent.target, absent.age_ms, actions);
+        self.record_denial(now, denial.flow, denial.target, denial.age_ms, actions);
     }
 
     /// Records that this agent's own backend server does not hold a flow.
--- a/roles/forward/src/agent/server.rs
+++ b/roles/forward/src/agent/server.rs
@@ -52,12 +52,12 @@
         if reply_to == self.own.address {
             return self.record_own_denial(now, flow, actions);
         }
-        let carry = Forward {
+        let forward = Forward {
             target: self.own.target,
             entry: reply_to,
             packet,
         };
-        send_not_held(flow, carry, &segment, self.evidence(now), actions);
+        send_not_held(flow, forward, &segment, self.evidence(now), actions);
     }
 
     /// Handles a packet that the backend server sent to a caller.
@@ -100,26 +100,26 @@
     pub(super) fn handle_announcement(
         &mut self,
         now: Duration,
-        backend: Announcement,
+        announcement: Announcement,
         actions: &mut Vec<Action>,
     ) {
-        let current = self.backend.as_ref();
-        if current.is_some_and(|held| backend.is_older_than(held)) {
+        let current = self.announcement.as_ref();
+        if current.is_some_and(|held| announcement.is_older_than(held)) {
             return actions.push(Action::Dropped(DropReason::OldAnnouncement));
         }
         let is_first = current.is_none();
-        if current.is_none_or(|held| held.start != backend.start) {
+        if current.is_none_or(|held| held.start != announcement.start) {
             if !is_first {
                 self.end_server(now, actions);
                 self.risk = Risk::new(self.settings.risk, now);
             }
             // If this process saw the start of the backend server, it knows all
             // its flows.
-            self.may_hold_prior_flows &= is_first && backend.sequence > FIRST_SEQUENCE;
+            self.may_hold_prior_flows &= is_first && announcement.sequence > FIRST_SEQUENCE;
             self.first_announced = now;
             // The first announcement is sent at the start, so each later one
             // adds at most one heartbeat interval to the age.
-            let later_announcements = backend.sequence.saturating_sub(FIRST_SEQUENCE);
+            let later_announcements = announcement.sequence.saturating_sub(FIRST_SEQUENCE);
             let later_announcements = u32::try_from(later_announcements).unwrap_or(u32::MAX);
             self.max_age_when_first_announced = self
                 .settings
@@ -128,14 +128,14 @@
         }
         self.last_announced = now;
         self.unanswered_since = None;
-        self.own.target = backend.target;
-        self.occupancy.set_slots(backend.slots);
-        self.backend = Some(backend);
+        self.own.target = announcement.target;
+        self.occupancy.set_slots(announcement.slots);
+        self.announcement = Some(announcement);
     }
 
     /// Marks the backend server as terminated and ends its flows.
     pub(super) fn end_server(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        if let Some(backend) = &mut self.backend {
+        if let Some(backend) = &mut self.announcement {
             backend.state = State::Gone;
         }
         if !self.flows.is_empty() {
@@ -165,14 +165,14 @@
     /// Returns the start time of the backend server by its own clock, or `None`
     /// before its first announcement.
     pub(super) fn server_start(&self) -> Option<Start> {
-        self.backend.as_ref().map(|backend| backend.start)
+        self.announcement.as_ref().map(|backend| backend.start)
     }
 
     /// Returns the longest time for which the backend server can have been
     /// running, derived from the sequence number of its announcements, or
     /// `None` before the first announcement.
     pub(super) fn max_server_age(&self, now: Duration) -> Option<Duration> {
-        self.backend.as_ref()?;
+        self.announcement.as_ref()?;
         Some(self.max_age_when_first_announced + now.saturating_sub(self.first_announced))
     }
 }
--- a/roles/forward/src/entry.rs
+++ b/roles/forward/src/entry.rs
@@ -133,8 +133,8 @@
                 self.handle_packet(context);
             }
             Event::Held(held) => self.record_holder(now, &held, actions),
-            Event::NotHeld(absent) => self.handle_not_held(now, absent, actions),
-            Event::HolderAbsent(unheld) => self.handle_holder_absent(now, unheld, actions),
+            Event::NotHeld(denial) => self.handle_not_held(now, denial, actions),
+            Event::HolderAbsent(report) => self.handle_holder_absent(now, report, actions),
             Event::Busy(busy) => self.placement.record_load(now, busy.target, busy.load),
             Event::Routes(routes) => self.replace_routes(now, routes),
             Event::Tick => {}
@@ -444,31 +444,31 @@
     /// Handles a denial by the recorded holder of a flow: resets the flow if
     /// the holder's backend server has restarted, or else searches for another
     /// holder.
-    fn handle_not_held(&mut self, now: Duration, absent: NotHeld, actions: &mut Vec<Action>) {
-        let Some(state) = self.flows.get(&absent.flow) else {
+    fn handle_not_held(&mut self, now: Duration, denial: NotHeld, actions: &mut Vec<Action>) {
+        let Some(state) = self.flows.get(&denial.flow) else {
             return;
         };
         match &state.phase {
-            Phase::Held(holder) if holder.target == absent.target => {
-                let is_known = state.server_start.is_some() && absent.start.is_some();
-                if is_known && absent.start != state.server_start {
+            Phase::Held(holder) if holder.target == denial.target => {
+                let is_known = state.server_start.is_some() && denial.start.is_some();
+                if is_known && denial.start != state.server_start {
                     // The holder's backend server has restarted since it opened
                     // the flow.
-                    self.flows.remove(&absent.flow);
-                    return actions.push(search::reset_ended(absent.flow, absent.acknowledged));
+                    self.flows.remove(&denial.flow);
+                    return actions.push(search::reset_ended(denial.flow, denial.acknowledged));
                 }
                 let routes = Arc::clone(&self.routes);
                 let segment = Segment {
-                    acknowledged: absent.acknowledged,
-                    ..search_header(&absent.flow)
+                    acknowledged: denial.acknowledged,
+                    ..search_header(&denial.flow)
                 };
                 let context = PacketContext {
                     now,
                     segment,
-                    packet: absent.packet,
+                    packet: denial.packet,
                     actions,
                 };
-                self.start_search(&routes, Some(absent.target), context);
+                self.start_search(&routes, Some(denial.target), context);
             }
             Phase::Held(_) | Phase::Opening(_) | Phase::Searching(_) | Phase::Lost => {}
         }
--- a/roles/forward/src/entry/search.rs
+++ b/roles/forward/src/entry/search.rs
@@ -34,7 +34,7 @@
     pub(super) fn start_search(
         &mut self,
         routes: &Routes,
-        absent: Option<TargetId>,
+        excluded: Option<TargetId>,
         context: PacketContext<'_>,
     ) {
         let flow = context.segment.flow_from_caller();
@@ -42,7 +42,7 @@
             asked_at: context.now,
             packet: context.packet,
             acknowledged: context.segment.acknowledged,
-            tried: absent.into_iter().collect(),
+            tried: excluded.into_iter().collect(),
             rounds: 0,
             denied_by: Vec::new(),
             queued: Vec::new(),
@@ -113,10 +113,10 @@
     /// conclusive only if all agents are known and none is marked down that may
     /// only be unreachable.
     fn search_terms(&self, now: Duration, route: &Route) -> Terms {
-        let may_try = self.knows_all_agents(now);
-        let is_conclusive = may_try && !self.routes.has_down_target(route);
+        let may_probe = self.knows_all_agents(now);
+        let is_conclusive = may_probe && !self.routes.has_down_target(route);
         Terms {
-            may_probe: may_try,
+            may_probe,
             max_age_ms: if is_conclusive {
                 self.max_age_ms(now)
             } else {
@@ -144,11 +144,11 @@
     pub(super) fn handle_holder_absent(
         &mut self,
         now: Duration,
-        unheld: HolderAbsent,
+        report: HolderAbsent,
         actions: &mut Vec<Action>,
     ) {
         let routes = Arc::clone(&self.routes);
-        let flow = unheld.flow;
+        let flow = report.flow;
         let Some(route) = routes.route(flow.service) else {
             return;
         };
@@ -161,7 +161,7 @@
         let mut shares = route.shares.iter();
         let searched_share = shares.find(|share| {
             let mut targets = routes.targets_of(share.service);
-            targets.any(|target| target.id == unheld.target)
+            targets.any(|target| target.id == report.target)
         });
         let Some(share) = searched_share.filter(|_| is_conclusive) else {
             return;
--- a/roles/forward/tests/agent.rs
+++ b/roles/forward/tests/agent.rs
@@ -79,13 +79,13 @@
     fill_slots(&mut agent, ms(1));
     send_open(&mut agent, ms(1), 9, open_frame(&[OWN, 2]));
     let event = Event::Forward {
-        carry: carry_frame(OWN),
+        forward: carry_frame(OWN),
         segment: caller_segment(9, Kind::Data, 100),
     };
     let actions = handle(&mut agent, ms(20), event);
     let followed = actions.iter().any(|action| {
-        matches!(action, Action::Send { to, transit: Transit::Forward(carry) }
-            if *to == hop(2).address && carry.target == 2)
+        matches!(action, Action::Send { to, transit: Transit::Forward(forward) }
+            if *to == hop(2).address && forward.target == 2)
     });
     let is_notified = actions.iter().any(|action| {
         matches!(action, Action::Send { to, transit: Transit::Held(held) }
@@ -128,7 +128,7 @@
     let opened = send_open(&mut agent, ms(3), 10, open_frame(&[OWN, 2]));
     assert!(passed_on(&opened).is_some());
     let event = Event::Forward {
-        carry: carry_frame(OWN),
+        forward: carry_frame(OWN),
         segment: caller_segment(9, Kind::Data, 100),
     };
     assert!(delivers(&handle(&mut agent, ms(3), event)));
@@ -168,7 +168,7 @@
         Event::Announcement(announcement(OWN, 2, 1, State::Ready)),
     );
     let event = Event::Forward {
-        carry: carry_frame(OWN),
+        forward: carry_frame(OWN),
         segment: caller_segment(9, Kind::Data, 100),
     };
     let actions = handle(&mut agent, ms(3), event);
@@ -232,7 +232,7 @@
 fn packet_for_another_server_is_reported_absent() {
     let mut agent = ready_agent(true);
     let event = Event::Forward {
-        carry: carry_frame(7),
+        forward: carry_frame(7),
         segment: caller_segment(9, Kind::Data, 100),
     };
     let actions = handle(&mut agent, ms(1), event);
@@ -247,7 +247,7 @@
     send_open(&mut agent, ms(1), 9, open_frame(&[OWN]));
     accept_flow(&mut agent, ms(1), 9);
     let event = Event::Forward {
-        carry: carry_frame(OWN),
+        forward: carry_frame(OWN),
         segment: caller_segment(9, Kind::Data, 100),
     };
     handle(&mut agent, ms(5), event);
@@ -326,7 +326,7 @@
     };
     handle(&mut agent, ms(1), sent);
     let event = Event::Forward {
-        carry: carry_frame(OWN),
+        forward: carry_frame(OWN),
         segment: caller_segment(9, Kind::Data, 100),
     };
     handle(&mut agent, ms(2), event);
@@ -340,7 +340,7 @@
     send_open(&mut agent, ms(1), 9, open_frame(&[OWN]));
     accept_flow(&mut agent, ms(1), 9);
     let request = || Event::Forward {
-        carry: carry_frame(OWN),
+        forward: carry_frame(OWN),
         segment: caller_segment(9, Kind::Data, 100),
     };
     handle(&mut agent, ms(2), request());
@@ -397,7 +397,7 @@
     };
     handle(&mut agent, ms(2), accept);
     let event = Event::Forward {
-        carry: carry_frame(OWN),
+        forward: carry_frame(OWN),
         segment: wire::Segment {
             acknowledged,
             ..caller_segment(9, Kind::Data, 0)
--- a/roles/forward/tests/entry.rs
+++ b/roles/forward/tests/entry.rs
@@ -292,7 +292,7 @@
     let mut entry = entry_with(two_zones());
     send(&mut entry, ms(1), Kind::Open);
     report_holder(&mut entry, ms(2), 1);
-    let absent = transit::NotHeld {
+    let denial = transit::NotHeld {
         flow: flow(),
         target: 1,
         acknowledged: 0,
@@ -304,7 +304,7 @@
         asked_to_search(&handle(
             &mut entry,
             discovery_time(),
-            Event::NotHeld(absent)
+            Event::NotHeld(denial)
         )),
         [2]
     );
@@ -335,7 +335,7 @@
 /// Reports that a backend server with the given start time does not hold the
 /// flow.
 fn report_absent(entry: &mut Entry, now: Duration, target: TargetId, start: u64) -> Vec<Action> {
-    let absent = transit::NotHeld {
+    let denial = transit::NotHeld {
         flow: flow(),
         target,
         acknowledged: 77,
@@ -343,7 +343,7 @@
         start: Some(start),
         packet: packet(),
     };
-    handle(entry, now, Event::NotHeld(absent))
+    handle(entry, now, Event::NotHeld(denial))
 }
 
 fn resets(actions: &[Action]) -> bool {
@@ -355,12 +355,12 @@
 
 /// Reports that no agent of the service of `target` holds the flow.
 fn report_unheld(entry: &mut Entry, now: Duration, target: TargetId) -> Vec<Action> {
-    let unheld = transit::HolderAbsent {
+    let report = transit::HolderAbsent {
         flow: flow(),
         target,
         acknowledged: 1,
     };
-    handle(entry, now, Event::HolderAbsent(unheld))
+    handle(entry, now, Event::HolderAbsent(report))
 }
 
 #[test]
--- a/roles/forward/tests/failing_server.rs
+++ b/roles/forward/tests/failing_server.rs
@@ -192,9 +192,9 @@
                 let segment = decode(&open.packet);
                 self.notify_agent(id, agent::Event::Open { open, segment });
             }
-            Transit::Forward(carry) => {
-                let segment = decode(&carry.packet);
-                self.notify_agent(id, agent::Event::Forward { carry, segment });
+            Transit::Forward(forward) => {
+                let segment = decode(&forward.packet);
+                self.notify_agent(id, agent::Event::Forward { forward, segment });
             }
             _ => {}
         }
--- a/roles/forward/tests/search.rs
+++ b/roles/forward/tests/search.rs
@@ -31,8 +31,8 @@
 
 fn sends_denial(actions: &[Action]) -> bool {
     actions.iter().any(|action| {
-        matches!(action, Action::Send { to, transit: Transit::NotHeld(absent) }
-            if absent.age_ms.is_some() && absent.packet.is_empty() && *to == searcher_address())
+        matches!(action, Action::Send { to, transit: Transit::NotHeld(denial) }
+            if denial.age_ms.is_some() && denial.packet.is_empty() && *to == searcher_address())
     })
 }
 
@@ -117,7 +117,7 @@
 
 /// Another agent reports that it does not hold the flow.
 fn receive_denial(agent: &mut Agent, now: Duration, target: TargetId, age_ms: u32) -> Vec<Action> {
-    let absent = NotHeld {
+    let denial = NotHeld {
         flow: caller_segment(9, Kind::Data, 0).flow_from_caller(),
         target,
         acknowledged: 1,
@@ -125,16 +125,16 @@
         start: Some(1),
         packet: bytes::Bytes::new(),
     };
-    handle(agent, now, Event::PeerDenied(absent))
+    handle(agent, now, Event::PeerDenied(denial))
 }
 
 /// Returns the agents that are asked, and whether they may probe.
 fn asked_agents(actions: &[Action]) -> Vec<(TargetId, bool)> {
     let asked = actions.iter().filter_map(|action| match action {
         Action::Send {
-            transit: Transit::Lookup(seek),
+            transit: Transit::Lookup(lookup),
             ..
-        } => Some((seek.target, seek.terms.may_probe)),
+        } => Some((lookup.target, lookup.terms.may_probe)),
         _ => None,
     });
     asked.collect()
--- a/roles/forward/tests/simulation/mod.rs
+++ b/roles/forward/tests/simulation/mod.rs
@@ -283,11 +283,11 @@
             }
             Event::FrameAtEntry(number, transit) => match transit {
                 Transit::Held(held) => self.notify_entry(number, entry::Event::Held(held)),
-                Transit::NotHeld(absent) => {
-                    self.notify_entry(number, entry::Event::NotHeld(absent));
+                Transit::NotHeld(denial) => {
+                    self.notify_entry(number, entry::Event::NotHeld(denial));
                 }
-                Transit::HolderAbsent(unheld) => {
-                    self.notify_entry(number, entry::Event::HolderAbsent(unheld));
+                Transit::HolderAbsent(report) => {
+                    self.notify_entry(number, entry::Event::HolderAbsent(report));
                 }
                 Transit::Busy(busy) => self.notify_entry(number, entry::Event::Busy(busy)),
                 Transit::Open(_)
@@ -301,19 +301,19 @@
                         let segment = decode(&open.packet);
                         agent::Event::Open { open, segment }
                     }
-                    Transit::Forward(carry) => {
-                        let segment = decode(&carry.packet);
-                        agent::Event::Forward { carry, segment }
+                    Transit::Forward(forward) => {
+                        let segment = decode(&forward.packet);
+                        agent::Event::Forward { forward, segment }
                     }
                     Transit::Search(search) => {
                         let segment = decode(&search.packet);
                         agent::Event::Search { search, segment }
                     }
-                    Transit::Lookup(seek) => {
-                        let segment = decode(&seek.packet);
-                        agent::Event::Lookup { seek, segment }
+                    Transit::Lookup(lookup) => {
+                        let segment = decode(&lookup.packet);
+                        agent::Event::Lookup { lookup, segment }
                     }
-                    Transit::NotHeld(absent) => agent::Event::PeerDenied(absent),
+                    Transit::NotHeld(denial) => agent::Event::PeerDenied(denial),
                     _ => return,
                 };
                 self.notify_agent(id, event);
@@ -538,12 +538,12 @@
                 let entry = self.entry_of(&held.flow);
                 self.schedule(NETWORK_DELAY, Event::FrameAtEntry(entry, transit));
             }
-            (None, Transit::NotHeld(absent)) => {
-                let entry = self.entry_of(&absent.flow);
+            (None, Transit::NotHeld(denial)) => {
+                let entry = self.entry_of(&denial.flow);
                 self.schedule(NETWORK_DELAY, Event::FrameAtEntry(entry, transit));
             }
-            (None, Transit::HolderAbsent(unheld)) => {
-                let entry = self.entry_of(&unheld.flow);
+            (None, Transit::HolderAbsent(report)) => {
+                let entry = self.entry_of(&report.flow);
                 self.schedule(NETWORK_DELAY, Event::FrameAtEntry(entry, transit));
             }
             (None, _) => {}
--- a/state/flow/src/table.rs
+++ b/state/flow/src/table.rs
@@ -174,7 +174,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Full`] if the table is at its capacity, [`Error::Taken`] if the
+    /// [`Error::Full`] if the table is at its capacity, [`Error::KeyInUse`] if the
     /// table already contains the flow.
     pub fn insert(&mut self, flow: Flow) -> Result<Flow, Error> {
         if self.index.contains_key(&flow.key) {
