--- a/roles/app/src/sidecar/announcements.rs
+++ b/roles/app/src/sidecar/announcements.rs
@@ -51,7 +51,7 @@
         Call::Announce {
             address,
             announcement: backend,
-        } if address == own => Some(Input::Backend(backend)),
+        } if address == own => Some(Input::Announcement(backend)),
         Call::Announce { .. } => None,
         Call::Deregister { name } => Some(Input::End { name }),
     }
--- a/roles/app/src/sidecar/control.rs
+++ b/roles/app/src/sidecar/control.rs
@@ -47,7 +47,7 @@
         payload: Bytes,
     },
     /// An announcement of the backend server.
-    Backend(Announcement),
+    Announcement(Announcement),
     /// The end of a backend server.
     End {
         /// Name of the backend server.
@@ -55,7 +55,7 @@
     },
     /// Addresses of the entries that the store lists.
     Entries(Vec<SocketAddr>),
-    /// A request to stop taking new flows.
+    /// A request to stop accepting new flows.
     Stop,
 }
 
@@ -98,7 +98,7 @@
         let now = self.origin.elapsed();
         match input {
             Some(Input::Message { from, payload }) => self.receive(now, from, &payload, actions),
-            Some(Input::Backend(announcement)) => self.update_backend(now, announcement),
+            Some(Input::Announcement(announcement)) => self.handle_announcement(now, announcement),
             Some(Input::End { name }) => self.mark_ended(&name),
             Some(Input::Entries(entries)) => self.add_entries(now, entries),
             Some(Input::Stop) => self.stop(now),
@@ -132,7 +132,7 @@
 
     /// Applies an announcement of the backend server, unless it is older than the
     /// last one.
-    fn update_backend(&mut self, now: Duration, announcement: Announcement) {
+    fn handle_announcement(&mut self, now: Duration, announcement: Announcement) {
         let last = self.announcement.as_ref();
         if last.is_some_and(|last| announcement.is_older_than(last)) {
             let (server, sequence) = (announcement.name, announcement.sequence);
@@ -222,7 +222,7 @@
         }
     }
 
-    /// Stops taking new flows. Announces the departure of the backend server if it
+    /// Stops accepting new flows. Announces the departure of the backend server if it
     /// has ended.
     fn stop(&mut self, now: Duration) {
         self.traffic.handle(Event::Stop);
@@ -235,7 +235,7 @@
         }
     }
 
-    /// Announces whether the backend server takes new flows.
+    /// Announces whether the backend server accepts new flows.
     fn announce(&mut self, now: Duration) {
         let Some(announcer) = &mut self.announcer else {
             return;
--- a/roles/app/src/sidecar/traffic.rs
+++ b/roles/app/src/sidecar/traffic.rs
@@ -75,7 +75,7 @@
         self.lock().is_busy()
     }
 
-    /// Returns true if the backend server takes new flows.
+    /// Returns true if the backend server accepts new flows.
     pub fn is_open(&self) -> bool {
         self.lock().is_open(self.link.now())
     }
--- a/roles/entry/src/router.rs
+++ b/roles/entry/src/router.rs
@@ -283,6 +283,6 @@
 /// again, derived from the flow key, so that refused callers do not retry all
 /// at once.
 fn retry_after_ms(flow: FlowKey) -> u32 {
-    let spread = flow % u64::from(RETRY_AFTER_MS);
-    RETRY_AFTER_MS + u32::try_from(spread).unwrap_or(0)
+    let jitter = flow % u64::from(RETRY_AFTER_MS);
+    RETRY_AFTER_MS + u32::try_from(jitter).unwrap_or(0)
 }
--- a/roles/forward/src/agent.rs
+++ b/roles/forward/src/agent.rs
@@ -191,7 +191,7 @@
         match event {
             Event::Open { open, segment } => self.handle_open(now, open, segment, actions),
             Event::Forward { forward, segment } => {
-                self.handle_forward(now, forward, segment, actions)
+                self.handle_forward(now, forward, segment, actions);
             }
             Event::Search { search, segment } => self.handle_search(now, search, segment, actions),
             Event::Lookup { lookup, segment } => self.handle_lookup(now, lookup, segment, actions),
@@ -206,7 +206,7 @@
                 self.handle_sent(now, segment, packet, actions);
             }
             Event::Announcement(announcement) => {
-                self.handle_announcement(now, announcement, actions)
+                self.handle_announcement(now, announcement, actions);
             }
             Event::ServerEnded => self.end_server(now, actions),
             Event::Stop => self.is_stopping = true,
@@ -379,7 +379,7 @@
     }
 }
 
-/// Forwards a packet to the agent that its flow was passed on to. Also names
+/// Forwards a packet to the agent that its open was forwarded to. Also names
 /// that agent to the entry, because the agent's own notification may have been
 /// lost.
 fn forward_to_next_holder(flow: FlowId, to: Hop, forward: Forward, actions: &mut Vec<Action>) {
--- a/roles/forward/src/agent/action.rs
+++ b/roles/forward/src/agent/action.rs
@@ -66,7 +66,7 @@
         /// The flow.
         flow: FlowId,
     },
-    /// A new flow was passed on to another agent.
+    /// The opening packet of a flow was forwarded to another agent.
     PassedOn {
         /// The flow.
         flow: FlowId,
--- a/roles/forward/src/agent/admission.rs
+++ b/roles/forward/src/agent/admission.rs
@@ -1,4 +1,4 @@
-//! Admits new flows or passes them on to other agents.
+//! Admits new flows or forwards their opening packets to other agents.
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
 use super::flow::Flow;
 
 impl Agent {
-    /// Admits a new flow, passes it on, or refuses it. A retransmitted opening
+    /// Admits a new flow, forwards it, or refuses it. A retransmitted opening
     /// packet follows the first one.
     pub(super) fn handle_open(
         &mut self,
@@ -157,7 +157,7 @@
         });
     }
 
-    /// Passes on an opening packet that the backend server did not accept. If no
+    /// Forwards an opening packet that the backend server did not accept. If no
     /// agent is left, resets the flow, unless it may already be open through
     /// another copy of the packet.
     pub(super) fn handle_rejected_open(
--- a/roles/forward/src/agent/bid.rs
+++ b/roles/forward/src/agent/bid.rs
@@ -10,7 +10,7 @@
 pub const NO_BID: u32 = u32::MAX;
 
 /// Expected wait up to which an agent admits a flow without asking others:
-/// about the time that passing the flow on takes.
+/// about the time that forwarding the opening packet takes.
 const LOW_WAIT: Duration = Duration::from_millis(2);
 
 /// Expected cost of failures up to which an agent admits a flow without asking
--- a/roles/forward/src/agent/settings.rs
+++ b/roles/forward/src/agent/settings.rs
@@ -49,7 +49,7 @@
     pub max_flow_age: Duration,
     /// Time without packets after which a flow is dropped.
     pub idle_timeout: Duration,
-    /// Time for which a flow is kept after it has ended or was passed on.
+    /// Time for which a flow is kept after it has ended or was forwarded.
     pub linger: Duration,
     /// Interval between two sweeps for expired state.
     pub sweep_interval: Duration,
--- a/roles/forward/src/entry.rs
+++ b/roles/forward/src/entry.rs
@@ -176,7 +176,7 @@
         self.routes = routes;
     }
 
-    /// Returns true once all agents can be taken to be known. Agents may not
+    /// Returns true once all agents can be assumed to be known. Agents may not
     /// probe their backend servers before, because the holder might be an
     /// unknown agent that does not receive the packet.
     fn knows_all_agents(&self, now: Duration) -> bool {
--- a/roles/forward/src/entry/settings.rs
+++ b/roles/forward/src/entry/settings.rs
@@ -11,18 +11,18 @@
     /// Maximum number of agents that an opening packet visits before the bids
     /// decide.
     pub path_length: usize,
-    /// Time without an answer after which an agent is taken to be unresponsive.
+    /// Time without an answer after which an agent is considered unresponsive.
     /// Shorter than the time after which callers retransmit an opening packet.
     pub agent_timeout: Duration,
     /// Time after the start during which some backend servers may not be known
     /// yet.
     pub startup_grace: Duration,
-    /// Minimum time after the start before all agents can be taken to be known.
+    /// Minimum time after the start before all agents can be assumed to be known.
     pub min_discovery: Duration,
-    /// Time after the start after which all agents can be taken to be known
+    /// Time after the start after which all agents can be assumed to be known
     /// even if no other entry has sent its list.
     pub max_discovery: Duration,
-    /// Time without a new agent after which all agents can be taken to be
+    /// Time without a new agent after which all agents can be assumed to be
     /// known.
     pub discovery_quiet: Duration,
     /// Time after the start during which callers may still use flows that ended
--- a/roles/forward/tests/agent.rs
+++ b/roles/forward/tests/agent.rs
@@ -79,7 +79,7 @@
     fill_slots(&mut agent, ms(1));
     send_open(&mut agent, ms(1), 9, open_frame(&[OWN, 2]));
     let event = Event::Forward {
-        forward: carry_frame(OWN),
+        forward: forward_frame(OWN),
         segment: caller_segment(9, Kind::Data, 100),
     };
     let actions = handle(&mut agent, ms(20), event);
@@ -128,7 +128,7 @@
     let opened = send_open(&mut agent, ms(3), 10, open_frame(&[OWN, 2]));
     assert!(passed_on(&opened).is_some());
     let event = Event::Forward {
-        forward: carry_frame(OWN),
+        forward: forward_frame(OWN),
         segment: caller_segment(9, Kind::Data, 100),
     };
     assert!(delivers(&handle(&mut agent, ms(3), event)));
@@ -168,14 +168,14 @@
         Event::Announcement(announcement(OWN, 2, 1, State::Ready)),
     );
     let event = Event::Forward {
-        forward: carry_frame(OWN),
+        forward: forward_frame(OWN),
         segment: caller_segment(9, Kind::Data, 100),
     };
     let actions = handle(&mut agent, ms(3), event);
     assert!(matches!(actions[..], [Action::Reset { .. }]), "{actions:?}");
 }
 
-fn is_absent(actions: &[Action]) -> bool {
+fn reports_not_held(actions: &[Action]) -> bool {
     actions.iter().any(|action| {
         matches!(
             action,
@@ -229,14 +229,17 @@
 
 /// The frame is for another backend server that used this address before.
 #[test]
-fn packet_for_another_server_is_reported_absent() {
+fn packet_for_another_server_is_reported_not_held() {
     let mut agent = ready_agent(true);
     let event = Event::Forward {
-        forward: carry_frame(7),
+        forward: forward_frame(7),
         segment: caller_segment(9, Kind::Data, 100),
     };
     let actions = handle(&mut agent, ms(1), event);
-    assert!(is_absent(&actions) && !delivers(&actions), "{actions:?}");
+    assert!(
+        reports_not_held(&actions) && !delivers(&actions),
+        "{actions:?}"
+    );
 }
 
 /// A caller may give up without closing the flow. Without the timeout its
@@ -247,7 +250,7 @@
     send_open(&mut agent, ms(1), 9, open_frame(&[OWN]));
     accept_flow(&mut agent, ms(1), 9);
     let event = Event::Forward {
-        forward: carry_frame(OWN),
+        forward: forward_frame(OWN),
         segment: caller_segment(9, Kind::Data, 100),
     };
     handle(&mut agent, ms(5), event);
@@ -326,7 +329,7 @@
     };
     handle(&mut agent, ms(1), sent);
     let event = Event::Forward {
-        forward: carry_frame(OWN),
+        forward: forward_frame(OWN),
         segment: caller_segment(9, Kind::Data, 100),
     };
     handle(&mut agent, ms(2), event);
@@ -340,7 +343,7 @@
     send_open(&mut agent, ms(1), 9, open_frame(&[OWN]));
     accept_flow(&mut agent, ms(1), 9);
     let request = || Event::Forward {
-        forward: carry_frame(OWN),
+        forward: forward_frame(OWN),
         segment: caller_segment(9, Kind::Data, 100),
     };
     handle(&mut agent, ms(2), request());
@@ -397,7 +400,7 @@
     };
     handle(&mut agent, ms(2), accept);
     let event = Event::Forward {
-        forward: carry_frame(OWN),
+        forward: forward_frame(OWN),
         segment: wire::Segment {
             acknowledged,
             ..caller_segment(9, Kind::Data, 0)
@@ -416,9 +419,12 @@
 /// A copy of the opening packet arrived here after another server had accepted
 /// the flow.
 #[test]
-fn packet_that_acknowledges_another_server_is_reported_absent() {
+fn packet_that_acknowledges_another_server_is_reported_not_held() {
     let actions = packet_after_accept(900_000_000);
-    assert!(is_absent(&actions) && !delivers(&actions), "{actions:?}");
+    assert!(
+        reports_not_held(&actions) && !delivers(&actions),
+        "{actions:?}"
+    );
 }
 
 /// The flow may have been opened at another server through an earlier copy.
--- a/roles/forward/tests/entry.rs
+++ b/roles/forward/tests/entry.rs
@@ -32,7 +32,7 @@
 /// Start time of the backend servers that hold flows.
 const SERVER_START: u64 = 7;
 
-/// Time at which all agents are taken to be known.
+/// Time at which all agents are assumed to be known.
 fn discovery_time() -> Duration {
     let settings = Settings::default();
     settings.min_discovery.max(settings.discovery_quiet)
@@ -334,7 +334,7 @@
 
 /// Reports that a backend server with the given start time does not hold the
 /// flow.
-fn report_absent(entry: &mut Entry, now: Duration, target: TargetId, start: u64) -> Vec<Action> {
+fn report_not_held(entry: &mut Entry, now: Duration, target: TargetId, start: u64) -> Vec<Action> {
     let denial = transit::NotHeld {
         flow: flow(),
         target,
@@ -354,7 +354,7 @@
 }
 
 /// Reports that no agent of the service of `target` holds the flow.
-fn report_unheld(entry: &mut Entry, now: Duration, target: TargetId) -> Vec<Action> {
+fn report_holder_absent(entry: &mut Entry, now: Duration, target: TargetId) -> Vec<Action> {
     let report = transit::HolderAbsent {
         flow: flow(),
         target,
@@ -370,7 +370,7 @@
     let settings = Settings::default();
     let max_age_ms = search_terms(&asked).unwrap().max_age_ms;
     assert_eq!(ms(max_age_ms.into()), ms(1_000) + settings.start_skew);
-    assert!(resets(&report_unheld(
+    assert!(resets(&report_holder_absent(
         &mut entry,
         ms(1_005),
         asked_to_search(&asked)[0]
@@ -400,8 +400,12 @@
     handle(&mut entry, ms(0), Event::Routes(Arc::new(both)));
     let asked = asked_to_search(&send(&mut entry, ms(1_000), Kind::Data));
     assert_eq!(asked.len(), 2, "one agent of each service should be asked");
-    assert!(!resets(&report_unheld(&mut entry, ms(1_005), asked[0])));
-    assert!(resets(&report_unheld(&mut entry, ms(1_006), 5)));
+    assert!(!resets(&report_holder_absent(
+        &mut entry,
+        ms(1_005),
+        asked[0]
+    )));
+    assert!(resets(&report_holder_absent(&mut entry, ms(1_006), 5)));
 }
 
 #[test]
@@ -415,7 +419,7 @@
     handle(&mut entry, ms(0), Event::Routes(Arc::new(routes)));
     let asked = send(&mut entry, ms(1_000), Kind::Data);
     assert_eq!(search_terms(&asked).unwrap().max_age_ms, 0);
-    assert!(!resets(&report_unheld(
+    assert!(!resets(&report_holder_absent(
         &mut entry,
         ms(1_005),
         asked_to_search(&asked)[0]
@@ -429,7 +433,11 @@
     let mut more = two_zones();
     more.push(target(4, LOCAL_ZONE, State::Ready));
     handle(&mut entry, ms(1_001), Event::Routes(routes(more)));
-    assert!(!resets(&report_unheld(&mut entry, ms(1_005), asked[0])));
+    assert!(!resets(&report_holder_absent(
+        &mut entry,
+        ms(1_005),
+        asked[0]
+    )));
 }
 
 #[test]
@@ -447,10 +455,15 @@
     report_holder(&mut entry, ms(2), 1);
     let restarted = SERVER_START + 1;
     assert!(
-        !resets(&report_absent(&mut entry, ms(5_000), 2, restarted)),
+        !resets(&report_not_held(&mut entry, ms(5_000), 2, restarted)),
         "a denial by another agent than the holder should not reset the flow"
     );
-    assert!(resets(&report_absent(&mut entry, ms(5_000), 1, restarted)));
+    assert!(resets(&report_not_held(
+        &mut entry,
+        ms(5_000),
+        1,
+        restarted
+    )));
 }
 
 /// An agent may admit a flow, find that its backend server does not accept it,
@@ -461,7 +474,7 @@
     let mut entry = entry_with(two_zones());
     send(&mut entry, ms(1), Kind::Open);
     report_holder(&mut entry, ms(2), 1);
-    let actions = report_absent(&mut entry, ms(5_000), 1, SERVER_START);
+    let actions = report_not_held(&mut entry, ms(5_000), 1, SERVER_START);
     assert!(!resets(&actions));
     assert_eq!(
         asked_to_search(&actions),
--- a/roles/forward/tests/search.rs
+++ b/roles/forward/tests/search.rs
@@ -140,7 +140,7 @@
     asked.collect()
 }
 
-fn reports_unheld(actions: &[Action]) -> bool {
+fn reports_holder_absent(actions: &[Action]) -> bool {
     actions.iter().any(|action| {
         matches!(action, Action::Send { to, transit: Transit::HolderAbsent(_) } if *to == entry_address())
     })
@@ -154,13 +154,18 @@
     set_peers(&mut agent, &[2, 3], false);
     let actions = send_search(&mut agent, ms(100), 3, MAX_AGE);
     assert_eq!(asked_agents(&actions), [(2, true), (3, true)]);
-    assert!(!reports_unheld(&receive_denial(
+    assert!(!reports_holder_absent(&receive_denial(
         &mut agent,
         ms(101),
         2,
         500
     )));
-    assert!(reports_unheld(&receive_denial(&mut agent, ms(102), 3, 500)));
+    assert!(reports_holder_absent(&receive_denial(
+        &mut agent,
+        ms(102),
+        3,
+        500
+    )));
 }
 
 #[test]
@@ -168,7 +173,7 @@
     let mut agent = agent_since_first_announcement();
     set_peers(&mut agent, &[2], true);
     send_search(&mut agent, ms(100), 2, MAX_AGE);
-    assert!(!reports_unheld(&receive_denial(
+    assert!(!reports_holder_absent(&receive_denial(
         &mut agent,
         ms(101),
         2,
@@ -181,7 +186,7 @@
     let mut agent = agent_since_first_announcement();
     set_peers(&mut agent, &[2], false);
     send_search(&mut agent, ms(100), 2, MAX_AGE);
-    assert!(!reports_unheld(&receive_denial(
+    assert!(!reports_holder_absent(&receive_denial(
         &mut agent,
         ms(101),
         2,
@@ -196,7 +201,7 @@
     set_peers(&mut agent, &[2], false);
     let actions = send_search(&mut agent, ms(100), 3, MAX_AGE);
     assert_eq!(asked_agents(&actions), [(2, false)]);
-    assert!(!reports_unheld(&receive_denial(
+    assert!(!reports_holder_absent(&receive_denial(
         &mut agent,
         ms(101),
         2,
@@ -213,7 +218,7 @@
     handle(&mut agent, ms(0), Event::Announcement(second));
     set_peers(&mut agent, &[2], false);
     assert!(delivers(&send_search(&mut agent, ms(100), 2, MAX_AGE)));
-    assert!(!reports_unheld(&receive_denial(
+    assert!(!reports_holder_absent(&receive_denial(
         &mut agent,
         ms(101),
         2,
@@ -223,7 +228,7 @@
         segment: returned_segment(9, Kind::Data),
         packet: packet(),
     };
-    assert!(reports_unheld(&handle(&mut agent, ms(102), event)));
+    assert!(reports_holder_absent(&handle(&mut agent, ms(102), event)));
 }
 
 #[test]
--- a/tools/soak/src/harness.rs
+++ b/tools/soak/src/harness.rs
@@ -148,7 +148,7 @@
                     address: *address,
                     service: service.name.clone(),
                     timeout: service.deadline,
-                    objective: service.deadline / 4,
+                    target_latency: service.deadline / 4,
                 }
             })
             .collect();
