--- a/roles/app/src/sidecar/announcements.rs
+++ b/roles/app/src/sidecar/announcements.rs
@@ -50,8 +50,8 @@
     match call {
         Call::Announce {
             address,
-            announcement: backend,
-        } if address == own => Some(Input::Announcement(backend)),
+            announcement,
+        } if address == own => Some(Input::Announcement(announcement)),
         Call::Announce { .. } => None,
         Call::Deregister { name } => Some(Input::End { name }),
     }
