--- a/roles/agent/src/action.rs
+++ b/roles/agent/src/action.rs
@@ -36,7 +36,8 @@
         /// The job.
         job: JobId,
     },
-    /// Passes a request to another agent; answered by [`crate::Event::Passed`].
+    /// Forwards a request to another agent; answered by
+    /// [`crate::Event::Passed`].
     /// Once the request may have reached the agent, it must not be sent again
     /// over another connection: a new incarnation of the agent does not know
     /// which requests its predecessor ran.
@@ -46,7 +47,7 @@
         /// The request.
         offer: Offer,
     },
-    /// Withdraws a request that was passed to another agent; not answered.
+    /// Withdraws a request that was forwarded to another agent; not answered.
     Withdraw {
         /// Control address of the agent.
         to: SocketAddr,
--- a/roles/agent/src/event.rs
+++ b/roles/agent/src/event.rs
@@ -34,14 +34,14 @@
         /// The result of the job.
         result: Completion,
     },
-    /// Another agent passes a request to this one.
+    /// Another agent forwards a request to this one.
     Offered {
         /// The call to answer by [`crate::Action::AnswerOffer`].
         call: CallId,
         /// The request.
         offer: Offer,
     },
-    /// Another agent withdraws a request that it passed to this one.
+    /// Another agent withdraws a request that it forwarded to this one.
     Withdrawn {
         /// The offer.
         offer: offer::Id,
--- a/roles/agent/src/offer.rs
+++ b/roles/agent/src/offer.rs
@@ -1,4 +1,4 @@
-//! A single request that one agent passes to another.
+//! A single request that one agent forwards to another.
 use std::time::Duration;
 
 use bytes::Bytes;
@@ -15,13 +15,13 @@
 /// Identifier of an offer; repeats of an offer have the same one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Id {
-    /// The holder that passes the request.
+    /// The holder that forwards the request.
     pub origin: Token,
     /// Sequence number among the holder's offers.
     pub number: u64,
 }
 
-/// A single request that one agent passes to another of the same service.
+/// A single request that one agent forwards to another of the same service.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Offer {
--- a/roles/agent/src/offered.rs
+++ b/roles/agent/src/offered.rs
@@ -1,4 +1,4 @@
-//! Handles requests that other agents pass to this one.
+//! Handles requests that other agents forward to this one.
 //!
 //! Each offer is recorded by its id, so that a repeated offer never runs twice
 //! and a refused one never runs.
--- a/roles/agent/src/pass.rs
+++ b/roles/agent/src/pass.rs
@@ -1,7 +1,7 @@
-//! Passes single requests of independent flows to other agents.
+//! Forwards single requests of independent flows to other agents.
 //!
-//! The holder remains responsible for the request: it has recorded it, passes
-//! it to one agent at a time, and answers the caller itself.
+//! The holder remains responsible for the request: it has recorded it,
+//! forwards it to one agent at a time, and answers the caller itself.
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
 use crate::task::Task;
 use crate::view::Binding;
 
-/// The agent that a request was passed to, and the number of the offer.
+/// The agent that a request was forwarded to, and the number of the offer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Assignment {
     pub(crate) number: u64,
@@ -43,7 +43,7 @@
         is_full || self.draining || self.leaving.is_some()
     }
 
-    /// Passes a request to the next agent. Returns false if no candidate is
+    /// Forwards a request to the next agent. Returns false if no candidate is
     /// left, the service is bound, or too little time is left until the
     /// deadline.
     pub(crate) fn pass(&mut self, outbox: &mut Outbox<'_>, job: JobId) -> bool {
@@ -66,7 +66,7 @@
     }
 
     /// Returns the first target in the request's own order that it has not been
-    /// passed to. The order is keyed by flow and request, so that the requests
+    /// forwarded to. The order is keyed by flow and request, so that the requests
     /// of one flow spread over the targets.
     fn next_candidate(&self, task: &Task) -> Option<&Target> {
         let key = task.key.flow ^ task.key.request.rotate_left(u64::BITS / 2);
@@ -151,7 +151,7 @@
         self.pass_again_or_submit(outbox, job);
     }
 
-    /// Passes a request to the next agent if the retry budget allows it and a
+    /// Forwards a request to the next agent if the retry budget allows it and a
     /// candidate is left; otherwise submits it to the gate here.
     fn pass_again_or_submit(&mut self, outbox: &mut Outbox<'_>, job: JobId) {
         if self.budget.withdraw() {
--- a/roles/agent/src/request.rs
+++ b/roles/agent/src/request.rs
@@ -109,7 +109,7 @@
         );
     }
 
-    /// Records a request before it is queued, run or passed, and answers
+    /// Records a request before it is queued, run or forwarded, and answers
     /// repeats from the record.
     fn admit(&mut self, outbox: &mut Outbox<'_>, relay: &Relay, flow: &Flow, request: Request) {
         let reply_path = relay::reply_path(relay);
--- a/roles/agent/src/retry.rs
+++ b/roles/agent/src/retry.rs
@@ -19,7 +19,8 @@
 pub(crate) enum Placement {
     /// Only other backend servers.
     OtherServers,
-    /// Another backend server or, if the request cannot be passed, the one here.
+    /// Another backend server or, if the request cannot be forwarded, the one
+    /// here.
     AnyServer,
 }
 
--- a/roles/agent/src/settings.rs
+++ b/roles/agent/src/settings.rs
@@ -19,7 +19,7 @@
     /// Budget for retries inside the system: a share of the requests, and a
     /// burst.
     pub retries: limit::budget::Settings,
-    /// Passing of single requests between agents.
+    /// Forwarding of single requests between agents.
     pub pass: Pass,
     /// Planned stop and replacement.
     pub leave: Leave,
@@ -33,14 +33,14 @@
     pub announce_interval: Duration,
 }
 
-/// Passing of single requests between the agents of an independent service.
+/// Forwarding of single requests between the agents of an independent service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Pass {
     /// Expected round trip to another agent of the service, across zones. A
-    /// request is passed if the expected wait here is long compared to it; see
+    /// request is forwarded if the expected wait here is long compared to it; see
     /// [`hunt::should_forward`].
     pub round_trip: Duration,
-    /// Largest number of agents that one request is passed to, one at a time.
+    /// Largest number of agents that one request is forwarded to, one at a time.
     pub max_attempts: usize,
     /// Shortest time until the deadline for another attempt.
     pub min_time_left: Duration,
--- a/roles/agent/src/status.rs
+++ b/roles/agent/src/status.rs
@@ -24,7 +24,7 @@
     pub pins: usize,
     /// Memory of the pins, in bytes.
     pub pin_bytes: usize,
-    /// Number of requests that are queued, running or passed.
+    /// Number of requests that are queued, running or forwarded.
     pub tasks: usize,
     /// Expected wait of a new request for a slot.
     pub expected_wait: Duration,
@@ -63,7 +63,7 @@
     RequestRepeated,
     /// A request was answered.
     RequestAnswered,
-    /// A request was passed to another agent.
+    /// A request was forwarded to another agent.
     RequestPassed,
     /// A request was retried because it did not run.
     RetryNotRun,
--- a/roles/agent/src/task.rs
+++ b/roles/agent/src/task.rs
@@ -1,4 +1,4 @@
-//! Tracks pending requests: queued, running or passed to another agent.
+//! Tracks pending requests: queued, running or forwarded to another agent.
 use std::time::Duration;
 
 use bytes::Bytes;
@@ -40,7 +40,7 @@
     /// Whether an earlier attempt may have run it, or whether another agent
     /// that holds the flow may run it too, since the request names no holder.
     pub(crate) may_have_run: bool,
-    /// Targets that it was passed to.
+    /// Targets that it was forwarded to.
     pub(crate) tried_targets: Vec<TargetId>,
     /// Number of retries.
     pub(crate) retries: u8,
@@ -64,7 +64,7 @@
     Queued,
     /// Running at the backend server here.
     Running,
-    /// Passed to another agent.
+    /// Forwarded to another agent.
     Passed(Assignment),
 }
 
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Creates the task of a request that another agent passes to this one.
+    /// Creates the task of a request that another agent forwards to this one.
     pub(crate) fn from_offer(offer: Offer, now: Duration) -> Self {
         Self {
             origin: Origin::Offer(offer.id),
@@ -127,7 +127,7 @@
 }
 
 impl Agent {
-    /// Starts a request that has just been recorded: passes it, queues it, runs
+    /// Starts a request that has just been recorded: forwards it, queues it, runs
     /// it or refuses it.
     pub(crate) fn start_task(&mut self, outbox: &mut Outbox<'_>, task: Task) -> JobId {
         let job = self.next_id();
--- a/roles/agent/tests/passing.rs
+++ b/roles/agent/tests/passing.rs
@@ -22,7 +22,7 @@
 use wire::caller;
 use wire::caller::Reason;
 
-/// A flow whose holder has no free slot, so that it passes requests on.
+/// A flow whose holder has no free slot, so that it forwards requests.
 struct Saturated {
     cluster: Cluster,
     token: Token,
--- a/roles/forward/src/agent/bid.rs
+++ b/roles/forward/src/agent/bid.rs
@@ -22,7 +22,7 @@
 pub enum Verdict {
     /// Admit the flow here.
     Admit(Open),
-    /// Pass the packet on to the agent at its `position`.
+    /// Forward the packet to the agent at its `position`.
     Pass(Open),
     /// Refuse the flow: no agent on its path can serve it in time.
     Refuse(Open),
--- a/roles/forward/tests/agent.rs
+++ b/roles/forward/tests/agent.rs
@@ -35,7 +35,7 @@
     assert_eq!((open.position, open.bids.len()), (1, 1));
 }
 
-/// The agent passed the flow on; the flow comes back because no other agent bid
+/// The agent forwarded the open, which comes back because no other agent bid
 /// less.
 #[test]
 fn settled_flow_is_admitted_by_an_agent_that_passed_it_on_before() {
--- a/roles/forward/tests/entry.rs
+++ b/roles/forward/tests/entry.rs
@@ -467,7 +467,7 @@
 }
 
 /// An agent may admit a flow, find that its backend server does not accept it,
-/// and pass the flow on. Its first report is thus no evidence that its server
+/// and forward the open. Its first report is thus no evidence that its server
 /// ever held the flow.
 #[test]
 fn flow_denied_by_its_holder_is_searched_for_if_the_holder_has_not_restarted() {
