--- a/coordination/config/src/lib.rs
+++ b/coordination/config/src/lib.rs
@@ -8,8 +8,8 @@
 //! * [`Change`] applies an operator's change by compare-and-swap.
 //! * [`Reader`] reads the configuration into an entry: a [`Lease`] decides
 //!   whether this entry reads, and a [`Feed`] does the reading.
-//! * [`Follower`](follower::Follower) follows a single key of the store.
-//! * [`Registration`](registration::Registration) keeps a process registered in the store.
+//! * [`Follower`] follows a single key of the store.
+//! * [`Registration`] keeps a process registered in the store.
 //! * [`KeyValue`], [`Listing`] and [`Fault`] are the store's answers.
 pub mod change;
 pub mod diff;
