--- a/coordination/route/src/hunt.rs
+++ b/coordination/route/src/hunt.rs
@@ -79,7 +79,7 @@
 /// Decides what the agent at the frame's position does with an open.
 ///
 /// Refuses an invalid frame, which no correct process sends: one with a
-/// position outside the path, a path that is too long, or a number of waits
+/// position outside the path, a path that is too long, or a number of bids
 /// that does not match the position.
 #[must_use]
 pub fn step(mut relay: Relay, bid: Bid) -> Step {
@@ -117,9 +117,9 @@
 }
 
 /// Returns the index of the lowest bid; the first one wins a tie.
-fn index_of_least(waits: &[u32]) -> u8 {
+fn index_of_least(bids: &[u32]) -> u8 {
     (0..)
-        .zip(waits)
+        .zip(bids)
         .min_by_key(|&(_, wait)| wait)
         .map_or(0, |(index, _)| index)
 }
--- a/roles/agent/src/offered.rs
+++ b/roles/agent/src/offered.rs
@@ -1,4 +1,4 @@
-//! Handles requests that other agents pass to this one.
+//! Handles requests that other agents forward to this one.
 //!
 //! Each offer is recorded by its id, so that a repeated offer never runs twice
 //! and a refused one never runs.
@@ -187,7 +187,7 @@
 }
 
 /// Time that a withdrawal is recorded whose offer has not arrived, in addition
-/// to [`flow::ledger::Settings::late_copy`].
+/// to [`flow::ledger::Settings::duplicate_window`].
 const WITHDRAWAL_RETENTION: Duration = Duration::from_mins(1);
 
 impl From<Reason> for Refusal {
--- a/roles/forward/src/agent/bid.rs
+++ b/roles/forward/src/agent/bid.rs
@@ -10,7 +10,7 @@
 pub const NO_BID: u32 = u32::MAX;
 
 /// Expected wait up to which an agent admits a flow without asking others:
-/// about the time that passing the flow on takes.
+/// about the time that forwarding the opening packet takes.
 const LOW_WAIT: Duration = Duration::from_millis(2);
 
 /// Expected cost of failures up to which an agent admits a flow without asking
@@ -22,7 +22,7 @@
 pub enum Verdict {
     /// Admit the flow here.
     Admit(Open),
-    /// Pass the packet on to the agent at its `position`.
+    /// Forward the packet to the agent at its `position`.
     Pass(Open),
     /// Refuse the flow: no agent on its path can serve it in time.
     Refuse(Open),
--- a/roles/forward/tests/search.rs
+++ b/roles/forward/tests/search.rs
@@ -31,8 +31,8 @@
 
 fn sends_denial(actions: &[Action]) -> bool {
     actions.iter().any(|action| {
-        matches!(action, Action::Send { to, transit: Transit::NotHeld(absent) }
-            if absent.age_ms.is_some() && absent.packet.is_empty() && *to == searcher_address())
+        matches!(action, Action::Send { to, transit: Transit::NotHeld(denial) }
+            if denial.age_ms.is_some() && denial.packet.is_empty() && *to == searcher_address())
     })
 }
 
@@ -117,7 +117,7 @@
 
 /// Another agent reports that it does not hold the flow.
 fn receive_denial(agent: &mut Agent, now: Duration, target: TargetId, age_ms: u32) -> Vec<Action> {
-    let absent = NotHeld {
+    let denial = NotHeld {
         flow: caller_segment(9, Kind::Data, 0).flow_from_caller(),
         target,
         acknowledged: 1,
@@ -125,22 +125,22 @@
         start: Some(1),
         packet: bytes::Bytes::new(),
     };
-    handle(agent, now, Event::PeerDenied(absent))
+    handle(agent, now, Event::PeerDenied(denial))
 }
 
 /// Returns the agents that are asked, and whether they may probe.
 fn asked_agents(actions: &[Action]) -> Vec<(TargetId, bool)> {
     let asked = actions.iter().filter_map(|action| match action {
         Action::Send {
-            transit: Transit::Lookup(seek),
+            transit: Transit::Lookup(lookup),
             ..
-        } => Some((seek.target, seek.terms.may_probe)),
+        } => Some((lookup.target, lookup.terms.may_probe)),
         _ => None,
     });
     asked.collect()
 }
 
-fn reports_unheld(actions: &[Action]) -> bool {
+fn reports_holder_absent(actions: &[Action]) -> bool {
     actions.iter().any(|action| {
         matches!(action, Action::Send { to, transit: Transit::HolderAbsent(_) } if *to == entry_address())
     })
@@ -154,13 +154,18 @@
     set_peers(&mut agent, &[2, 3], false);
     let actions = send_search(&mut agent, ms(100), 3, MAX_AGE);
     assert_eq!(asked_agents(&actions), [(2, true), (3, true)]);
-    assert!(!reports_unheld(&receive_denial(
+    assert!(!reports_holder_absent(&receive_denial(
         &mut agent,
         ms(101),
         2,
         500
     )));
-    assert!(reports_unheld(&receive_denial(&mut agent, ms(102), 3, 500)));
+    assert!(reports_holder_absent(&receive_denial(
+        &mut agent,
+        ms(102),
+        3,
+        500
+    )));
 }
 
 #[test]
@@ -168,7 +173,7 @@
     let mut agent = agent_since_first_announcement();
     set_peers(&mut agent, &[2], true);
     send_search(&mut agent, ms(100), 2, MAX_AGE);
-    assert!(!reports_unheld(&receive_denial(
+    assert!(!reports_holder_absent(&receive_denial(
         &mut agent,
         ms(101),
         2,
@@ -181,7 +186,7 @@
     let mut agent = agent_since_first_announcement();
     set_peers(&mut agent, &[2], false);
     send_search(&mut agent, ms(100), 2, MAX_AGE);
-    assert!(!reports_unheld(&receive_denial(
+    assert!(!reports_holder_absent(&receive_denial(
         &mut agent,
         ms(101),
         2,
@@ -196,7 +201,7 @@
     set_peers(&mut agent, &[2], false);
     let actions = send_search(&mut agent, ms(100), 3, MAX_AGE);
     assert_eq!(asked_agents(&actions), [(2, false)]);
-    assert!(!reports_unheld(&receive_denial(
+    assert!(!reports_holder_absent(&receive_denial(
         &mut agent,
         ms(101),
         2,
@@ -213,7 +218,7 @@
     handle(&mut agent, ms(0), Event::Announcement(second));
     set_peers(&mut agent, &[2], false);
     assert!(delivers(&send_search(&mut agent, ms(100), 2, MAX_AGE)));
-    assert!(!reports_unheld(&receive_denial(
+    assert!(!reports_holder_absent(&receive_denial(
         &mut agent,
         ms(101),
         2,
@@ -223,7 +228,7 @@
         segment: returned_segment(9, Kind::Data),
         packet: packet(),
     };
-    assert!(reports_unheld(&handle(&mut agent, ms(102), event)));
+    assert!(reports_holder_absent(&handle(&mut agent, ms(102), event)));
 }
 
 #[test]
